--- a/demo/caller.ts
+++ b/demo/caller.ts
@@ -11,7 +11,6 @@
     readonly method: string;
     readonly path: string;
     readonly once: boolean;
-    readonly headers?: Readonly<Record<string, string>>;
 };
 
 type Got = { readonly res: IncomingMessage; readonly body: string; readonly complete: boolean; };
@@ -80,7 +79,7 @@
             const sent = httpRequest(`http://${ingress}${req.path}`, {
                 method: req.method,
                 agent: this.#agent,
-                headers: { "x-load-id": req.id, "content-type": "application/json", ...req.headers },
+                headers: { "x-load-id": req.id, "content-type": "application/json" },
             }, res => {
                 let body = "";
                 res.setEncoding("utf8");
--- a/demo/controlbytes.ts
+++ b/demo/controlbytes.ts
@@ -1,7 +1,13 @@
 /** Reads what a daemon says that it spent for control. */
-import { sumMetric } from "./summetric.js";
+import { readMetric } from "./readmetric.js";
 
 /** The bytes since the daemon started; 0 when it does not answer. */
-export function controlBytes(operator: string): Promise<number> {
-    return sumMetric([operator], "winglock_control_bytes_total");
+export async function controlBytes(operator: string): Promise<number> {
+    try {
+        return await readMetric(operator, "winglock_control_bytes_total");
+    }
+    catch (err) {
+        console.error(`The daemon at ${operator} told no metrics: ${(err as Error).message}`);
+        return 0;
+    }
 }
