--- a/build/warm.js
+++ b/build/warm.js
@@ -39,7 +39,7 @@
 
 const makeStandins = () =>
     build({
-        entryPoints: ["standin/kvmain.ts", "standin/instancemain.ts"].map(name => new URL(name, ROOT).pathname),
+        entryPoints: ["standin/storemain.ts", "standin/instancemain.ts"].map(name => new URL(name, ROOT).pathname),
         outdir: FOLDER,
         outExtension: { ".js": ".mjs" },
         bundle: true,
@@ -128,7 +128,7 @@
 
 const warm = async () => {
     await makeStandins();
-    start([`${FOLDER}/kvmain.mjs`, STORE]);
+    start([`${FOLDER}/storemain.mjs`, STORE]);
     await configure();
     const daemons = IPS.map((ip, index) => {
         const file = `${FOLDER}/settings-${index}.json`;
--- /dev/null
+++ b/standin/storecalls.ts
@@ -0,0 +1,10 @@
+/** One form in which the stand-in of a store is called. */
+import type { IncomingMessage, ServerResponse } from "node:http";
+import type { StoreParts } from "./storeparts.js";
+
+/** Knows paths and bodies; the data, and what is done to calls, are the stand-in's. */
+export abstract class StoreCalls {
+    constructor(protected readonly parts: StoreParts) {}
+
+    abstract serve(req: IncomingMessage, res: ServerResponse, url: URL): Promise<void>;
+}
--- /dev/null
+++ b/standin/storeparts.ts
@@ -0,0 +1,17 @@
+/** What the stand-in of a store lends to the forms in which it is called. */
+import type { IncomingMessage, ServerResponse } from "node:http";
+import type { HostLine } from "./hostline.js";
+import type { StoreData } from "./storedata.js";
+
+/** Functions are asked anew by each call, since a test may change things while a watch waits. */
+export type StoreParts = {
+    readonly data: StoreData;
+    readonly hosts: () => readonly HostLine[];
+    readonly isDown: () => boolean;
+    /** Counts a call under a name. */
+    readonly count: (name: string) => void;
+    /** True when the call gets nothing more: it was refused, or is left without an answer. */
+    readonly strikes: (req: IncomingMessage, res: ServerResponse) => boolean;
+    /** True when the answer to a write that is done is to be lost. */
+    readonly losesAnswer: () => boolean;
+};
