--- a/src/roster/registrar.ts
+++ b/src/roster/registrar.ts
@@ -1,8 +1,6 @@
 /** Keeps this daemon's record in the registry. */
 import { log } from "../log/log.js";
-import { StoreError } from "../store/storeerror.js";
-import { Backoff } from "../time/backoff.js";
-import { sleep } from "../time/sleep.js";
+import { StoreLoop } from "../store/storeloop.js";
 import type { Member } from "./member.js";
 import type { Registry } from "./registry.js";
 
@@ -20,26 +18,31 @@
 
 /** One loop: publishes what has changed, renews what has not. */
 export class Registrar {
-    readonly #stopped = new AbortController();
-    #published = -1;
-    #wake = new AbortController();
+    readonly #loop: StoreLoop;
+    /** The version of the record that the store has; undefined when it must be written. */
+    #published: number | undefined;
 
-    constructor(private readonly parts: RegistrarParts) {}
+    constructor(private readonly parts: RegistrarParts) {
+        this.#loop = new StoreLoop({
+            step: () => this.#step(),
+            failed: err => this.#failed(err),
+            pauseMs: RENEW_EVERY_MS,
+        });
+    }
 
     start(): void {
-        void this.#run();
+        this.#loop.start();
     }
 
     /** Publishes as soon as may be: the record has changed, or is gone. */
     publish(): void {
-        this.#published = -1;
-        this.#wake.abort();
+        this.#published = undefined;
+        this.#loop.wake();
     }
 
     /** Stops, and takes the record back if the store answers soon. */
     async stop(): Promise<void> {
-        this.#stopped.abort();
-        this.#wake.abort();
+        this.#loop.stop();
         try {
             await this.parts.registry.withdraw();
         }
@@ -48,43 +51,28 @@
         }
     }
 
-    async #run(): Promise<void> {
-        const backoff = new Backoff();
-        while (!this.#stopped.signal.aborted) {
-            try {
-                await this.#step();
-                backoff.reset();
-                this.parts.onSuccess();
-                await this.#pause(RENEW_EVERY_MS);
-            }
-            catch (err) {
-                if (!(err instanceof StoreError)) {
-                    throw err;
-                }
-                logger.trouble("The record could not be kept.", err);
-                this.parts.onTrouble();
-                await sleep(backoff.next(), this.#stopped.signal);
-            }
-        }
+    #failed(err: unknown): void {
+        logger.trouble("The record could not be kept.", err);
+        this.parts.onTrouble();
     }
 
     async #step(): Promise<void> {
         const member = this.parts.member();
-        if (this.#published === member.version && await this.parts.registry.renew()) {
-            return;
+        if (this.#published !== member.version || !await this.parts.registry.renew()) {
+            await this.#write(member);
         }
+        this.parts.onSuccess();
+    }
+
+    /** Set before the call: a change that comes meanwhile must be written after it. */
+    async #write(member: Member): Promise<void> {
         this.#published = member.version;
         try {
             await this.parts.registry.publish(member);
         }
         catch (err) {
-            this.#published = -1;
+            this.#published = undefined;
             throw err;
         }
     }
-
-    async #pause(ms: number): Promise<void> {
-        await sleep(this.#published < 0 ? 0 : ms, this.#wake.signal);
-        this.#wake = new AbortController();
-    }
 }
--- a/src/roster/registrywatcher.ts
+++ b/src/roster/registrywatcher.ts
@@ -2,9 +2,8 @@
 import type { Address } from "../ids/address.js";
 import { log } from "../log/log.js";
 import { HistoryError } from "../store/historyerror.js";
-import { Backoff } from "../time/backoff.js";
+import { StoreLoop } from "../store/storeloop.js";
 import type { Clock } from "../time/clock.js";
-import { sleep } from "../time/sleep.js";
 import type { Registry } from "./registry.js";
 import type { RegistryEvent } from "./registryevent.js";
 import type { Roster } from "./roster.js";
@@ -25,54 +24,51 @@
 
 /** One loop: reads all records, then what changes. */
 export class RegistryWatcher {
-    readonly #stopped = new AbortController();
-    #current = new AbortController();
+    readonly #loop: StoreLoop;
     #at: number | undefined;
 
-    constructor(private readonly parts: WatcherParts) {}
+    constructor(private readonly parts: WatcherParts) {
+        this.#loop = new StoreLoop({
+            step: signal => this.#step(signal),
+            failed: err => logger.trouble("The records could not be followed.", err),
+            pauseMs: GATHER_MS,
+        });
+    }
 
     start(): void {
-        void this.#run();
+        this.#loop.start();
     }
 
     stop(): void {
-        this.#stopped.abort();
-        this.#current.abort();
+        this.#loop.stop();
     }
 
-    /** Watches anew: what waits may wait on a connection that says nothing any more. */
+    /** Watches anew: what waits may wait on a connection that carries nothing any more. */
     renew(): void {
-        this.#current.abort();
+        this.#loop.renew();
     }
 
-    async #run(): Promise<void> {
-        const backoff = new Backoff();
-        while (!this.#stopped.signal.aborted) {
-            this.#current = new AbortController();
-            try {
-                await this.#step(this.#current.signal);
-                backoff.reset();
-                await sleep(GATHER_MS, this.#stopped.signal);
-            }
-            catch (err) {
-                if (err instanceof HistoryError) {
-                    this.#at = undefined;
-                    continue;
-                }
-                logger.trouble("The records could not be followed.", err);
-                await sleep(backoff.next(), this.#stopped.signal);
-            }
+    async #step(signal: AbortSignal): Promise<void> {
+        if (this.#at === undefined || !await this.#watch(this.#at, signal)) {
+            this.#at = undefined;
+            await this.#readAll();
         }
     }
 
-    async #step(signal: AbortSignal): Promise<void> {
-        if (this.#at === undefined) {
-            await this.#readAll();
-            return;
+    /** False when the changes after `after` are no longer kept. */
+    async #watch(after: number, signal: AbortSignal): Promise<boolean> {
+        try {
+            const { events, at } = await this.parts.registry.watch(after, signal);
+            events.forEach(event => this.#take(event));
+            this.#at = at;
+            return true;
+        }
+        catch (err) {
+            if (err instanceof HistoryError) {
+                return false;
+            }
+            throw err;
         }
-        const { events, at } = await this.parts.registry.watch(this.#at, signal);
-        events.forEach(event => this.#take(event));
-        this.#at = at;
     }
 
     async #readAll(): Promise<void> {
--- /dev/null
+++ b/src/store/storeclient.ts
@@ -0,0 +1,117 @@
+/**
+ * One daemon's client of a store that speaks HTTP: its connections, the time limits of calls, and what a failure proves.
+ *
+ * What is asked, and in which form, is for `Store` and `Registry` to say.
+ */
+import { Pool } from "undici";
+import type { z } from "zod";
+import { isConnectError } from "../hop/connecterror.js";
+import type { Address } from "../ids/address.js";
+import { HistoryError } from "./historyerror.js";
+import { StoreError } from "./storeerror.js";
+
+/** A store on the same network accepts a connection within milliseconds; chosen, not measured. */
+const CONNECT_TIMEOUT_MS = 500;
+/** How much later than asked for the answer to a watch may come; chosen, not measured. */
+const WATCH_SLACK_MS = 1500;
+const OK = 200;
+const GONE = 410;
+/** Refusals, for rate or outage, that prove that nothing was done. */
+const REFUSALS: ReadonlySet<number> = new Set([429, 503]);
+
+/** `timeoutMs` bounds each call but watches; `counted` is told the bytes of each call that was answered. */
+type ClientOptions = {
+    readonly address: Address;
+    readonly localIp: string;
+    readonly connections: number;
+    readonly timeoutMs: number;
+    readonly counted: (bytes: number) => void;
+};
+
+type Call = {
+    readonly method: "GET" | "PUT" | "POST" | "DELETE";
+    readonly path: string;
+    readonly headers?: Record<string, string>;
+    readonly body?: string;
+    /** Statuses that mean that there is no value; the caller knows which one of them it may be. */
+    readonly empty?: readonly number[];
+    /** Of a watch: how long the store may let it wait, in milliseconds. */
+    readonly waitMs?: number;
+    /** Calls the call off. */
+    readonly signal?: AbortSignal;
+};
+
+/** A call that gets no answer may have been done; the StoreError says what is proven. */
+export class StoreClient {
+    readonly #pool: Pool;
+
+    constructor(private readonly options: ClientOptions) {
+        const { address, localIp, connections } = options;
+        this.#pool = new Pool(`http://${address}`, {
+            connections,
+            localAddress: localIp,
+            connect: { timeout: CONNECT_TIMEOUT_MS },
+        });
+    }
+
+    /**
+     * Returns the checked answer, or undefined when its status is one of `empty`. Throws a HistoryError for 410, a
+     * StoreError when no answer comes, the status is another one than 200, or the answer can't be read.
+     */
+    async call<Schema extends z.ZodType>(schema: Schema, call: Call): Promise<z.infer<Schema> | undefined> {
+        const text = await this.#answer(call);
+        return text === undefined ? undefined : this.#read(schema, text);
+    }
+
+    /** Makes a call whose answer has nothing to read; false when its status is one of `empty`. Throws as `call` does. */
+    async isDone(call: Call): Promise<boolean> {
+        return await this.#answer(call) !== undefined;
+    }
+
+    close(): Promise<void> {
+        return this.#pool.destroy();
+    }
+
+    async #answer(call: Call): Promise<string | undefined> {
+        const { status, text } = await this.#send(call);
+        if (call.empty?.includes(status)) {
+            return undefined;
+        }
+        if (status === GONE) {
+            throw new HistoryError();
+        }
+        if (status !== OK) {
+            throw new StoreError(!REFUSALS.has(status), `the store answered ${status}`);
+        }
+        return text;
+    }
+
+    async #send(call: Call): Promise<{ readonly status: number; readonly text: string; }> {
+        const { method, path, headers, body } = call;
+        try {
+            const signal = this.#bound(call);
+            const answer = await this.#pool.request({ method, path, headers, body, signal });
+            const text = await answer.body.text();
+            this.options.counted(text.length + (body?.length ?? 0));
+            return { status: answer.statusCode, text };
+        }
+        catch (err) {
+            throw new StoreError(!isConnectError(err), "the store did not answer", { cause: err });
+        }
+    }
+
+    #bound({ waitMs, signal }: Call): AbortSignal {
+        const limitMs = waitMs === undefined ? this.options.timeoutMs : waitMs + WATCH_SLACK_MS;
+        const limit = AbortSignal.timeout(limitMs);
+        return signal === undefined ? limit : AbortSignal.any([signal, limit]);
+    }
+
+    #read<Schema extends z.ZodType>(schema: Schema, text: string): z.infer<Schema> {
+        try {
+            return schema.parse(JSON.parse(text));
+        }
+        catch (err) {
+            throw new StoreError(true, "the store's answer can't be read", { cause: err });
+        }
+    }
+}
