--- a/src/config/priorityofrank.ts
+++ b/src/config/priorityofrank.ts
@@ -1,7 +1,7 @@
 /** Priorities given as numbers. */
-import type { Priority } from "./priority.js";
+import { Priority } from "./priority.js";
 
-const BY_RANK: readonly Priority[] = ["urgent", "normal", "background"];
+const BY_RANK: readonly Priority[] = Priority.options;
 
 /** Rank 0 is the most urgent; all ranks past the last class are in it. */
 export function priorityOfRank(rank: number): Priority {
--- a/src/config/upstream.ts
+++ b/src/config/upstream.ts
@@ -6,9 +6,10 @@
 import { RegionName } from "../ids/regionname.js";
 import { ServiceName } from "../ids/servicename.js";
 import { UpstreamName } from "../ids/upstreamname.js";
+import { defaultConnections } from "./defaultconnections.js";
+import { Slots } from "./slots.js";
 
-const MAX_SLOTS = 10_000;
-const DEFAULT_CONNECTIONS = 200;
+const MAX_CONNECTIONS = 10_000;
 
 const Upstream = z.strictObject({
     name: UpstreamName,
@@ -18,8 +19,8 @@
     gate: Address,
     hall: HallName,
     region: RegionName,
-    slots: z.int().min(1).max(MAX_SLOTS),
-    connections: z.int().min(1).max(MAX_SLOTS).default(DEFAULT_CONNECTIONS),
+    slots: Slots,
+    connections: z.int().min(1).max(MAX_CONNECTIONS).default(defaultConnections),
     draining: z.boolean().default(false),
 });
 type Upstream = z.infer<typeof Upstream>;
--- a/src/control/healthcheck.ts
+++ b/src/control/healthcheck.ts
@@ -3,9 +3,11 @@
 import type { ServiceName } from "../ids/servicename.js";
 import { log } from "../log/log.js";
 import type { Metrics } from "../metrics/metrics.js";
+import { Ticker } from "../time/ticker.js";
 
 const logger = log("health");
 
+const MS_PER_SECOND = 1000;
 const TIMEOUT_MS = 500;
 const BYTES = 200;
 
@@ -14,22 +16,23 @@
 
 /** Believes an upstream that says it leaves, and one that says it is back; nothing else it says is believed. */
 export class HealthCheck {
-    #timer: NodeJS.Timeout | undefined;
+    readonly #ticker: Ticker | undefined;
 
     constructor(
         private readonly options: HealthOptions,
         private readonly gates: () => Iterable<Gate>,
         private readonly metrics: Metrics,
-    ) {}
+    ) {
+        const { perSecond } = options;
+        this.#ticker = perSecond === 0 ? undefined : new Ticker(MS_PER_SECOND / perSecond, () => void this.#askAll());
+    }
 
     start(): void {
-        if (this.options.perSecond > 0) {
-            this.#timer = setInterval(() => void this.#askAll(), 1000 / this.options.perSecond);
-        }
+        this.#ticker?.start();
     }
 
     stop(): void {
-        clearInterval(this.#timer);
+        this.#ticker?.stop();
     }
 
     async #askAll(): Promise<void> {
--- a/src/control/membership.ts
+++ b/src/control/membership.ts
@@ -5,6 +5,7 @@
 import type { HostName } from "../ids/hostname.js";
 import type { RandomSource } from "../policy/randomsource.js";
 import type { Clock } from "../time/clock.js";
+import { Ticker } from "../time/ticker.js";
 import { Beater } from "./beater.js";
 import type { Election } from "./election.js";
 import { hallMembers } from "./hallmembers.js";
@@ -41,7 +42,10 @@
 /** Owns the timers of control. */
 export class Membership {
     readonly #beater: Beater;
-    #timers: NodeJS.Timeout[] = [];
+    readonly #tickers = [
+        new Ticker(TICK_MS, () => this.#tick()),
+        new Ticker(HOSTS_EVERY_MS, () => void this.#askHosts()),
+    ];
 
     constructor(private readonly parts: MembershipParts) {
         this.#beater = new Beater(() => this.#audience(), to => parts.send(to, this.#beat()));
@@ -49,14 +53,11 @@
     }
 
     start(): void {
-        this.#timers = [
-            setInterval(() => this.#tick(), TICK_MS),
-            setInterval(() => void this.#askHosts(), HOSTS_EVERY_MS),
-        ];
+        this.#tickers.forEach(ticker => ticker.start());
     }
 
     stop(): void {
-        this.#timers.forEach(timer => clearInterval(timer));
+        this.#tickers.forEach(ticker => ticker.stop());
         this.parts.storeWatcher.set(false);
     }
 
--- a/src/control/pinger.ts
+++ b/src/control/pinger.ts
@@ -3,6 +3,7 @@
 import type { Neighbour } from "../ingress/neighbour.js";
 import type { Neighbours } from "../ingress/neighbours.js";
 import type { Clock } from "../time/clock.js";
+import { Ticker } from "../time/ticker.js";
 import type { Message } from "./message.js";
 
 const TICK_MS = 50;
@@ -26,17 +27,17 @@
 /** Only gates that have answered a ping before can be found silent: else it may be the datagrams that are lost. */
 export class Pinger {
     readonly #answered = new Set<Address>();
-    #timer: NodeJS.Timeout | undefined;
+    readonly #ticker = new Ticker(TICK_MS, () => this.#tick());
     #askedAt = 0;
 
     constructor(private readonly parts: PingerParts) {}
 
     start(): void {
-        this.#timer = setInterval(() => this.#tick(), TICK_MS);
+        this.#ticker.start();
     }
 
     stop(): void {
-        clearInterval(this.#timer);
+        this.#ticker.stop();
     }
 
     /** Takes in the answer to a ping. */
--- a/src/daemon/readinessserver.ts
+++ b/src/daemon/readinessserver.ts
@@ -1,12 +1,10 @@
 /** Tells whoever sends callers here whether to: `GET /readyz` is 200 or 503. */
 import { createServer, type Server } from "node:http";
+import { httpStatus } from "../http/httpstatus.js";
 import type { Address } from "../ids/address.js";
 import { listen } from "../time/listen.js";
 
 const PATH = "/readyz";
-const READY = 200;
-const UNREADY = 503;
-const NOT_FOUND = 404;
 
 /** Asks at each question. */
 export class ReadinessServer {
@@ -14,7 +12,11 @@
 
     constructor(ready: () => boolean) {
         this.#server = createServer((req, res) => {
-            const status = req.url !== PATH ? NOT_FOUND : ready() ? READY : UNREADY;
+            const status = req.url !== PATH
+                ? httpStatus.notFound
+                : ready()
+                ? httpStatus.ok
+                : httpStatus.serviceUnavailable;
             res.writeHead(status, { "content-length": "0" }).end();
         });
     }
--- a/src/daemon/rosterparts.ts
+++ b/src/daemon/rosterparts.ts
@@ -23,6 +23,7 @@
 import { upstreamsOf } from "../roster/upstreamsof.js";
 import type { Clock } from "../time/clock.js";
 import { sleep } from "../time/sleep.js";
+import { Ticker } from "../time/ticker.js";
 import type { Measuring } from "./measuring.js";
 import type { Settings } from "./settings.js";
 
@@ -58,10 +59,10 @@
     readonly #registrar: Registrar;
     readonly #watcher: RegistryWatcher;
     readonly #announcements: AnnouncementServer;
+    readonly #sweep = new Ticker(SWEEP_EVERY_MS, () => this.#endSilent());
     #version = 0;
     #going = false;
     #storeFailed = false;
-    #sweep: NodeJS.Timeout | undefined;
 
     constructor(private readonly needs: RosterNeeds) {
         const { self, registry, clock, random, send, keeper, puller, peer } = needs;
@@ -125,7 +126,7 @@
         this.#watcher.start();
         this.needs.storeWatcher.set(true);
         this.gossip.start();
-        this.#sweep = setInterval(() => this.#endSilent(), SWEEP_EVERY_MS);
+        this.#sweep.start();
     }
 
     /** Tells peers and the store that this daemon serves no upstream any more; the daemon itself goes on. */
@@ -137,7 +138,7 @@
     }
 
     stop(): void {
-        clearInterval(this.#sweep);
+        this.#sweep.stop();
         this.gossip.tellGoing();
         this.gossip.stop();
         this.#watcher.stop();
--- a/src/daemon/settingsfile.ts
+++ b/src/daemon/settingsfile.ts
@@ -3,6 +3,7 @@
 import { parse } from "../config/parse.js";
 import { log } from "../log/log.js";
 import { logSink } from "../log/logsink.js";
+import { Ticker } from "../time/ticker.js";
 import { changedFields } from "./changedfields.js";
 import { Settings } from "./settings.js";
 
@@ -16,15 +17,14 @@
 /** Settings that can't be used change nothing. */
 export class SettingsFile {
     #text: string;
-    #timer: NodeJS.Timeout | undefined;
+    readonly #ticker = new Ticker(LOOK_EVERY_MS, () => this.reload());
 
     constructor(private readonly file: string, private current: Settings) {
         this.#text = readFileSync(file, "utf8");
     }
 
     start(): void {
-        this.#timer = setInterval(() => this.reload(), LOOK_EVERY_MS);
-        this.#timer.unref();
+        this.#ticker.start();
     }
 
     /** Reads the file again and does nothing when it is as it was. */
--- a/src/hop/ownvocabulary.ts
+++ b/src/hop/ownvocabulary.ts
@@ -1,9 +1,9 @@
 /** Winglock's own names, for callers and upstreams that know winglock. */
+import { httpStatus } from "../http/httpstatus.js";
 import { headerName } from "./headername.js";
 import type { HttpHeaders } from "./httpheaders.js";
 import { Vocabulary } from "./vocabulary.js";
 
-const SHED_STATUS = 503;
 const MS_PER_SECOND = 1000;
 
 /** As docs/SETTINGS.md and headername.ts list them. */
@@ -20,7 +20,7 @@
     readonly outcome = headerName.outcome;
 
     notRun(status: number, headers: HttpHeaders): "shed" | "leaving" | undefined {
-        if (status !== SHED_STATUS || headers[headerName.outcome] !== "not-run") {
+        if (status !== httpStatus.serviceUnavailable || headers[headerName.outcome] !== "not-run") {
             return undefined;
         }
         return this.isLeaving(headers) ? "leaving" : "shed";
--- a/src/hop/remotehop.ts
+++ b/src/hop/remotehop.ts
@@ -1,6 +1,7 @@
 /** The way to the gate of another host: one request a connection at a time, no retries. */
 import type { Address } from "../ids/address.js";
 import type { RevokeResult } from "../ledger/revokeresult.js";
+import { emptyBuffer } from "../link/emptybuffer.js";
 import { LinkError } from "../link/linkerror.js";
 import { LinkPool } from "../link/linkpool.js";
 import type { PeerClient } from "../peer/peerclient.js";
@@ -13,8 +14,6 @@
 import { Hop } from "./hop.js";
 import { HopError } from "./hoperror.js";
 
-const NO_BODY = Buffer.alloc(0);
-
 /** Owns the connections to one gate. */
 export class RemoteHop extends Hop {
     readonly clock = new GateClock();
@@ -33,7 +32,7 @@
         if (call.head.kind === "once" && this.clock.incarnation === undefined) {
             await this.greet();
         }
-        const { status, headers, body = NO_BODY, note } = await this.#request(call);
+        const { status, headers, body = emptyBuffer, note } = await this.#request(call);
         this.clock.observe(note.incarnation, note.gateTime, this.options.clock());
         if (note.outcome !== undefined) {
             throw new HopError(note.outcome, note.reason ?? "no-reason", note);
--- a/src/ingress/attempt.ts
+++ b/src/ingress/attempt.ts
@@ -4,6 +4,7 @@
 import { Cancel } from "../hop/cancel.js";
 import type { GateAnswer } from "../hop/gateanswer.js";
 import { HopError } from "../hop/hoperror.js";
+import { httpStatus } from "../http/httpstatus.js";
 import type { RequestId } from "../ids/requestid.js";
 import { log } from "../log/log.js";
 import type { AttemptResult } from "./attemptresult.js";
@@ -13,7 +14,6 @@
 import type { Outgoing } from "./outgoing.js";
 import type { Plan } from "./plan.js";
 
-const FAILED_STATUS = 500;
 const REDIRECTS: ReadonlySet<string> = new Set([
     "handed-back",
     "slow",
@@ -126,7 +126,7 @@
         });
         const now = ingress.clock();
         neighbour.answered(answer.note, now - sentAt, now);
-        if (answer.status >= FAILED_STATUS) {
+        if (answer.status >= httpStatus.internalServerError) {
             return this.#failed(answer);
         }
         ingress.retries(plan.service.name).hedging.observe(now - sentAt, answer.note?.calls === true);
--- a/src/ingress/ingress.ts
+++ b/src/ingress/ingress.ts
@@ -6,6 +6,7 @@
 import type { Contexts } from "../gate/contexts.js";
 import { cleanHeaders } from "../hop/cleanheaders.js";
 import type { HttpHeaders } from "../hop/httpheaders.js";
+import { httpStatus } from "../http/httpstatus.js";
 import type { ServiceName } from "../ids/servicename.js";
 import { log } from "../log/log.js";
 import { listen } from "../time/listen.js";
@@ -227,7 +228,7 @@
 
     /** Tells the hop above that this one has retried already, so that a chain of calls does not multiply. */
     #noteFailure(req: IncomingMessage, outcome: string, status: number): void {
-        if (outcome === "served" && status < 500) {
+        if (outcome === "served" && status < httpStatus.internalServerError) {
             return;
         }
         const parent = this.#parentOf(req);
--- a/src/ingress/problems.ts
+++ b/src/ingress/problems.ts
@@ -1,4 +1,5 @@
 /** The answers that winglock makes itself. */
+import { httpStatus } from "../http/httpstatus.js";
 import type { ProblemType } from "./problemtype.js";
 
 /** A status of RFC 9110 and words for people. */
@@ -6,16 +7,19 @@
 
 /** By type. */
 export const problems: Readonly<Record<ProblemType, Problem>> = {
-    "no-rule": { status: 404, title: "No rule matches the request." },
-    "not-ready": { status: 503, title: "The daemon has no configuration yet." },
-    "too-deep": { status: 508, title: "Calls between services are nested too deep." },
-    "head-too-large": { status: 431, title: "The request's head is larger than allowed." },
-    "body-too-large": { status: 413, title: "The request's body is larger than allowed." },
-    "bad-request": { status: 400, title: "The request can't be read." },
-    "internal": { status: 500, title: "Winglock has failed." },
-    "no-upstream": { status: 503, title: "No upstream of the service takes work now." },
-    "overloaded": { status: 503, title: "All upstreams of the service are busy." },
-    "unreachable": { status: 503, title: "The upstream could not be reached." },
-    "deadline": { status: 504, title: "The request's time is up." },
-    "answer-lost": { status: 502, title: "The upstream's answer was lost." },
+    "no-rule": { status: httpStatus.notFound, title: "No rule matches the request." },
+    "not-ready": { status: httpStatus.serviceUnavailable, title: "The daemon has no configuration yet." },
+    "too-deep": { status: httpStatus.loopDetected, title: "Calls between services are nested too deep." },
+    "head-too-large": {
+        status: httpStatus.requestHeaderFieldsTooLarge,
+        title: "The request's head is larger than allowed.",
+    },
+    "body-too-large": { status: httpStatus.contentTooLarge, title: "The request's body is larger than allowed." },
+    "bad-request": { status: httpStatus.badRequest, title: "The request can't be read." },
+    "internal": { status: httpStatus.internalServerError, title: "Winglock has failed." },
+    "no-upstream": { status: httpStatus.serviceUnavailable, title: "No upstream of the service takes work now." },
+    "overloaded": { status: httpStatus.serviceUnavailable, title: "All upstreams of the service are busy." },
+    "unreachable": { status: httpStatus.serviceUnavailable, title: "The upstream could not be reached." },
+    "deadline": { status: httpStatus.gatewayTimeout, title: "The request's time is up." },
+    "answer-lost": { status: httpStatus.badGateway, title: "The upstream's answer was lost." },
 };
--- a/src/link/framereader.ts
+++ b/src/link/framereader.ts
@@ -1,4 +1,5 @@
 /** Cuts a stream of bytes into frames. */
+import { emptyBuffer } from "./emptybuffer.js";
 import type { Frame } from "./frame.js";
 import { frameType } from "./frametype.js";
 import { LinkError } from "./linkerror.js";
@@ -7,11 +8,10 @@
 /** Bodies that are at hand are sent whole up to a bound far below this one. */
 const MAX_PAYLOAD_BYTES = 32 * 1024 * 1024;
 const TYPES: ReadonlySet<number> = new Set(Object.values(frameType));
-const NOTHING = Buffer.alloc(0);
 
 /** Of one connection. */
 export class FrameReader {
-    #rest: Buffer = NOTHING;
+    #rest: Buffer = emptyBuffer;
 
     /** Takes in bytes and returns the frames that they complete; throws a LinkError for bytes that are none. */
     read(chunk: Buffer): Frame[] {
@@ -27,7 +27,7 @@
             frames.push({ type: bytes[at] as Frame["type"], payload: bytes.subarray(at + HEAD_BYTES, end) });
             at = end;
         }
-        this.#rest = at === bytes.length ? NOTHING : bytes.subarray(at);
+        this.#rest = at === bytes.length ? emptyBuffer : bytes.subarray(at);
         return frames;
     }
 
--- a/src/link/linksession.ts
+++ b/src/link/linksession.ts
@@ -3,6 +3,7 @@
 import type { Socket } from "node:net";
 import { Readable } from "node:stream";
 import { Cancel } from "../hop/cancel.js";
+import { emptyBuffer } from "./emptybuffer.js";
 import type { Frame } from "./frame.js";
 import { FramedBody } from "./framedbody.js";
 import { FrameReader } from "./framereader.js";
@@ -18,8 +19,6 @@
 import type { WireCall } from "./wirecall.js";
 import { writeFrame } from "./writeframe.js";
 
-const NOTHING = Buffer.alloc(0);
-
 /** What a session needs of its listener; `serve` never rejects. */
 type SessionParts = {
     readonly key: Buffer;
@@ -134,7 +133,7 @@
         }
         if (gathered === "broken") {
             this.#write({ ...answer, last, body: "follows" });
-            this.socket.write(writeFrame(frameType.broken, NOTHING));
+            this.socket.write(writeFrame(frameType.broken, emptyBuffer));
             this.#done(last);
             return;
         }
--- a/src/link/sendbody.ts
+++ b/src/link/sendbody.ts
@@ -1,11 +1,10 @@
 /** Sends a body in frames. */
 import type { Socket } from "node:net";
 import type { Readable } from "node:stream";
+import { emptyBuffer } from "./emptybuffer.js";
 import { frameType } from "./frametype.js";
 import { writeFrame } from "./writeframe.js";
 
-const NOTHING = Buffer.alloc(0);
-
 /** Waits for the socket as it fills up; `onEnd` is called once, when all is sent or the body has broken off. */
 export function sendBody(body: Readable, socket: Socket, onEnd: () => void): void {
     let ended = false;
@@ -18,7 +17,7 @@
         ended = true;
         socket.removeListener("drain", resume).removeListener("close", leave);
         if (!socket.destroyed) {
-            socket.write(writeFrame(type, NOTHING));
+            socket.write(writeFrame(type, emptyBuffer));
         }
         onEnd();
     };
--- a/src/peer/peerclient.ts
+++ b/src/peer/peerclient.ts
@@ -5,6 +5,7 @@
 import { parse } from "../config/parse.js";
 import type { Update } from "../config/update.js";
 import { headerName } from "../hop/headername.js";
+import { httpStatus } from "../http/httpstatus.js";
 import type { Address } from "../ids/address.js";
 import type { RevokeResult } from "../ledger/revokeresult.js";
 import { Member } from "../roster/member.js";
@@ -18,7 +19,6 @@
 const CONNECT_TIMEOUT_MS = 500;
 /** Short, since a caller waits for the word. */
 const REVOKE_TIMEOUT_MS = 300;
-const FAILED_STATUS = 300;
 
 type Client = TRPCClient<typeof peerRouter>;
 
@@ -85,7 +85,7 @@
             signal,
         });
         return {
-            ok: answer.statusCode < FAILED_STATUS,
+            ok: answer.statusCode < httpStatus.multipleChoices,
             status: answer.statusCode,
             json: () => answer.body.json(),
         };
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -12,6 +12,7 @@
 import type { GateAnswer } from "../hop/gateanswer.js";
 import { headerName } from "../hop/headername.js";
 import { HopError } from "../hop/hoperror.js";
+import { httpStatus } from "../http/httpstatus.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
 import { LinkSession } from "../link/linksession.js";
 import type { ServedAnswer } from "../link/servedanswer.js";
@@ -23,7 +24,6 @@
 import { peerRouter } from "./peerrouter.js";
 import type { PeerService } from "./peerservice.js";
 
-const FORBIDDEN_STATUS = 403;
 /** A refusal has a note only. */
 const REFUSAL = { status: 0, headers: {}, body: undefined };
 const BAD_CALL = "bad-call";
@@ -123,7 +123,7 @@
         res.on("close", () => this.#calls -= 1);
         res.shouldKeepAlive = res.shouldKeepAlive && !this.#winding;
         if (!this.#isPeer(req)) {
-            res.writeHead(FORBIDDEN_STATUS).end();
+            res.writeHead(httpStatus.forbidden).end();
             return;
         }
         this.#trpc(req, res);
--- a/src/policy/waitqueue.ts
+++ b/src/policy/waitqueue.ts
@@ -4,8 +4,9 @@
 import { FairQueue } from "./fairqueue.js";
 import type { Waiting } from "./waiting.js";
 
+/** Most urgent first. */
 const WEIGHTS: Readonly<Record<Priority, number>> = { urgent: 64, normal: 8, background: 1 };
-const ORDER: readonly Priority[] = ["urgent", "normal", "background"];
+const ORDER = Object.keys(WEIGHTS) as Priority[];
 
 /** Of one tenant's requests of a class, the one whose time is up first goes first. */
 const sooner = (one: Waiting, other: Waiting): boolean => one.deadline < other.deadline;
--- a/src/roster/announcement.ts
+++ b/src/roster/announcement.ts
@@ -1,16 +1,15 @@
 /** What an upstream tells the daemon beside it, every second or two. */
 import { z } from "zod";
+import { Slots } from "../config/slots.js";
 import { Address } from "../ids/address.js";
 import { HallName } from "../ids/hallname.js";
 import { ServiceName } from "../ids/servicename.js";
 
-const MAX_SLOTS = 10_000;
-
 const Announcement = z.object({
     service: ServiceName,
     address: Address,
     hall: HallName.optional(),
-    slots: z.int().min(1).max(MAX_SLOTS),
+    slots: Slots,
     state: z.enum(["ready", "draining"]),
     /** How much longer it is slow from its start. */
     coldMs: z.number().min(0).default(0),
--- a/src/roster/announcementserver.ts
+++ b/src/roster/announcementserver.ts
@@ -2,6 +2,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import { ConfigError } from "../config/configerror.js";
 import { parse } from "../config/parse.js";
+import { httpStatus } from "../http/httpstatus.js";
 import type { Address } from "../ids/address.js";
 import { UpstreamName } from "../ids/upstreamname.js";
 import { log } from "../log/log.js";
@@ -12,9 +13,6 @@
 
 const PATH = /^\/v1\/upstreams\/([^/?]+)$/;
 const MAX_BYTES = 16 * 1024;
-const OK = 200;
-const BAD_REQUEST = 400;
-const NOT_FOUND = 404;
 
 /** Hears what upstreams say; an answer of 200 means that it is in force. */
 type AnnouncementParts = {
@@ -59,11 +57,11 @@
             const text = await readText(req);
             const name = PATH.exec(req.url ?? "")?.[1];
             if (name === undefined) {
-                answer(res, NOT_FOUND, { error: "nothing is here" });
+                answer(res, httpStatus.notFound, { error: "nothing is here" });
                 return;
             }
             this.#take(req.method, parse(UpstreamName, decodeURIComponent(name)), text);
-            answer(res, OK, {});
+            answer(res, httpStatus.ok, {});
         }
         catch (err) {
             this.#refuse(req, res, err);
@@ -87,7 +85,7 @@
         const message = err instanceof Error ? err.message : String(err);
         logger.trouble("An announcement is turned down.", err, { method: req.method, path: req.url });
         if (err instanceof ConfigError || err instanceof SyntaxError || err instanceof URIError) {
-            answer(res, BAD_REQUEST, { error: message });
+            answer(res, httpStatus.badRequest, { error: message });
             return;
         }
         res.destroy();
--- a/src/roster/discovery.ts
+++ b/src/roster/discovery.ts
@@ -6,13 +6,13 @@
  */
 import { Client } from "undici";
 import type { Vocabulary } from "../hop/vocabulary.js";
+import { httpStatus } from "../http/httpstatus.js";
 import type { Address } from "../ids/address.js";
 import type { ServiceName } from "../ids/servicename.js";
 import { UpstreamName } from "../ids/upstreamname.js";
 import type { Announcement } from "./announcement.js";
 
 const TIMEOUT_MS = 250;
-const OK = 200;
 /** Older than anything that the upstream says itself. */
 const BEFORE_ALL = -1;
 
@@ -38,7 +38,7 @@
             await body.dump();
             const name = UpstreamName.safeParse(vocabulary.upstreamName(headers)).data;
             const slots = vocabulary.load(headers)?.slots;
-            if (statusCode !== OK || name === undefined || slots === undefined || slots < 1) {
+            if (statusCode !== httpStatus.ok || name === undefined || slots === undefined || slots < 1) {
                 return undefined;
             }
             const announcement = { service, address, slots, state: "ready", coldMs: 0, sequence: BEFORE_ALL } as const;
--- a/src/roster/gossip.ts
+++ b/src/roster/gossip.ts
@@ -10,6 +10,7 @@
 import type { RandomSource } from "../policy/randomsource.js";
 import { sample } from "../policy/sample.js";
 import type { Clock } from "../time/clock.js";
+import { Ticker } from "../time/ticker.js";
 import type { Member } from "./member.js";
 import type { Roster } from "./roster.js";
 
@@ -40,19 +41,19 @@
 export class Gossip {
     readonly #answeredAt = new Map<Address, number>();
     readonly #asking = new Set<Address>();
-    #timers: NodeJS.Timeout[] = [];
+    readonly #tickers = [
+        new Ticker(SWEEP_EVERY_MS, () => this.#sweep()),
+        new Ticker(HELLO_EVERY_MS, () => this.#greetSome()),
+    ];
 
     constructor(private readonly parts: GossipParts) {}
 
     start(): void {
-        this.#timers = [
-            setInterval(() => this.#sweep(), SWEEP_EVERY_MS),
-            setInterval(() => this.#greetSome(), HELLO_EVERY_MS),
-        ];
+        this.#tickers.forEach(ticker => ticker.start());
     }
 
     stop(): void {
-        this.#timers.forEach(timer => clearInterval(timer));
+        this.#tickers.forEach(ticker => ticker.stop());
     }
 
     /** Tells all peers of a change of this daemon's own record, those that are known: the store tells the rest. */
--- a/src/store/httpstore.ts
+++ b/src/store/httpstore.ts
@@ -1,5 +1,6 @@
 /** The document in the platform's key-value service over HTTP; docs/DESIGN.md describes the calls. */
 import { z } from "zod";
+import { httpStatus } from "../http/httpstatus.js";
 import type { Address } from "../ids/address.js";
 import { Store } from "./store.js";
 import { StoreClient } from "./storeclient.js";
@@ -14,9 +15,6 @@
 const CONNECTIONS = 4;
 /** How long the store lets a watch wait: a third of the time after which a configuration counts as unconfirmed. */
 const WATCH_MS = 5000;
-const NO_CONTENT = 204;
-const NOT_FOUND = 404;
-const CONFLICT = 409;
 
 const StoredValue = z.object({ value: z.string(), version: z.int().min(0) });
 const NOTHING: Stored = { value: "", version: 0 };
@@ -32,17 +30,24 @@
     }
 
     async read(): Promise<Stored> {
-        return await this.#client.call(StoredValue, { method: "GET", path: KEY_PATH, empty: [NOT_FOUND] }) ?? NOTHING;
+        return await this.#client.call(StoredValue, { method: "GET", path: KEY_PATH, empty: [httpStatus.notFound] })
+            ?? NOTHING;
     }
 
     async write(value: string, version: number): Promise<boolean> {
         const path = `${KEY_PATH}?version=${version}`;
-        return await this.#client.isDone({ method: "PUT", path, body: value, empty: [CONFLICT] });
+        return await this.#client.isDone({ method: "PUT", path, body: value, empty: [httpStatus.conflict] });
     }
 
     watch(version: number, signal: AbortSignal): Promise<Stored | undefined> {
         const path = `${KEY_PATH}?after=${version}&waitMs=${WATCH_MS}`;
-        return this.#client.call(StoredValue, { method: "GET", path, waitMs: WATCH_MS, signal, empty: [NO_CONTENT] });
+        return this.#client.call(StoredValue, {
+            method: "GET",
+            path,
+            waitMs: WATCH_MS,
+            signal,
+            empty: [httpStatus.noContent],
+        });
     }
 
     async hosts(): Promise<StoredHost[]> {
--- a/src/store/storeclient.ts
+++ b/src/store/storeclient.ts
@@ -6,6 +6,7 @@
 import { Pool } from "undici";
 import type { z } from "zod";
 import { isConnectError } from "../hop/connecterror.js";
+import { httpStatus } from "../http/httpstatus.js";
 import type { Address } from "../ids/address.js";
 import { HistoryError } from "./historyerror.js";
 import { StoreError } from "./storeerror.js";
@@ -14,10 +15,8 @@
 const CONNECT_TIMEOUT_MS = 500;
 /** How much later than asked for the answer to a watch may come; chosen, not measured. */
 const WATCH_SLACK_MS = 1500;
-const OK = 200;
-const GONE = 410;
 /** Refusals, for rate or outage, that prove that nothing was done. */
-const REFUSALS: ReadonlySet<number> = new Set([429, 503]);
+const REFUSALS: ReadonlySet<number> = new Set([httpStatus.tooManyRequests, httpStatus.serviceUnavailable]);
 
 /** `timeoutMs` bounds each call but watches; `counted` is told the bytes of each call that was answered. */
 type ClientOptions = {
@@ -77,10 +76,10 @@
         if (call.empty?.includes(status)) {
             return undefined;
         }
-        if (status === GONE) {
+        if (status === httpStatus.gone) {
             throw new HistoryError();
         }
-        if (status !== OK) {
+        if (status !== httpStatus.ok) {
             throw new StoreError(!REFUSALS.has(status), `the store answered ${status}`);
         }
         return text;
