--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -127,7 +127,8 @@
         })),
     await measureSlope("finding a rule, by upstream (0.3 rules each)", "us", COUNTS, count => {
         const document = makeDocument(count);
-        return microseconds(2000, () => findRuling(document, "GET", "any", "/service-0/get/1?x", true));
+        const target = { method: "GET", host: "any", path: "/service-0/get/1?x" };
+        return microseconds(2000, () => findRuling(document, target, true, 0));
     }),
     await measureSlope(
         "neighbour in memory, no connection",
--- a/src/config/findruling.ts
+++ b/src/config/findruling.ts
@@ -3,18 +3,17 @@
 import type { Document } from "./document.js";
 import { drawService } from "./drawservice.js";
 import { matchRule } from "./matchrule.js";
+import type { RequestTarget } from "./requesttarget.js";
 import type { Ruling } from "./ruling.js";
 
-/** Undefined when no rule matches; `path` may have a query, `draw` from 0 up to 1 chooses the part of a split. */
+/** Undefined when no rule matches; `draw` from 0 up to 1 chooses the part of a split. */
 export function findRuling(
     document: Document,
-    method: string,
-    host: string | undefined,
-    path: string,
+    target: RequestTarget,
     fresh: boolean,
-    draw = 0,
+    draw: number,
 ): Ruling | undefined {
-    const rule = matchRule(document.rules, method, host ?? "", path.split("?", 1)[0]!);
+    const rule = matchRule(document.rules, target);
     if (rule === undefined) {
         return undefined;
     }
@@ -23,5 +22,5 @@
     if (service === undefined) {
         return undefined;
     }
-    return { rule, service, kind: decideKind(rule, method, fresh) };
+    return { rule, service, kind: decideKind(rule, target.method, fresh) };
 }
--- a/src/config/matchrule.ts
+++ b/src/config/matchrule.ts
@@ -1,8 +1,11 @@
 /** Finds the rule for a request. */
+import type { RequestTarget } from "./requesttarget.js";
 import type { Rule } from "./rule.js";
 
 const withoutPort = (host: string): string => host.replace(/:\d+$/, "").toLowerCase();
 
+const withoutQuery = (path: string): string => path.split("?", 1)[0]!;
+
 const underPrefix = (path: string, prefix: string): boolean => {
     if (!path.startsWith(prefix)) {
         return false;
@@ -24,11 +27,13 @@
 };
 
 /** The most exact rule that matches: a named host first, then the longest prefix, a named method, the name's order. */
-export function matchRule(rules: readonly Rule[], method: string, host: string, path: string): Rule | undefined {
-    const bare = withoutPort(host);
+export function matchRule(rules: readonly Rule[], target: RequestTarget): Rule | undefined {
+    const { method } = target;
+    const host = withoutPort(target.host ?? "");
+    const path = withoutQuery(target.path);
     let best: Rule | undefined;
     for (const rule of rules) {
-        if (matches(rule, method, bare, path) && (best === undefined || isBetter(rule, best))) {
+        if (matches(rule, method, host, path) && (best === undefined || isBetter(rule, best))) {
             best = rule;
         }
     }
--- a/src/control/control.test.ts
+++ b/src/control/control.test.ts
@@ -68,7 +68,7 @@
     ].map(rule => parse(Rule, { ...rule, service: "s" }));
     const document = { ...emptyDocument, services: [parse(Service, { name: "s" })], rules };
     const find = (method: string, host: string, path: string): string | undefined =>
-        findRuling(document, method, host, path, true)?.rule.name;
+        findRuling(document, { method, host, path }, true, 0)?.rule.name;
     assert.equal(find("GET", "x", "/a/b/c?q"), "long");
     assert.equal(find("POST", "x", "/a/b"), "post");
     assert.equal(find("GET", "x", "/a/bc"), "all");
--- a/src/daemon/assembly.ts
+++ b/src/daemon/assembly.ts
@@ -153,13 +153,12 @@
             service: this.#makePeerFace(),
             gate: name => this.gates.find(name),
             catchUp,
-            find: (method, host, path) => rulings.find(method, host, path),
+            find: target => rulings.find(target),
             isStale: (head, ruling) => rulings.isStale(head, ruling),
             heardFrom: sender => this.sharing.reporter.heardFrom(sender as Address),
         });
         this.ingress = new Ingress(limits, {
-            document: () => this.keeper.document,
-            fresh: () => this.keeper.fresh(clock()),
+            find: (target, draw) => rulings.find(target, draw),
             contexts: this.#contexts,
             callerService: settings.callerService,
         }, {
--- a/src/daemon/rulings.ts
+++ b/src/daemon/rulings.ts
@@ -1,5 +1,6 @@
 /** What the configuration in force says of requests that are under way. */
 import { findRuling } from "../config/findruling.js";
+import type { RequestTarget } from "../config/requesttarget.js";
 import type { Ruling } from "../config/ruling.js";
 import type { Keeper } from "../control/keeper.js";
 import type { CallHead } from "../hop/callhead.js";
@@ -13,7 +14,8 @@
 
     /** The plan by the rules as they are now; the plan itself when none matches. */
     replan(out: Outgoing, plan: Plan): Plan {
-        return { ...plan, ...this.find(out.method, out.headers["host"] as string | undefined, out.path) };
+        const { method, path, headers } = out;
+        return { ...plan, ...this.find({ method, host: headers["host"] as string | undefined, path }) };
     }
 
     /** True when the sender's older rules let a request repeat that the rules here do not. */
@@ -21,8 +23,8 @@
         return head.revision < this.keeper.revision && head.kind === "repeatable" && ruling?.kind === "once";
     }
 
-    /** What the rules here say of a request; undefined when none matches. */
-    find(method: string, host: string | undefined, path: string): Ruling | undefined {
-        return findRuling(this.keeper.document, method, host, path, this.keeper.fresh(this.clock()));
+    /** What the rules here say of a request; undefined when none matches. `draw` chooses the part of a split. */
+    find(target: RequestTarget, draw = 0): Ruling | undefined {
+        return findRuling(this.keeper.document, target, this.keeper.fresh(this.clock()), draw);
     }
 }
--- a/src/ingress/ingress.ts
+++ b/src/ingress/ingress.ts
@@ -1,8 +1,8 @@
 /** The listener for callers. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { CallerLimits } from "../config/callerlimits.js";
-import type { Document } from "../config/document.js";
-import { findRuling } from "../config/findruling.js";
+import type { RequestTarget } from "../config/requesttarget.js";
+import type { Ruling } from "../config/ruling.js";
 import type { Contexts } from "../gate/contexts.js";
 import { cleanHeaders } from "../hop/cleanheaders.js";
 import type { HttpHeaders } from "../hop/httpheaders.js";
@@ -40,8 +40,8 @@
 
 /** What the listener needs besides the exchanges' parts. */
 type IngressSource = {
-    readonly document: () => Document;
-    readonly fresh: () => boolean;
+    /** What the configuration says of a request; undefined when no rule matches. */
+    readonly find: (target: RequestTarget, draw: number) => Ruling | undefined;
     readonly contexts: Contexts;
     /** The service on this host, in whose name all requests that begin here go out; undefined for none. */
     readonly callerService: ServiceName | undefined;
@@ -158,17 +158,16 @@
     }
 
     #plan(req: IncomingMessage, res: ServerResponse, path: string, now: number): Plan | undefined {
-        const document = this.source.document();
-        if (document.revision === 0) {
+        const revision = this.parts.revision();
+        if (revision === 0) {
             logger.failure(this.#idOf(req), "No configuration is known yet.", {});
             this.#refuse(res, "not-ready", "", RETRY_SOON_MS);
             return undefined;
         }
-        const method = req.method ?? "GET";
-        const ruling = findRuling(document, method, req.headers.host, path, this.source.fresh(), this.parts.random());
+        const { method = "GET", headers: { host } } = req;
+        const ruling = this.source.find({ method, host, path }, this.parts.random());
         if (ruling === undefined) {
-            const { host } = req.headers;
-            logger.failure(this.#idOf(req), "No rule matches.", { host, path, revision: document.revision });
+            logger.failure(this.#idOf(req), "No rule matches.", { host, path, revision });
             this.#refuse(res, "no-rule", `${method} ${path}`);
             return undefined;
         }
--- a/src/operator/explain.ts
+++ b/src/operator/explain.ts
@@ -32,11 +32,10 @@
     document: Document,
     fresh: boolean,
     neighbours: Neighbours,
-    method: string,
-    url: URL,
+    { method, url }: { readonly method: string; readonly url: URL; },
     now: number,
 ): Explanation {
-    const rule = matchRule(document.rules, method, url.host, url.pathname);
+    const rule = matchRule(document.rules, { method, host: url.host, path: url.pathname });
     if (rule === undefined) {
         return { rule, kind: undefined, kindReason: "no rule matches", candidates: [] };
     }
--- a/src/operator/operatorface.ts
+++ b/src/operator/operatorface.ts
@@ -47,6 +47,6 @@
     }
 
     explain(method: string, url: URL): Explanation {
-        return explain(this.document, this.fresh, this.parts.neighbours, method, url, this.parts.clock());
+        return explain(this.document, this.fresh, this.parts.neighbours, { method, url }, this.parts.clock());
     }
 }
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -3,6 +3,7 @@
 import { timingSafeEqual } from "node:crypto";
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
+import type { RequestTarget } from "../config/requesttarget.js";
 import type { Ruling } from "../config/ruling.js";
 import type { Gate } from "../gate/gate.js";
 import type { GateIdentity } from "../gate/gateidentity.js";
@@ -41,7 +42,7 @@
     /** Pulls a newer configuration before the gate decides. */
     readonly catchUp: (revision: number, from: string | undefined) => Promise<void>;
     /** What the rules here say of a request. */
-    readonly find: (method: string, host: string | undefined, path: string) => Ruling | undefined;
+    readonly find: (target: RequestTarget) => Ruling | undefined;
     /** True when the sender's older rules let a request repeat that the newer ones do not. */
     readonly isStale: (head: CallHead, ruling: Ruling | undefined) => boolean;
     /** Takes in that a peer sends work here, so that it is told of load. */
@@ -156,7 +157,7 @@
             throw new HopError("not-run", "no-such-upstream");
         }
         const host = Array.isArray(headers.host) ? headers.host[0] : headers.host;
-        const ruling = this.parts.find(method, host, path);
+        const ruling = this.parts.find({ method, host, path });
         if (this.parts.isStale(head, ruling)) {
             throw new HopError("not-run", "stale-rule");
         }
