--- a/src/ingress/bodyerror.ts
+++ b/src/ingress/bodyerror.ts
@@ -2,8 +2,8 @@
 
 /** `tooLarge` when it passes the bound, otherwise the caller broke off. */
 export class BodyError extends Error {
-    constructor(readonly tooLarge: boolean) {
-        super(tooLarge ? "body too large" : "body broke off");
+    constructor(readonly tooLarge: boolean, options?: ErrorOptions) {
+        super(tooLarge ? "body too large" : "body broke off", options);
         this.name = "BodyError";
     }
 }
--- a/src/ingress/deliver.ts
+++ b/src/ingress/deliver.ts
@@ -6,8 +6,8 @@
 import type { GateAnswer } from "../hop/gateanswer.js";
 import type { HttpHeaders } from "../hop/httpheaders.js";
 import { passBody } from "../hop/passbody.js";
+import { collect } from "../http/collect.js";
 import { httpStatus } from "../http/httpstatus.js";
-import { collect } from "./collect.js";
 
 /** Statuses whose answers have no body (RFC 9110, 6.4.1). */
 const NO_BODY: ReadonlySet<number> = new Set([httpStatus.noContent, httpStatus.notModified]);
--- a/src/ingress/requestbody.ts
+++ b/src/ingress/requestbody.ts
@@ -1,6 +1,7 @@
 /** A caller's body: kept whole when it is small, so that the request can be tried again. */
 import type { IncomingMessage } from "node:http";
 import { PassThrough, type Readable } from "node:stream";
+import { collect } from "../http/collect.js";
 import { BodyError } from "./bodyerror.js";
 
 /** `kept` is false for a body that is passed on as it comes, and then only one try can be made. */
@@ -27,46 +28,33 @@
             out.destroy(new BodyError(true));
         }
     });
-    req.on("aborted", () => out.destroy(new BodyError(false)));
+    const breakOff = (): void => void out.destroy(new BodyError(false));
     out.on("error", () => req.resume());
+    req.on("aborted", breakOff);
+    if (req.destroyed) {
+        breakOff();
+    }
     req.pipe(out);
     return { content: out, kept: false };
 };
 
 /** Reads the body up to `keepBytes`; rejects with a BodyError. */
-export function readBody(req: IncomingMessage, bounds: Bounds): Promise<RequestBody> {
+export async function readBody(req: IncomingMessage, bounds: Bounds): Promise<RequestBody> {
     if (!hasBody(req)) {
-        return Promise.resolve(NO_BODY);
+        return NO_BODY;
     }
     if (Number(req.headers["content-length"] ?? 0) > bounds.maxBytes) {
-        return Promise.reject(new BodyError(true));
+        throw new BodyError(true);
     }
-    return new Promise((resolve, reject) => {
-        const chunks: Buffer[] = [];
-        let size = 0;
-        const stop = (): void => {
-            req.removeListener("data", onData);
-            req.removeListener("end", onEnd);
-            req.removeListener("close", onClose);
-        };
-        const onData = (chunk: Buffer): void => {
-            chunks.push(chunk);
-            size += chunk.length;
-            if (size > bounds.keepBytes) {
-                stop();
-                resolve(passOn(req, chunks, bounds.maxBytes));
-            }
-        };
-        const onEnd = (): void => {
-            stop();
-            resolve({ content: Buffer.concat(chunks), kept: true });
-        };
-        const onClose = (): void => {
-            stop();
-            reject(new BodyError(false));
-        };
-        req.on("data", onData);
-        req.on("end", onEnd);
-        req.on("close", onClose);
-    });
+    const { whole, chunks } = await collectFrom(req, bounds.keepBytes);
+    return whole ? { content: Buffer.concat(chunks), kept: true } : passOn(req, chunks, bounds.maxBytes);
 }
+
+const collectFrom = async (req: IncomingMessage, bound: number): ReturnType<typeof collect> => {
+    try {
+        return await collect(req, bound);
+    }
+    catch (err) {
+        throw new BodyError(false, { cause: err });
+    }
+};
