--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -21,7 +21,7 @@
 import type { RequestId } from "../src/ids/requestid.js";
 import { Neighbour } from "../src/ingress/neighbour.js";
 import { Ledger } from "../src/ledger/ledger.js";
-import { ExpectedTime } from "../src/policy/expectedtime.js";
+import { ExpectedTime } from "../src/policy/placement/expectedtime.js";
 import { makeDocument } from "./makedocument.js";
 import { measureSlope } from "./measureslope.js";
 import { pathMesh } from "./pathmesh.js";
--- a/src/control/otherhalls.ts
+++ b/src/control/otherhalls.ts
@@ -2,8 +2,8 @@
 import type { Document } from "../config/document.js";
 import type { Address } from "../ids/address.js";
 import type { HallName } from "../ids/hallname.js";
+import { sample } from "../policy/placement/sample.js";
 import type { RandomSource } from "../policy/randomsource.js";
-import { sample } from "../policy/sample.js";
 import { hallMembers } from "./hallmembers.js";
 
 /** One gate, at random, of each hall but `hall`. */
--- a/src/control/relief.ts
+++ b/src/control/relief.ts
@@ -9,8 +9,8 @@
 import type { Gate } from "../gate/gate.js";
 import type { Address } from "../ids/address.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
+import { sample } from "../policy/placement/sample.js";
 import type { RandomSource } from "../policy/randomsource.js";
-import { sample } from "../policy/sample.js";
 import type { Clock } from "../time/clock.js";
 import type { Message } from "./message.js";
 
--- a/src/control/reporter.ts
+++ b/src/control/reporter.ts
@@ -1,7 +1,7 @@
 /** Tells recent senders when an upstream's speed has changed much, since reports else ride on answers only. */
 import type { Gate } from "../gate/gate.js";
 import type { Address } from "../ids/address.js";
-import type { LoadReport } from "../policy/loadreport.js";
+import type { LoadReport } from "../policy/placement/loadreport.js";
 import type { Clock } from "../time/clock.js";
 import type { Message } from "./message.js";
 
--- a/src/daemon/assembly.ts
+++ b/src/daemon/assembly.ts
@@ -26,7 +26,7 @@
 import { OperatorServer } from "../operator/operatorserver.js";
 import { PeerClient } from "../peer/peerclient.js";
 import { PeerServer } from "../peer/peerserver.js";
-import { ServiceRetries } from "../policy/serviceretries.js";
+import { ServiceRetries } from "../policy/retry/serviceretries.js";
 import type { Member } from "../roster/member.js";
 import { processClock as clock } from "../time/processclock.js";
 import { sleep } from "../time/sleep.js";
--- a/src/daemon/makeplacement.ts
+++ b/src/daemon/makeplacement.ts
@@ -1,10 +1,10 @@
 /** From the settings to a policy. */
-import { ExpectedTime } from "../policy/expectedtime.js";
-import { LeastOutstanding } from "../policy/leastoutstanding.js";
-import type { Placement } from "../policy/placement.js";
-import { RandomPlacement } from "../policy/randomplacement.js";
-import { RoundRobin } from "../policy/roundrobin.js";
-import { TwoChoices } from "../policy/twochoices.js";
+import { ExpectedTime } from "../policy/placement/expectedtime.js";
+import { LeastOutstanding } from "../policy/placement/leastoutstanding.js";
+import type { Placement } from "../policy/placement/placement.js";
+import { RandomPlacement } from "../policy/placement/randomplacement.js";
+import { RoundRobin } from "../policy/placement/roundrobin.js";
+import { TwoChoices } from "../policy/placement/twochoices.js";
 import type { Settings } from "./settings.js";
 
 /** Makes the placement that the settings name. */
--- a/src/gate/entrance.ts
+++ b/src/gate/entrance.ts
@@ -2,7 +2,7 @@
 import type { AnswerNote } from "../hop/answernote.js";
 import type { HopError } from "../hop/hoperror.js";
 import type { Ledger } from "../ledger/ledger.js";
-import type { Admission } from "../policy/admission.js";
+import type { Admission } from "../policy/admission/admission.js";
 import type { Clock } from "../time/clock.js";
 import { Offers } from "./offers.js";
 import type { Ticket } from "./ticket.js";
--- a/src/gate/gatelog.ts
+++ b/src/gate/gatelog.ts
@@ -2,7 +2,7 @@
 import { HopError } from "../hop/hoperror.js";
 import type { Vocabulary } from "../hop/vocabulary.js";
 import { log } from "../log/log.js";
-import type { LoadReport } from "../policy/loadreport.js";
+import type { LoadReport } from "../policy/placement/loadreport.js";
 import type { Ticket } from "./ticket.js";
 
 const logger = log("gate");
--- a/src/gate/gateparts.ts
+++ b/src/gate/gateparts.ts
@@ -2,7 +2,7 @@
 import type { Vocabulary } from "../hop/vocabulary.js";
 import type { ServiceName } from "../ids/servicename.js";
 import type { Ledger } from "../ledger/ledger.js";
-import type { LimitName } from "../policy/limitname.js";
+import type { LimitName } from "../policy/admission/limitname.js";
 import type { Clock } from "../time/clock.js";
 import type { Contexts } from "./contexts.js";
 import type { GateIdentity } from "./gateidentity.js";
--- a/src/gate/offers.ts
+++ b/src/gate/offers.ts
@@ -1,5 +1,5 @@
 /** Slots that a gate keeps for requests that a sibling hands back. */
-import type { Admission } from "../policy/admission.js";
+import type { Admission } from "../policy/admission/admission.js";
 import type { Ticket } from "./ticket.js";
 
 /** Each offer holds one slot until it is used or withdrawn. */
--- a/src/gate/pacewatch.ts
+++ b/src/gate/pacewatch.ts
@@ -1,6 +1,6 @@
 /** Knows how fast the upstream works, and asks it when its last word is too old. */
 import { log } from "../log/log.js";
-import { Pace } from "../policy/pace.js";
+import { Pace } from "../policy/failure/pace.js";
 import type { Clock } from "../time/clock.js";
 
 const logger = log("gate");
--- a/src/gate/ticket.ts
+++ b/src/gate/ticket.ts
@@ -5,7 +5,7 @@
 import { HopError } from "../hop/hoperror.js";
 import type { RuleName } from "../ids/rulename.js";
 import type { TenantName } from "../ids/tenantname.js";
-import type { Waiting } from "../policy/waiting.js";
+import type { Waiting } from "../policy/admission/waiting.js";
 import type { GateIdentity } from "./gateidentity.js";
 
 /** A `once` call must name this life of the gate and carry its clock; `deadline` is on that clock. */
--- a/src/hop/loadreportschema.ts
+++ b/src/hop/loadreportschema.ts
@@ -1,6 +1,6 @@
 /** Checks a load report that comes from a peer. */
 import { z } from "zod";
-import type { LoadReport } from "../policy/loadreport.js";
+import type { LoadReport } from "../policy/placement/loadreport.js";
 
 /** As in policy/loadreport.ts, which knows nothing of schemas. */
 export const loadReportSchema: z.ZodType<LoadReport> = z.object({
--- a/src/ingress/attemptresult.ts
+++ b/src/ingress/attemptresult.ts
@@ -1,6 +1,6 @@
 /** What has become of one try, as the exchange must act on it. */
 import type { GateAnswer } from "../hop/gateanswer.js";
-import type { Outcome } from "../policy/outcome.js";
+import type { Outcome } from "../policy/retry/outcome.js";
 
 /** `answer` is the upstream's own, also when it says that the request failed there. */
 type AttemptOutcome = Outcome | "served";
--- a/src/ingress/neighbour.ts
+++ b/src/ingress/neighbour.ts
@@ -4,9 +4,9 @@
 import type { Cancel } from "../hop/cancel.js";
 import type { Hop } from "../hop/hop.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
-import type { Candidate } from "../policy/candidate.js";
-import type { LoadReport } from "../policy/loadreport.js";
-import { Suspicion } from "../policy/suspicion.js";
+import { Suspicion } from "../policy/failure/suspicion.js";
+import type { Candidate } from "../policy/placement/candidate.js";
+import type { LoadReport } from "../policy/placement/loadreport.js";
 
 const START_ROUND_TRIP_MS = 1;
 const ROUND_TRIP_WEIGHT = 0.1;
--- a/src/ingress/tryrecord.ts
+++ b/src/ingress/tryrecord.ts
@@ -1,7 +1,7 @@
 /** What has become of a request's tries so far, and whether another follows. */
 import { log } from "../log/log.js";
-import { decideRetry } from "../policy/decideretry.js";
-import type { RetryBudget } from "../policy/retrybudget.js";
+import { decideRetry } from "../policy/retry/decideretry.js";
+import type { RetryBudget } from "../policy/retry/retrybudget.js";
 import type { AttemptResult } from "./attemptresult.js";
 import type { Neighbour } from "./neighbour.js";
 import type { Outgoing } from "./outgoing.js";
--- a/src/operator/explain.ts
+++ b/src/operator/explain.ts
@@ -5,7 +5,7 @@
 import type { Rule } from "../config/rule.js";
 import type { Neighbour } from "../ingress/neighbour.js";
 import type { Neighbours } from "../ingress/neighbours.js";
-import { ExpectedTime } from "../policy/expectedtime.js";
+import { ExpectedTime } from "../policy/placement/expectedtime.js";
 import type { Explanation } from "./explanation.js";
 
 const expected = new ExpectedTime();
--- a/src/policy/admission.test.ts
+++ b/src/policy/admission/admission.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Priority } from "../config/priority.js";
-import type { TenantName } from "../ids/tenantname.js";
+import type { Priority } from "../../config/priority.js";
+import type { TenantName } from "../../ids/tenantname.js";
 import { Admission } from "./admission.js";
 import { FixedLimit } from "./fixedlimit.js";
 import { RuleTimes } from "./ruletimes.js";
--- a/src/policy/admission.ts
+++ b/src/policy/admission/admission.ts
@@ -1,6 +1,6 @@
 /** The gate's decision: its counts are exact, so what an ingress only guessed is decided here. */
-import type { RuleName } from "../ids/rulename.js";
-import type { LoadReport } from "./loadreport.js";
+import type { RuleName } from "../../ids/rulename.js";
+import type { LoadReport } from "../placement/loadreport.js";
 import type { Refusal } from "./refusal.js";
 import type { RuleTimes } from "./ruletimes.js";
 import type { SlotLimit } from "./slotlimit.js";
--- a/src/policy/ruletimes.ts
+++ b/src/policy/admission/ruletimes.ts
@@ -1,5 +1,5 @@
 /** How long the requests of each rule take at one upstream. */
-import type { RuleName } from "../ids/rulename.js";
+import type { RuleName } from "../../ids/rulename.js";
 import { LongMean } from "./longmean.js";
 import { ServiceTimes } from "./servicetimes.js";
 
--- a/src/policy/waiting.ts
+++ b/src/policy/admission/waiting.ts
@@ -1,7 +1,7 @@
 /** A request at a gate, as admission sees it. */
-import type { Priority } from "../config/priority.js";
-import type { RuleName } from "../ids/rulename.js";
-import type { TenantName } from "../ids/tenantname.js";
+import type { Priority } from "../../config/priority.js";
+import type { RuleName } from "../../ids/rulename.js";
+import type { TenantName } from "../../ids/tenantname.js";
 
 /** `deadline` is on the gate's clock, in milliseconds. */
 export type Waiting = {
--- a/src/policy/waitqueue.ts
+++ b/src/policy/admission/waitqueue.ts
@@ -1,6 +1,6 @@
 /** What waits at a gate: urgent first, none starved, fair between tenants. */
-import type { Priority } from "../config/priority.js";
-import type { TenantName } from "../ids/tenantname.js";
+import type { Priority } from "../../config/priority.js";
+import type { TenantName } from "../../ids/tenantname.js";
 import { FairQueue } from "./fairqueue.js";
 import type { Waiting } from "./waiting.js";
 
--- a/src/policy/decisions.test.ts
+++ b/src/policy/decisions.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { UpstreamName } from "../ids/upstreamname.js";
-import type { Candidate } from "./candidate.js";
-import { decideRetry } from "./decideretry.js";
-import { ExpectedTime } from "./expectedtime.js";
-import { Hedging } from "./hedging.js";
-import { RampLimit } from "./ramplimit.js";
-import { RetryBudget } from "./retrybudget.js";
+import { RampLimit } from "./admission/ramplimit.js";
+import type { Candidate } from "./placement/candidate.js";
+import { ExpectedTime } from "./placement/expectedtime.js";
+import { decideRetry } from "./retry/decideretry.js";
+import { Hedging } from "./retry/hedging.js";
+import { RetryBudget } from "./retry/retrybudget.js";
 import { TokenBucket } from "./tokenbucket.js";
 
 const candidate = (name: string, more: Partial<Candidate> = {}): Candidate => ({
--- a/src/policy/candidate.ts
+++ b/src/policy/placement/candidate.ts
@@ -1,5 +1,5 @@
 /** What an ingress knows of an upstream when it places a request. */
-import type { UpstreamName } from "../ids/upstreamname.js";
+import type { UpstreamName } from "../../ids/upstreamname.js";
 import type { LoadReport } from "./loadreport.js";
 
 /** Times in milliseconds; `reportAt` is on the ingress's own clock. */
--- a/src/policy/expectedtime.ts
+++ b/src/policy/placement/expectedtime.ts
@@ -5,9 +5,9 @@
  * only, and a report fades in a few milliseconds, since a herd of ingresses that all believe the same stale report
  * is worse than none. How slow the upstream is changes less fast, so that part of a report fades later.
  */
+import type { RandomSource } from "../randomsource.js";
 import type { Candidate } from "./candidate.js";
 import { Placement } from "./placement.js";
-import type { RandomSource } from "./randomsource.js";
 import { sample } from "./sample.js";
 
 /** What an operator's profile may set; times in milliseconds. */
--- a/src/policy/leastoutstanding.ts
+++ b/src/policy/placement/leastoutstanding.ts
@@ -1,7 +1,7 @@
 /** A baseline: the upstream with the fewest own requests outstanding. */
+import type { RandomSource } from "../randomsource.js";
 import type { Candidate } from "./candidate.js";
 import { Placement } from "./placement.js";
-import type { RandomSource } from "./randomsource.js";
 
 /** Chooses the least own outstanding, at random among equals. */
 export class LeastOutstanding extends Placement {
--- a/src/policy/placement.ts
+++ b/src/policy/placement/placement.ts
@@ -1,6 +1,6 @@
 /** How an ingress chooses an upstream. */
+import type { RandomSource } from "../randomsource.js";
 import type { Candidate } from "./candidate.js";
-import type { RandomSource } from "./randomsource.js";
 
 /** A policy of placement; holds no more than its own counters. */
 export abstract class Placement {
--- a/src/policy/randomplacement.ts
+++ b/src/policy/placement/randomplacement.ts
@@ -1,7 +1,7 @@
 /** A baseline: any upstream. */
+import type { RandomSource } from "../randomsource.js";
 import type { Candidate } from "./candidate.js";
 import { Placement } from "./placement.js";
-import type { RandomSource } from "./randomsource.js";
 
 /** Chooses at random. */
 export class RandomPlacement extends Placement {
--- a/src/policy/sample.ts
+++ b/src/policy/placement/sample.ts
@@ -1,5 +1,5 @@
 /** Draws a few of many. */
-import type { RandomSource } from "./randomsource.js";
+import type { RandomSource } from "../randomsource.js";
 
 /** Draws `count` different items, all of them when there are no more. */
 export function sample<Item>(items: readonly Item[], count: number, random: RandomSource): Item[] {
--- a/src/policy/twochoices.ts
+++ b/src/policy/placement/twochoices.ts
@@ -1,8 +1,8 @@
 /** A baseline: the power of two random choices on reported load (Mitzenmacher 2001). */
+import type { RandomSource } from "../randomsource.js";
 import type { Candidate } from "./candidate.js";
 import { lowest } from "./lowest.js";
 import { Placement } from "./placement.js";
-import type { RandomSource } from "./randomsource.js";
 import { sample } from "./sample.js";
 
 const CHOICES = 2;
--- a/src/policy/decideretry.ts
+++ b/src/policy/retry/decideretry.ts
@@ -1,5 +1,5 @@
 /** Whether a request whose try has come to nothing is tried again. */
-import type { Kind } from "../config/kind.js";
+import type { Kind } from "../../config/kind.js";
 import type { Outcome } from "./outcome.js";
 import type { RetryBudget } from "./retrybudget.js";
 
--- a/src/policy/serviceretries.ts
+++ b/src/policy/retry/serviceretries.ts
@@ -1,5 +1,5 @@
 /** What one daemon holds of all services for tries after the first. */
-import type { ServiceName } from "../ids/servicename.js";
+import type { ServiceName } from "../../ids/servicename.js";
 import { Hedging } from "./hedging.js";
 import type { Retries } from "./retries.js";
 import { RetryBudget } from "./retrybudget.js";
--- a/src/roster/gossip.ts
+++ b/src/roster/gossip.ts
@@ -7,8 +7,8 @@
 import type { Message } from "../control/message.js";
 import type { Address } from "../ids/address.js";
 import { log } from "../log/log.js";
+import { sample } from "../policy/placement/sample.js";
 import type { RandomSource } from "../policy/randomsource.js";
-import { sample } from "../policy/sample.js";
 import type { Clock } from "../time/clock.js";
 import { Ticker } from "../time/ticker.js";
 import type { Member } from "./member.js";
