--- a/src/control/message.ts
+++ b/src/control/message.ts
@@ -1,12 +1,12 @@
 /** Small datagrams between daemons. */
 import { z } from "zod";
-import { loadReportSchema } from "../hop/loadreportschema.js";
 import { Address } from "../ids/address.js";
 import { HostName } from "../ids/hostname.js";
 import { Incarnation } from "../ids/incarnation.js";
 import { ServiceName } from "../ids/servicename.js";
 import { UpstreamName } from "../ids/upstreamname.js";
 import { Member } from "../roster/member.js";
+import { loadReportSchema } from "../wire/loadreportschema.js";
 
 const MAX_ITEMS = 64;
 
--- a/src/control/pinger.test.ts
+++ b/src/control/pinger.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Upstream } from "../config/upstream.js";
-import { Cancel } from "../hop/cancel.js";
+import { Cancel } from "../http/cancel.js";
 import type { Address } from "../ids/address.js";
 import { Neighbours } from "../ingress/neighbours.js";
 import type { Message } from "./message.js";
--- a/src/daemon/ownsurroundings.ts
+++ b/src/daemon/ownsurroundings.ts
@@ -1,5 +1,5 @@
 /** Winglock by itself: its own header fields, and a store as docs/DESIGN.md describes it. */
-import { OwnVocabulary } from "../hop/ownvocabulary.js";
+import { OwnVocabulary } from "../dialect/ownvocabulary.js";
 import { splitAddress } from "../ids/splitaddress.js";
 import type { Metrics } from "../metrics/metrics.js";
 import { HttpStore } from "../store/httpstore.js";
--- a/src/daemon/rosterparts.ts
+++ b/src/daemon/rosterparts.ts
@@ -4,7 +4,7 @@
 import type { Message } from "../control/message.js";
 import type { Puller } from "../control/puller.js";
 import type { StoreWatcher } from "../control/storewatcher.js";
-import type { Vocabulary } from "../hop/vocabulary.js";
+import type { Vocabulary } from "../dialect/vocabulary.js";
 import type { Address } from "../ids/address.js";
 import type { Incarnation } from "../ids/incarnation.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
--- a/src/daemon/rulings.ts
+++ b/src/daemon/rulings.ts
@@ -3,10 +3,10 @@
 import type { RequestTarget } from "../config/requesttarget.js";
 import type { Ruling } from "../config/ruling.js";
 import type { Keeper } from "../control/keeper.js";
-import type { CallHead } from "../hop/callhead.js";
 import type { Outgoing } from "../ingress/outgoing.js";
 import type { Plan } from "../ingress/plan.js";
 import type { Clock } from "../time/clock.js";
+import type { CallHead } from "../wire/callhead.js";
 
 /** Looks rules up again when one side has newer ones than the other. */
 export class Rulings {
--- a/src/daemon/surroundings.ts
+++ b/src/daemon/surroundings.ts
@@ -1,5 +1,5 @@
 /** What differs with where a daemon runs: how it speaks with callers, upstreams and the store. */
-import type { Vocabulary } from "../hop/vocabulary.js";
+import type { Vocabulary } from "../dialect/vocabulary.js";
 import type { Registry } from "../roster/registry.js";
 import type { Store } from "../store/store.js";
 
--- a/src/hop/ownvocabulary.ts
+++ b/src/dialect/ownvocabulary.ts
@@ -1,7 +1,7 @@
 /** Winglock's own names, for callers and upstreams that know winglock. */
+import type { HttpHeaders } from "../http/httpheaders.js";
 import { httpStatus } from "../http/httpstatus.js";
 import { headerName } from "./headername.js";
-import type { HttpHeaders } from "./httpheaders.js";
 import { Vocabulary } from "./vocabulary.js";
 
 const MS_PER_SECOND = 1000;
--- a/src/hop/vocabulary.ts
+++ b/src/dialect/vocabulary.ts
@@ -1,5 +1,5 @@
 /** How callers and upstreams spell what concerns winglock: names of header fields, and how their values are read. */
-import type { HttpHeaders } from "./httpheaders.js";
+import type { HttpHeaders } from "../http/httpheaders.js";
 import { readLoad } from "./readload.js";
 import type { UpstreamLoad } from "./upstreamload.js";
 
--- a/src/gate/entrance.ts
+++ b/src/gate/entrance.ts
@@ -1,9 +1,9 @@
 /** The way into one gate's slots: who runs, who waits, and what becomes of those whose turn never comes. */
-import type { AnswerNote } from "../hop/answernote.js";
 import type { HopError } from "../hop/hoperror.js";
 import type { Ledger } from "../ledger/ledger.js";
 import type { Admission } from "../policy/admission/admission.js";
 import type { Clock } from "../time/clock.js";
+import type { AnswerNote } from "../wire/answernote.js";
 import { Offers } from "./offers.js";
 import type { Ticket } from "./ticket.js";
 
--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -5,7 +5,6 @@
  * `not-run` exactly when the ledger or the upstream proves it.
  */
 import type { Upstream } from "../config/upstream.js";
-import type { AnswerNote } from "../hop/answernote.js";
 import type { GateAnswer } from "../hop/gateanswer.js";
 import type { GateCall } from "../hop/gatecall.js";
 import { HopError } from "../hop/hoperror.js";
@@ -14,6 +13,7 @@
 import { makeLimit } from "../policy/admission/makelimit.js";
 import { RuleTimes } from "../policy/admission/ruletimes.js";
 import type { LoadReport } from "../policy/placement/loadreport.js";
+import type { AnswerNote } from "../wire/answernote.js";
 import { Entrance } from "./entrance.js";
 import { GateLog } from "./gatelog.js";
 import type { GateParts } from "./gateparts.js";
--- a/src/gate/gateidentity.ts
+++ b/src/gate/gateidentity.ts
@@ -1,6 +1,6 @@
 /** Who a daemon is to its peers. */
-import type { AnswerNote } from "../hop/answernote.js";
 import type { Incarnation } from "../ids/incarnation.js";
+import type { AnswerNote } from "../wire/answernote.js";
 
 /** This life's id, and the parts of a note that are the same for all gates of the daemon. */
 export class GateIdentity {
--- a/src/gate/gatelog.ts
+++ b/src/gate/gatelog.ts
@@ -1,6 +1,6 @@
 /** What a gate logs of requests; the same id stands in the ingress's lines. */
+import type { Vocabulary } from "../dialect/vocabulary.js";
 import { HopError } from "../hop/hoperror.js";
-import type { Vocabulary } from "../hop/vocabulary.js";
 import { log } from "../log/log.js";
 import type { LoadReport } from "../policy/placement/loadreport.js";
 import type { Ticket } from "./ticket.js";
--- a/src/gate/gateparts.ts
+++ b/src/gate/gateparts.ts
@@ -1,5 +1,5 @@
 /** What a gate shares with the rest of its daemon. */
-import type { Vocabulary } from "../hop/vocabulary.js";
+import type { Vocabulary } from "../dialect/vocabulary.js";
 import type { ServiceName } from "../ids/servicename.js";
 import type { Ledger } from "../ledger/ledger.js";
 import type { LimitName } from "../policy/admission/limitname.js";
--- a/src/gate/ticket.ts
+++ b/src/gate/ticket.ts
@@ -1,8 +1,8 @@
 /** One call at a gate, from arrival to its end. */
 import type { Priority } from "../config/priority.js";
-import type { Cancel } from "../hop/cancel.js";
 import type { GateCall } from "../hop/gatecall.js";
 import { HopError } from "../hop/hoperror.js";
+import type { Cancel } from "../http/cancel.js";
 import type { RuleName } from "../ids/rulename.js";
 import type { TenantName } from "../ids/tenantname.js";
 import type { Waiting } from "../policy/admission/waiting.js";
--- a/src/gate/upstreamclient.ts
+++ b/src/gate/upstreamclient.ts
@@ -1,13 +1,13 @@
 /** The one client of an upstream: HTTP/1.1 with no retries and no pipelining. */
 import type { Readable } from "node:stream";
 import type { Upstream } from "../config/upstream.js";
-import type { Cancel } from "../hop/cancel.js";
-import { isConnectError } from "../hop/connecterror.js";
+import type { UpstreamLoad } from "../dialect/upstreamload.js";
+import type { Vocabulary } from "../dialect/vocabulary.js";
 import type { GateCall } from "../hop/gatecall.js";
-import { guardBody } from "../hop/guardbody.js";
-import type { HttpHeaders } from "../hop/httpheaders.js";
-import type { UpstreamLoad } from "../hop/upstreamload.js";
-import type { Vocabulary } from "../hop/vocabulary.js";
+import type { Cancel } from "../http/cancel.js";
+import { isConnectError } from "../http/connecterror.js";
+import { guardBody } from "../http/guardbody.js";
+import type { HttpHeaders } from "../http/httpheaders.js";
 import { UpstreamConnection } from "./upstreamconnection.js";
 import { UpstreamError } from "./upstreamerror.js";
 
--- a/src/gate/upstreamrun.ts
+++ b/src/gate/upstreamrun.ts
@@ -1,10 +1,10 @@
 /** One request at the upstream, from its start to the end of its answer. */
 import { PassThrough, type Readable } from "node:stream";
-import { Cancel } from "../hop/cancel.js";
-import { cleanHeaders } from "../hop/cleanheaders.js";
+import type { Vocabulary } from "../dialect/vocabulary.js";
 import type { GateAnswer } from "../hop/gateanswer.js";
-import type { HttpHeaders } from "../hop/httpheaders.js";
-import type { Vocabulary } from "../hop/vocabulary.js";
+import { Cancel } from "../http/cancel.js";
+import { cleanHeaders } from "../http/cleanheaders.js";
+import type { HttpHeaders } from "../http/httpheaders.js";
 import type { Ledger } from "../ledger/ledger.js";
 import type { Clock } from "../time/clock.js";
 import type { Contexts } from "./contexts.js";
--- a/src/hop/gateanswer.ts
+++ b/src/hop/gateanswer.ts
@@ -1,7 +1,7 @@
 /** An upstream's answer on its way from gate to ingress. */
 import type { Readable } from "node:stream";
-import type { AnswerNote } from "./answernote.js";
-import type { HttpHeaders } from "./httpheaders.js";
+import type { HttpHeaders } from "../http/httpheaders.js";
+import type { AnswerNote } from "../wire/answernote.js";
 
 /** The body is at hand, or a stream that errors when the upstream's answer breaks off. */
 export type GateAnswer = {
--- a/src/hop/gatecall.ts
+++ b/src/hop/gatecall.ts
@@ -1,9 +1,9 @@
 /** A request on its way from ingress to gate. */
 import type { Readable } from "node:stream";
+import type { Cancel } from "../http/cancel.js";
+import type { HttpHeaders } from "../http/httpheaders.js";
 import type { RuleName } from "../ids/rulename.js";
-import type { CallHead } from "./callhead.js";
-import type { Cancel } from "./cancel.js";
-import type { HttpHeaders } from "./httpheaders.js";
+import type { CallHead } from "../wire/callhead.js";
 
 /** `cancel` aborts when the caller has left or the ingress has given up. */
 export type GateCall = {
--- a/src/hop/hop.ts
+++ b/src/hop/hop.ts
@@ -1,6 +1,6 @@
 /** The way from an ingress to one gate. */
 import type { RevokeResult } from "../ledger/revokeresult.js";
-import type { CallHead } from "./callhead.js";
+import type { CallHead } from "../wire/callhead.js";
 import type { GateAnswer } from "./gateanswer.js";
 import type { GateCall } from "./gatecall.js";
 
--- a/src/hop/hoperror.ts
+++ b/src/hop/hoperror.ts
@@ -1,5 +1,5 @@
 /** The error of a hop. */
-import type { AnswerNote } from "./answernote.js";
+import type { AnswerNote } from "../wire/answernote.js";
 
 /** `not-run` is proven; `broken` means that no word came and the gate may be asked; `unknown` is final. */
 type HopOutcome = "not-run" | "unknown" | "broken";
--- a/src/hop/localhop.ts
+++ b/src/hop/localhop.ts
@@ -4,7 +4,7 @@
 import type { Ledger } from "../ledger/ledger.js";
 import type { RevokeResult } from "../ledger/revokeresult.js";
 import type { Clock } from "../time/clock.js";
-import type { CallHead } from "./callhead.js";
+import type { CallHead } from "../wire/callhead.js";
 import type { GateAnswer } from "./gateanswer.js";
 import type { GateCall } from "./gatecall.js";
 import { Hop } from "./hop.js";
--- a/src/hop/remotehop.ts
+++ b/src/hop/remotehop.ts
@@ -1,4 +1,5 @@
 /** The way to the gate of another host: one request a connection at a time, no retries. */
+import { guardBody } from "../http/guardbody.js";
 import type { Address } from "../ids/address.js";
 import type { RevokeResult } from "../ledger/revokeresult.js";
 import { emptyBuffer } from "../link/emptybuffer.js";
@@ -6,11 +7,10 @@
 import { LinkPool } from "../link/linkpool.js";
 import type { PeerClient } from "../peer/peerclient.js";
 import type { PeerOptions } from "../peer/peeroptions.js";
-import type { CallHead } from "./callhead.js";
+import type { CallHead } from "../wire/callhead.js";
 import type { GateAnswer } from "./gateanswer.js";
 import type { GateCall } from "./gatecall.js";
 import { GateClock } from "./gateclock.js";
-import { guardBody } from "./guardbody.js";
 import { Hop } from "./hop.js";
 import { HopError } from "./hoperror.js";
 
--- a/src/ingress/attempt.test.ts
+++ b/src/ingress/attempt.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Cancel } from "../hop/cancel.js";
 import { HopError } from "../hop/hoperror.js";
+import { Cancel } from "../http/cancel.js";
 import { Attempt } from "./attempt.js";
 import { Neighbour } from "./neighbour.js";
 
--- a/src/ingress/attempt.ts
+++ b/src/ingress/attempt.ts
@@ -1,12 +1,12 @@
 /** One try of a request at one upstream. */
-import { abandonBody } from "../hop/abandonbody.js";
-import type { CallHead } from "../hop/callhead.js";
-import { Cancel } from "../hop/cancel.js";
 import type { GateAnswer } from "../hop/gateanswer.js";
 import { HopError } from "../hop/hoperror.js";
+import { abandonBody } from "../http/abandonbody.js";
+import { Cancel } from "../http/cancel.js";
 import { httpStatus } from "../http/httpstatus.js";
 import type { RequestId } from "../ids/requestid.js";
 import { log } from "../log/log.js";
+import type { CallHead } from "../wire/callhead.js";
 import type { AttemptResult } from "./attemptresult.js";
 import type { IngressParts } from "./ingressparts.js";
 import { maxWaitMs } from "./maxwaitms.js";
--- a/src/ingress/deliver.ts
+++ b/src/ingress/deliver.ts
@@ -2,12 +2,12 @@
 import { once } from "node:events";
 import type { ServerResponse } from "node:http";
 import { Readable } from "node:stream";
-import { abandonBody } from "../hop/abandonbody.js";
 import type { GateAnswer } from "../hop/gateanswer.js";
-import type { HttpHeaders } from "../hop/httpheaders.js";
-import { passBody } from "../hop/passbody.js";
+import { abandonBody } from "../http/abandonbody.js";
 import { collect } from "../http/collect.js";
+import type { HttpHeaders } from "../http/httpheaders.js";
 import { httpStatus } from "../http/httpstatus.js";
+import { passBody } from "../http/passbody.js";
 
 /** Statuses whose answers have no body (RFC 9110, 6.4.1). */
 const NO_BODY: ReadonlySet<number> = new Set([httpStatus.noContent, httpStatus.notModified]);
--- a/src/ingress/exchange.ts
+++ b/src/ingress/exchange.ts
@@ -1,8 +1,8 @@
 /** One caller's request, from its plan to its answer. */
 import type { ServerResponse } from "node:http";
-import { Cancel } from "../hop/cancel.js";
-import { dropBody } from "../hop/dropbody.js";
 import type { GateAnswer } from "../hop/gateanswer.js";
+import { Cancel } from "../http/cancel.js";
+import { dropBody } from "../http/dropbody.js";
 import { log } from "../log/log.js";
 import { Attempt } from "./attempt.js";
 import type { AttemptResult } from "./attemptresult.js";
--- a/src/ingress/ingressparts.ts
+++ b/src/ingress/ingressparts.ts
@@ -1,5 +1,5 @@
 /** What an exchange needs of its daemon. */
-import type { Vocabulary } from "../hop/vocabulary.js";
+import type { Vocabulary } from "../dialect/vocabulary.js";
 import type { Address } from "../ids/address.js";
 import type { ServiceName } from "../ids/servicename.js";
 import type { Metrics } from "../metrics/metrics.js";
--- a/src/ingress/neighbour.ts
+++ b/src/ingress/neighbour.ts
@@ -1,12 +1,12 @@
 /** What an ingress knows of one upstream. */
 import type { Upstream } from "../config/upstream.js";
-import type { AnswerNote } from "../hop/answernote.js";
-import type { Cancel } from "../hop/cancel.js";
 import type { Hop } from "../hop/hop.js";
+import type { Cancel } from "../http/cancel.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
 import { Suspicion } from "../policy/failure/suspicion.js";
 import type { Candidate } from "../policy/placement/candidate.js";
 import type { LoadReport } from "../policy/placement/loadreport.js";
+import type { AnswerNote } from "../wire/answernote.js";
 
 const START_ROUND_TRIP_MS = 1;
 const ROUND_TRIP_WEIGHT = 0.1;
--- a/src/ingress/outgoing.ts
+++ b/src/ingress/outgoing.ts
@@ -1,5 +1,5 @@
 /** The request as it goes to every try. */
-import type { HttpHeaders } from "../hop/httpheaders.js";
+import type { HttpHeaders } from "../http/httpheaders.js";
 import type { readBody } from "./requestbody.js";
 
 /** Cleaned of what belongs to the caller's connection. */
--- a/src/ingress/sendproblem.ts
+++ b/src/ingress/sendproblem.ts
@@ -1,6 +1,6 @@
 /** Writes problem JSON (RFC 9457). */
 import type { ServerResponse } from "node:http";
-import type { Vocabulary } from "../hop/vocabulary.js";
+import type { Vocabulary } from "../dialect/vocabulary.js";
 import { problems } from "./problems.js";
 import type { ProblemType } from "./problemtype.js";
 
--- a/src/link/linksession.ts
+++ b/src/link/linksession.ts
@@ -2,7 +2,7 @@
 import { timingSafeEqual } from "node:crypto";
 import type { Socket } from "node:net";
 import { Readable } from "node:stream";
-import { Cancel } from "../hop/cancel.js";
+import { Cancel } from "../http/cancel.js";
 import { emptyBuffer } from "./emptybuffer.js";
 import type { Frame } from "./frame.js";
 import { FramedBody } from "./framedbody.js";
--- a/src/link/packanswer.ts
+++ b/src/link/packanswer.ts
@@ -1,6 +1,6 @@
 /** Writes an answer as the payload of a frame. */
 import { pack } from "msgpackr";
-import { noteCodec } from "../hop/notecodec.js";
+import { noteCodec } from "../wire/notecodec.js";
 import type { WireAnswer } from "./wireanswer.js";
 import { writeHeaders } from "./writeheaders.js";
 
--- a/src/link/packcall.ts
+++ b/src/link/packcall.ts
@@ -1,7 +1,7 @@
 /** Writes a request as the payload of a frame. */
 import { pack } from "msgpackr";
 import type { GateCall } from "../hop/gatecall.js";
-import { headCodec } from "../hop/headcodec.js";
+import { headCodec } from "../wire/headcodec.js";
 import type { WireBody } from "./wirebody.js";
 import { writeHeaders } from "./writeheaders.js";
 
--- a/src/link/readheaders.ts
+++ b/src/link/readheaders.ts
@@ -1,5 +1,5 @@
 /** Reads header fields from a flat list of names and values. */
-import type { HttpHeaders } from "../hop/httpheaders.js";
+import type { HttpHeaders } from "../http/httpheaders.js";
 
 /** Undefined for what is no such list. */
 export function readHeaders(list: unknown): HttpHeaders | undefined {
--- a/src/link/unpackanswer.ts
+++ b/src/link/unpackanswer.ts
@@ -1,6 +1,6 @@
 /** Reads an answer from the payload of a frame. */
 import { unpack } from "msgpackr";
-import { readNote } from "../hop/readnote.js";
+import { readNote } from "../wire/readnote.js";
 import { readHeaders } from "./readheaders.js";
 import type { WireAnswer } from "./wireanswer.js";
 
--- a/src/link/unpackcall.ts
+++ b/src/link/unpackcall.ts
@@ -1,6 +1,6 @@
 /** Reads a request from the payload of a frame. */
 import { unpack } from "msgpackr";
-import { readHead } from "../hop/readhead.js";
+import { readHead } from "../wire/readhead.js";
 import { readHeaders } from "./readheaders.js";
 import type { WireCall } from "./wirecall.js";
 
--- a/src/link/wirecall.ts
+++ b/src/link/wirecall.ts
@@ -1,6 +1,6 @@
 /** A request as a peer sent it. */
-import type { CallHead } from "../hop/callhead.js";
-import type { HttpHeaders } from "../hop/httpheaders.js";
+import type { HttpHeaders } from "../http/httpheaders.js";
+import type { CallHead } from "../wire/callhead.js";
 import type { WireBody } from "./wirebody.js";
 
 /** The head says what the gate needs; the rest is the request as it goes to the upstream. */
--- a/src/link/writeheaders.ts
+++ b/src/link/writeheaders.ts
@@ -1,5 +1,5 @@
 /** Header fields as a flat list of names and values, which is shorter than an object and keeps repeated ones. */
-import type { HttpHeaders } from "../hop/httpheaders.js";
+import type { HttpHeaders } from "../http/httpheaders.js";
 
 /** A field that came more than once stands once for each value. */
 export function writeHeaders(headers: HttpHeaders): string[] {
--- a/src/peer/peerclient.ts
+++ b/src/peer/peerclient.ts
@@ -4,7 +4,7 @@
 import { z } from "zod";
 import { parse } from "../config/parse.js";
 import type { Update } from "../config/update.js";
-import { headerName } from "../hop/headername.js";
+import { headerName } from "../dialect/headername.js";
 import { httpStatus } from "../http/httpstatus.js";
 import type { Address } from "../ids/address.js";
 import type { RevokeResult } from "../ledger/revokeresult.js";
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -5,14 +5,12 @@
 import type { Socket } from "node:net";
 import type { RequestTarget } from "../config/requesttarget.js";
 import type { Ruling } from "../config/ruling.js";
+import { headerName } from "../dialect/headername.js";
 import type { Gate } from "../gate/gate.js";
 import type { GateIdentity } from "../gate/gateidentity.js";
-import type { AnswerNote } from "../hop/answernote.js";
-import type { CallHead } from "../hop/callhead.js";
-import type { Cancel } from "../hop/cancel.js";
 import type { GateAnswer } from "../hop/gateanswer.js";
-import { headerName } from "../hop/headername.js";
 import { HopError } from "../hop/hoperror.js";
+import type { Cancel } from "../http/cancel.js";
 import { httpStatus } from "../http/httpstatus.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
 import { LinkSession } from "../link/linksession.js";
@@ -22,6 +20,8 @@
 import { log } from "../log/log.js";
 import type { Clock } from "../time/clock.js";
 import { listen } from "../time/listen.js";
+import type { AnswerNote } from "../wire/answernote.js";
+import type { CallHead } from "../wire/callhead.js";
 import { peerRouter } from "./peerrouter.js";
 import type { PeerService } from "./peerservice.js";
 
--- a/src/roster/discovery.ts
+++ b/src/roster/discovery.ts
@@ -5,7 +5,7 @@
  * upstream's health endpoint tells its name and slots at once.
  */
 import { Client } from "undici";
-import type { Vocabulary } from "../hop/vocabulary.js";
+import type { Vocabulary } from "../dialect/vocabulary.js";
 import { httpStatus } from "../http/httpstatus.js";
 import type { Address } from "../ids/address.js";
 import type { ServiceName } from "../ids/servicename.js";
--- a/src/store/storeclient.ts
+++ b/src/store/storeclient.ts
@@ -5,7 +5,7 @@
  */
 import { Pool } from "undici";
 import type { z } from "zod";
-import { isConnectError } from "../hop/connecterror.js";
+import { isConnectError } from "../http/connecterror.js";
 import { httpStatus } from "../http/httpstatus.js";
 import type { Address } from "../ids/address.js";
 import { HistoryError } from "./historyerror.js";
