--- a/src/ingress/requestbody.ts
+++ b/src/ingress/requestbody.ts
@@ -31,7 +31,7 @@
     const breakOff = (): void => void out.destroy(new BodyError(false));
     out.on("error", () => req.resume());
     req.on("aborted", breakOff);
-    if (req.destroyed) {
+    if (req.destroyed && !req.readableEnded) {
         breakOff();
     }
     req.pipe(out);
--- a/src/link/gatherbody.ts
+++ b/src/link/gatherbody.ts
@@ -12,7 +12,7 @@
     begun.forEach(chunk => out.write(chunk));
     out.on("error", () => {});
     out.on("close", () => body.destroy());
-    if (body.destroyed) {
+    if (body.destroyed && !body.readableEnded) {
         return out.destroy(new Error(BROKEN));
     }
     body.on("close", () => {
