--- a/src/control/reporter.ts
+++ b/src/control/reporter.ts
@@ -1,6 +1,7 @@
 /** Tells recent senders when an upstream's speed has changed much, since reports else ride on answers only. */
 import type { Gate } from "../gate/gate.js";
 import type { Address } from "../ids/address.js";
+import { isWorthReporting } from "../policy/placement/isworthreporting.js";
 import type { LoadReport } from "../policy/placement/loadreport.js";
 import type { Clock } from "../time/clock.js";
 import type { Message } from "./message.js";
@@ -8,7 +9,6 @@
 const LOOK_EVERY_MS = 10;
 const RECENT_MS = 1000;
 const MAX_SENDERS = 64;
-const CHANGE = 2;
 
 /** What the reporter needs of its daemon. */
 type ReporterParts = {
@@ -55,17 +55,12 @@
     #compare(gate: Gate): void {
         const report = gate.report();
         const told = this.#told.get(gate);
-        if (told === undefined || this.#differs(report, told)) {
+        if (isWorthReporting(report, told)) {
             this.#told.set(gate, report);
             this.#tell(gate, report);
         }
     }
 
-    #differs(report: LoadReport, told: LoadReport): boolean {
-        const ratio = report.serviceMs / Math.max(told.serviceMs, 0.1);
-        return ratio > CHANGE || ratio < 1 / CHANGE;
-    }
-
     #tell(gate: Gate, report: LoadReport): void {
         const loads = [{ upstream: gate.upstream.name, report }];
         const now = this.parts.clock();
--- a/src/policy/membership/membersource.ts
+++ b/src/policy/membership/membersource.ts
@@ -1,4 +1,2 @@
-/** Who says something of a daemon. */
-
-/** The daemon itself, its record in the store, or some other daemon. */
-export type RosterSource = "itself" | "store" | "peer";
+/** Who says something of a daemon: the daemon itself, its record in the store, or some other daemon. */
+export type MemberSource = "itself" | "store" | "peer";
--- a/src/roster/discovery.ts
+++ b/src/roster/discovery.ts
@@ -5,7 +5,7 @@
  * upstream's health endpoint tells its name and slots at once.
  */
 import { Client } from "undici";
-import type { Vocabulary } from "../dialect/vocabulary.js";
+import type { Dialect } from "../dialect/dialect.js";
 import { httpStatus } from "../http/httpstatus.js";
 import type { Address } from "../ids/address.js";
 import type { ServiceName } from "../ids/servicename.js";
@@ -20,7 +20,7 @@
 type DiscoveryParts = {
     readonly address: Address;
     readonly service: ServiceName;
-    readonly vocabulary: Vocabulary;
+    readonly dialect: Dialect;
     readonly path: () => string;
 };
 
@@ -30,14 +30,14 @@
 
     /** Asks once; undefined when no upstream answers that takes work. */
     async find(): Promise<{ readonly name: UpstreamName; readonly announcement: Announcement; } | undefined> {
-        const { address, service, vocabulary, path } = this.parts;
+        const { address, service, dialect, path } = this.parts;
         const client = new Client(`http://${address}`);
         try {
             const signal = AbortSignal.timeout(TIMEOUT_MS);
             const { statusCode, headers, body } = await client.request({ method: "GET", path: path(), signal });
             await body.dump();
-            const name = UpstreamName.safeParse(vocabulary.upstreamName(headers)).data;
-            const slots = vocabulary.load(headers)?.slots;
+            const name = UpstreamName.safeParse(dialect.upstreamName(headers)).data;
+            const slots = dialect.load(headers)?.slots;
             if (statusCode !== httpStatus.ok || name === undefined || slots === undefined || slots < 1) {
                 return undefined;
             }
--- a/src/roster/gossip.ts
+++ b/src/roster/gossip.ts
@@ -133,7 +133,7 @@
             this.#answeredAt.delete(gate);
             logger.belief("A peer is given up: its record is gone and it is silent.", { peer: gate });
         });
-        roster.doubtful().forEach(gate => this.#greet(gate));
+        roster.doubtful(clock()).forEach(gate => this.#greet(gate));
     }
 
     #greetSome(): void {
@@ -142,10 +142,10 @@
     }
 
     #greet(to: Address): void {
-        const { self, member, revision, send, roster } = this.parts;
+        const { self, member, revision, send, roster, clock } = this.parts;
         const { incarnation, version } = member();
         const peer = roster.find(to);
-        const doubted = peer === undefined || roster.doubtful().includes(to);
+        const doubted = peer === undefined || roster.doubtful(clock()).includes(to);
         send(to, { type: "hello", from: self, incarnation, version, revision: revision(), knowsYou: !doubted });
     }
 }
--- a/src/roster/roster.test.ts
+++ b/src/roster/roster.test.ts
@@ -50,7 +50,7 @@
     assert.deepEqual(all.sweep(9000), [], "it was heard since");
     all.take(member("one", 0), "store", 9000);
     all.lapse(PEER, 10_000);
-    assert.deepEqual(all.doubtful(), [PEER]);
+    assert.deepEqual(all.doubtful(11_000), [PEER]);
     assert.deepEqual(all.sweep(12_000), []);
     assert.deepEqual(all.sweep(13_000), [PEER]);
     assert.deepEqual(names(all), []);
@@ -61,7 +61,7 @@
     all.take(member("one", 0), "store", 0);
     all.lapse(PEER, 1000);
     all.take(member("one", 0), "store", 1100);
-    assert.deepEqual(all.doubtful(), []);
+    assert.deepEqual(all.doubtful(1200), []);
 });
 
 test("roster: listeners hear of changes only, and the daemon itself is no member", () => {
--- a/src/roster/roster.ts
+++ b/src/roster/roster.ts
@@ -8,15 +8,12 @@
 import type { Upstream } from "../config/upstream.js";
 import type { Address } from "../ids/address.js";
 import type { Incarnation } from "../ids/incarnation.js";
+import { isNews } from "../policy/membership/isnews.js";
+import { judgeMember } from "../policy/membership/judgemember.js";
+import type { MemberSource } from "../policy/membership/membersource.js";
 import type { Member } from "./member.js";
-import type { RosterSource } from "./rostersource.js";
 import { upstreamsOf } from "./upstreamsof.js";
 
-/** The word of a daemon that was heard so lately goes before that of the store. */
-const DIRECT_MS = 5000;
-/** A member without a record is given up when it was silent for so long after the record went. */
-const LAPSE_MS = 3000;
-
 type Entry = { member: Member; heardAt: number; lapsedAt: number | undefined; };
 
 /** Pure; all times are milliseconds on the daemon's clock. */
@@ -51,7 +48,7 @@
     }
 
     /** Takes in what is said of a daemon; false when it is no news. */
-    take(member: Member, source: RosterSource, now: number): boolean {
+    take(member: Member, source: MemberSource, now: number): boolean {
         if (member.gate === this.self) {
             return false;
         }
@@ -65,7 +62,9 @@
         if (source !== "peer") {
             entry.lapsedAt = undefined;
         }
-        const news = this.#isNews(member, entry, source, now);
+        const { incarnation, version } = entry.member;
+        const known = { incarnation, version, heardAt: entry.heardAt, lapsed: entry.lapsedAt !== undefined };
+        const news = isNews(member, known, source, now);
         if (source === "itself") {
             entry.heardAt = now;
         }
@@ -100,14 +99,13 @@
     }
 
     /** Members whose record is gone and that have not been heard since: a question settles it. */
-    doubtful(): Address[] {
-        return [...this.#entries].filter(([, { lapsedAt, heardAt }]) => lapsedAt !== undefined && heardAt < lapsedAt)
-            .map(([gate]) => gate);
+    doubtful(now: number): Address[] {
+        return [...this.#entries].filter(([, entry]) => judgeMember(entry, now) !== "present").map(([gate]) => gate);
     }
 
     /** Gives up members that were silent for too long after their records went; returns them. */
     sweep(now: number): Address[] {
-        const gone = this.doubtful().filter(gate => now - this.#entries.get(gate)!.lapsedAt! >= LAPSE_MS);
+        const gone = [...this.#entries].filter(([, entry]) => judgeMember(entry, now) === "gone").map(([gate]) => gate);
         gone.forEach(gate => this.#entries.delete(gate));
         if (gone.length > 0) {
             this.#changed();
@@ -115,21 +113,6 @@
         return gone;
     }
 
-    #isNews(member: Member, entry: Entry, source: RosterSource, now: number): boolean {
-        const known = entry.member;
-        if (member.incarnation === known.incarnation) {
-            return member.version > known.version;
-        }
-        switch (source) {
-            case "itself":
-                return true;
-            case "store":
-                return now - entry.heardAt > DIRECT_MS;
-            case "peer":
-                return entry.lapsedAt !== undefined;
-        }
-    }
-
     #changed(): void {
         this.#listeners.forEach(listener => listener());
     }
