--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -19,7 +19,7 @@
 import type { Address } from "../src/ids/address.js";
 import type { HallName } from "../src/ids/hallname.js";
 import type { RequestId } from "../src/ids/requestid.js";
-import { Neighbour } from "../src/ingress/neighbour.js";
+import { UpstreamView } from "../src/ingress/upstreamview.js";
 import { Ledger } from "../src/ledger/ledger.js";
 import { ExpectedTime } from "../src/policy/placement/expectedtime.js";
 import { makeDocument } from "./makedocument.js";
@@ -69,13 +69,13 @@
     keeper.adopt(parse(Document, makeDocument(count)));
     return keeper;
 };
-const makeNeighbours = (count: number): Neighbour[] =>
+const makeViews = (count: number): UpstreamView[] =>
     makeDocument(count).upstreams.map(upstream => {
         const options = { localIp: "127.0.0.1", key: "k", clock: () => performance.now() };
         const hop = new RemoteHop(upstream.gate, undefined as never, options);
-        const neighbour = new Neighbour(upstream, hop, upstream.hall === hall, false);
-        neighbour.observe({ running: 3, waiting: 0, limit: 12, serviceMs: 10, baseMs: 10 }, 0);
-        return neighbour;
+        const view = new UpstreamView(upstream, hop, upstream.hall === hall, false);
+        view.recordReport({ running: 3, waiting: 0, limit: 12, serviceMs: 10, baseMs: 10 }, 0);
+        return view;
     });
 const changed = (count: number): [Document, Document] => {
     const before = makeDocument(count);
@@ -131,15 +131,15 @@
         return microseconds(2000, () => findRuling(document, target, true, 0));
     }),
     await measureSlope(
-        "neighbour in memory, no connection",
+        "view of an upstream in memory, no connection",
         "bytes",
         COUNTS,
-        count => bytesKept(() => makeNeighbours(count)),
+        count => bytesKept(() => makeViews(count)),
     ),
     await measureSlope("placing a request, by candidate", "us", [4, 7, 50, 200], count => {
-        const neighbours = makeNeighbours(count);
+        const views = makeViews(count);
         const placement = new ExpectedTime();
-        return microseconds(2000, at => placement.choose(neighbours, at / 10, random));
+        return microseconds(2000, at => placement.choose(views, at / 10, random));
     }),
     await measureSlope("ledger entry", "bytes", [1000, 5000, 50_000], count =>
         bytesKept(() => {
--- a/src/config/findruling.ts
+++ b/src/config/findruling.ts
@@ -1,5 +1,5 @@
 /** Finds what the configuration says of a request. */
-import { decideKind } from "./decidekind.js";
+import { decideKind } from "../policy/retry/decidekind.js";
 import type { Document } from "./document.js";
 import { drawService } from "./drawservice.js";
 import { matchRule } from "./matchrule.js";
--- a/src/config/rule.ts
+++ b/src/config/rule.ts
@@ -2,7 +2,7 @@
 import { z } from "zod";
 import { RuleName } from "../ids/rulename.js";
 import { ServiceName } from "../ids/servicename.js";
-import { TenantName } from "../ids/tenantname.js";
+import { TeamName } from "../ids/teamname.js";
 import { AnswerMode } from "./answermode.js";
 import { Kind } from "./kind.js";
 import { Priority } from "./priority.js";
@@ -26,7 +26,7 @@
     service: ServiceName,
     split: z.array(Share).max(MAX_SHARES).optional(),
     priority: z.union([Priority, z.int().min(0).transform(priorityOfRank)]).default("normal"),
-    tenant: TenantName.default("none" as TenantName),
+    tenant: TeamName.default("none" as TeamName),
     kind: Kind.optional(),
     timeLimitMs: z.int().min(1).max(MAX_TIME_LIMIT_MS).default(DEFAULT_TIME_LIMIT_MS),
     targetMs: z.int().min(1).max(MAX_TIME_LIMIT_MS).optional(),
--- a/src/control/healthcheck.ts
+++ b/src/control/healthcheck.ts
@@ -43,7 +43,7 @@
 
     async #ask(gate: Gate): Promise<void> {
         try {
-            await gate.ask(this.options.path(gate.upstream.service), TIMEOUT_MS);
+            await gate.askHealth(this.options.path(gate.upstream.service), TIMEOUT_MS);
             this.metrics.spent("health", BYTES);
         }
         catch (err) {
--- a/src/control/pinger.test.ts
+++ b/src/control/pinger.test.ts
@@ -3,7 +3,7 @@
 import type { Upstream } from "../config/upstream.js";
 import { Cancel } from "../http/cancel.js";
 import type { Address } from "../ids/address.js";
-import { Neighbours } from "../ingress/neighbours.js";
+import { UpstreamTable } from "../ingress/upstreamtable.js";
 import type { Message } from "./message.js";
 import { Pinger } from "./pinger.js";
 
@@ -16,24 +16,26 @@
 const givenUp = async (t: { mock: { timers: { enable(): void; tick(ms: number): void; }; }; }, alive: string[]) => {
     t.mock.timers.enable();
     let now = 0;
-    const neighbours = new Neighbours(() => ({ hop: undefined as never, near: true, local: false }));
-    neighbours.apply([upstream("a", 1), upstream("b", 2)]);
-    const all = neighbours.ofService("s" as never);
+    const upstreams = new UpstreamTable(() => ({ hop: undefined as never, near: true, local: false }));
+    upstreams.apply([upstream("a", 1), upstream("b", 2)]);
+    const all = upstreams.ofService("s" as never);
     const pinger: Pinger = new Pinger({
         self: "127.0.0.1:9" as Address,
         clock: () => now,
-        neighbours,
+        upstreams,
         send: (to: Address, message: Message) => {
             const name = all.find(item => item.settings.gate === to)!.upstream;
             if (message.type === "ping" && alive.includes(name)) {
-                pinger.hear({ type: "pong", from: to, sentAt: now, loads: [] } as never);
+                pinger.receivePong({ type: "pong", from: to, sentAt: now, loads: [] } as never);
             }
             return true;
         },
     });
-    all.forEach(item => pinger.hear({ type: "pong", from: item.settings.gate, sentAt: now, loads: [] } as never));
+    all.forEach(item =>
+        pinger.receivePong({ type: "pong", from: item.settings.gate, sentAt: now, loads: [] } as never)
+    );
     const waiting: Silent[] = all.map(item => ({ name: item.upstream, cancel: new Cancel() }));
-    all.forEach((item, at) => item.begin(now, waiting[at]!.cancel));
+    all.forEach((item, at) => item.attemptStarted(now, waiting[at]!.cancel));
     pinger.start();
     for (; now < 1000; now += 50) {
         t.mock.timers.tick(50);
--- a/src/control/relief.ts
+++ b/src/control/relief.ts
@@ -11,26 +11,24 @@
 import type { UpstreamName } from "../ids/upstreamname.js";
 import { sample } from "../policy/placement/sample.js";
 import type { RandomSource } from "../policy/randomsource.js";
+import { decideOffer } from "../policy/transfer/decideoffer.js";
+import { isWorthMoving } from "../policy/transfer/isworthmoving.js";
+import { needPerSibling } from "../policy/transfer/needpersibling.js";
 import type { Clock } from "../time/clock.js";
 import type { Message } from "./message.js";
 
 const TICK_MS = 4;
 const ASK_EVERY_MS = 8;
 const MAX_ASKED = 3;
-const MAX_COUNT = 16;
 /** Long enough for the way there and back between halls, short enough not to waste a slot. */
 const HOLD_MS = 10;
-/** A sibling keeps the rest for its own arrivals: slots held for many gates at once would make it queue, and ask in turn. */
-const OFFERED_SHARE = 0.5;
-/** Moving a request costs about two hops; a wait of less than that, or than a usual service time, is waited out. */
-const WORTH_MS = 6;
 
 /** What relief needs of its daemon. */
 type ReliefParts = {
     readonly self: Address;
     readonly clock: Clock;
     readonly random: RandomSource;
-    readonly upstreams: () => readonly Upstream[];
+    readonly siblings: () => readonly Upstream[];
     readonly gates: () => Iterable<Gate>;
     readonly gate: (name: UpstreamName) => Gate | undefined;
     readonly send: (to: Address, message: Message) => boolean;
@@ -70,7 +68,7 @@
 
     #offer(gate: Gate, need: Extract<Message, { type: "need"; }>): void {
         const offers: string[] = [];
-        const most = Math.min(need.count, Math.floor(gate.free * OFFERED_SHARE));
+        const most = decideOffer(need.count, gate.free);
         while (offers.length < most) {
             const id = randomUUID();
             if (!gate.offer(id)) {
@@ -83,7 +81,7 @@
         }
         const goTo = gate.upstream.name;
         this.parts.send(need.from, { type: "offer", from: this.parts.self, upstream: need.upstream, goTo, offers });
-        setTimeout(() => offers.forEach(id => gate.withdraw(id)), HOLD_MS);
+        setTimeout(() => offers.forEach(id => gate.withdrawOffer(id)), HOLD_MS);
     }
 
     #anyWaiting(): boolean {
@@ -107,19 +105,19 @@
     }
 
     #ask(gate: Gate, now: number): void {
-        const { waiting, limit, serviceMs, baseMs } = gate.report();
-        if (waiting * serviceMs / limit < Math.max(WORTH_MS, baseMs)) {
+        if (!isWorthMoving(gate.report())) {
             return;
         }
         this.#askedAt.set(gate, now);
+        const { self, random, send } = this.parts;
         const { service, name: upstream } = gate.upstream;
-        const siblings = this.parts.upstreams().filter(other =>
-            other.service === service && other.name !== upstream && other.gate !== this.parts.self && !other.draining
+        const siblings = this.parts.siblings().filter(other =>
+            other.service === service && other.name !== upstream && other.gate !== self && !other.draining
         );
-        const asked = sample(siblings, MAX_ASKED, this.parts.random);
-        const count = Math.min(MAX_COUNT, Math.ceil(waiting / Math.max(1, asked.length)));
+        const asked = sample(siblings, MAX_ASKED, random);
+        const count = needPerSibling(gate.waiting, asked.length);
         for (const sibling of asked) {
-            this.parts.send(sibling.gate, { type: "need", from: this.parts.self, service, upstream, count });
+            send(sibling.gate, { type: "need", from: self, service, upstream, count });
         }
     }
 }
--- a/src/daemon/assembly.ts
+++ b/src/daemon/assembly.ts
@@ -12,14 +12,15 @@
 import { Publisher } from "../control/publisher.js";
 import { Puller } from "../control/puller.js";
 import { StoreWatcher } from "../control/storewatcher.js";
-import { Contexts } from "../gate/contexts.js";
+import { CallContexts } from "../gate/callcontexts.js";
 import { Gate } from "../gate/gate.js";
 import { GateIdentity } from "../gate/gateidentity.js";
 import type { Address } from "../ids/address.js";
 import type { Incarnation } from "../ids/incarnation.js";
 import { splitAddress } from "../ids/splitaddress.js";
 import { Ingress } from "../ingress/ingress.js";
-import { Neighbours } from "../ingress/neighbours.js";
+import { Planner } from "../ingress/planner.js";
+import { UpstreamTable } from "../ingress/upstreamtable.js";
 import { Ledger } from "../ledger/ledger.js";
 import type { Metrics } from "../metrics/metrics.js";
 import { OperatorFace } from "../operator/operatorface.js";
@@ -51,7 +52,7 @@
     readonly self: Address;
     readonly #incarnation = randomBytes(INCARNATION_BYTES).toString("base64url") as Incarnation;
     readonly keeper = new Keeper();
-    readonly #contexts = new Contexts();
+    readonly #contexts = new CallContexts();
     readonly #retries: ServiceRetries;
     readonly #identity: GateIdentity;
     readonly #ledger: Ledger;
@@ -61,7 +62,7 @@
     readonly gates: GateSet;
     readonly #hops: Hops;
     readonly #inbox: Inbox;
-    readonly #neighbours: Neighbours;
+    readonly #table: UpstreamTable;
     readonly datagrams: Datagrams;
     readonly membership: Membership;
     readonly sharing: LoadSharing;
@@ -93,7 +94,7 @@
             peer: this.peer,
             options: { localIp, key, clock },
         });
-        this.#neighbours = new Neighbours(upstream => this.#hops.open(upstream));
+        this.#table = new UpstreamTable(upstream => this.#hops.open(upstream));
         this.datagrams = new Datagrams(
             { key, clock, bytesPerSecond: control.bytesPerSecond, metrics: this.metrics },
             message => this.#inbox.receive(message),
@@ -111,18 +112,17 @@
             election: new Election(self, clock()),
             storeWatcher,
             hostWatcher: new HostWatcher(surroundings.store),
-            onHostLeaving: leaving => this.gates.setLeaving("host-leaving", leaving),
+            onHostLeaving: leaving => this.gates.setClosed("host-leaving", leaving),
         });
-        const gates = (): Iterable<Gate> => this.gates.all;
         this.sharing = new LoadSharing({
             self,
             clock,
             random,
             send,
-            gates,
+            gates: () => this.gates.all,
             gate: name => this.gates.find(name),
-            upstreams: () => this.#upstreams,
-            neighbours: this.#neighbours,
+            siblings: () => this.#upstreams,
+            upstreams: this.#table,
             policy: settings.policy,
         });
         this.roster = this.#makeRoster(storeWatcher, send);
@@ -132,7 +132,7 @@
             send,
             identity: this.#identity,
             gates: this.gates,
-            neighbours: this.#neighbours,
+            upstreams: this.#table,
             membership: this.membership,
             pinger: this.sharing.pinger,
             relief: this.sharing.relief,
@@ -140,7 +140,7 @@
         });
         this.health = new HealthCheck(
             { path: service => this.#measuring.healthPath(service), perSecond: control.healthPerSecond },
-            gates,
+            () => this.gates.all,
             this.metrics,
         );
         const catchUp = (revision: number, from: string | undefined): Promise<void> =>
@@ -158,17 +158,22 @@
             heardFrom: sender => this.sharing.reporter.heardFrom(sender as Address),
         });
         this.ingress = new Ingress(limits, {
-            find: (target, draw) => rulings.find(target, draw),
-            contexts: this.#contexts,
+            planner: new Planner({
+                dialect: surroundings.dialect,
+                contexts: this.#contexts,
+                random,
+                revision: () => this.keeper.revision,
+                find: (target, draw) => rulings.find(target, draw),
+            }),
             callerService: settings.callerService,
         }, {
             clock,
             random,
             placement: makePlacement(settings.policy),
-            neighbours: this.#neighbours,
+            upstreams: this.#table,
             metrics: this.metrics,
             retries: service => this.#retries.of(service),
-            vocabulary: surroundings.vocabulary,
+            dialect: surroundings.dialect,
             hedge: settings.policy.hedge,
             newId: () => `${this.#incarnation}.${this.#requests++}`,
             revision: () => this.keeper.revision,
@@ -195,7 +200,7 @@
             ledger: this.#ledger,
             contexts: this.#contexts,
             identity: this.#identity,
-            vocabulary: this.surroundings.vocabulary,
+            dialect: this.surroundings.dialect,
             onChange: () => this.sharing.lookAtGates(),
             mayAsk: () => this.#measuring.mayAsk(),
             healthPath: service => this.#measuring.healthPath(service),
@@ -203,7 +208,7 @@
     }
 
     #makeRoster(storeWatcher: StoreWatcher, send: (to: Address, message: Message) => boolean): RosterParts | undefined {
-        const { registry, vocabulary } = this.surroundings;
+        const { registry, dialect } = this.surroundings;
         if (registry === undefined) {
             return undefined;
         }
@@ -211,7 +216,7 @@
         const own = { incarnation: this.#incarnation, measuring: this.#measuring };
         const shared = { self, settings, keeper, puller, peer, ...own };
         const onChange = (): void => this.#followUpstreams();
-        return new RosterParts({ ...shared, registry, vocabulary, storeWatcher, clock, random, send, onChange });
+        return new RosterParts({ ...shared, registry, dialect, storeWatcher, clock, random, send, onChange });
     }
 
     #makeOperatorFace(): OperatorFace {
@@ -220,7 +225,7 @@
             clock,
             keeper: this.keeper,
             publisher: new Publisher(this.surroundings.store, this.keeper, pause),
-            neighbours: this.#neighbours,
+            upstreams: this.#table,
             peer: this.peer,
         });
     }
@@ -239,7 +244,7 @@
     #followUpstreams(): void {
         const upstreams = this.#upstreams;
         this.gates.apply(upstreams);
-        this.#neighbours.apply(upstreams);
+        this.#table.apply(upstreams);
         this.#hops.apply(upstreams);
     }
 }
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -61,7 +61,7 @@
         const { lingerMs, limitMs } = this.parts.settings.stop;
         logger.belief("The daemon stops.", { host: this.parts.settings.host, inFlight: this.#inFlight() });
         this.parts.operator.unready();
-        this.parts.ingress.wind();
+        this.parts.ingress.startClosing();
         await sleep(lingerMs, hurry);
         const endAt = processClock() + limitMs;
         this.#leave();
@@ -85,7 +85,7 @@
     #leave(): void {
         this.parts.sharing.stop();
         void this.parts.roster?.go();
-        this.parts.gates.setLeaving("stopping", true);
+        this.parts.gates.setClosed("stopping", true);
         this.#tellLeaving();
         this.parts.peerServer.wind();
     }
--- a/src/daemon/gateset.ts
+++ b/src/daemon/gateset.ts
@@ -1,5 +1,6 @@
 /** The gates of one daemon, made and closed as the configuration says. */
 import type { Upstream } from "../config/upstream.js";
+import type { CloseReason } from "../gate/closereason.js";
 import type { Gate } from "../gate/gate.js";
 import type { Address } from "../ids/address.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
@@ -13,7 +14,7 @@
 /** Holds one gate for each upstream whose `gate` is this daemon's address. */
 export class GateSet {
     readonly #gates = new Map<UpstreamName, Gate>();
-    readonly #reasons = new Set<string>();
+    readonly #reasons = new Set<CloseReason>();
 
     constructor(private readonly self: Address, private readonly makeGate: (upstream: Upstream) => Gate) {}
 
@@ -33,8 +34,8 @@
             const settings = named.get(gate.upstream.name);
             if (settings === undefined || !samePlace(settings, gate.upstream)) {
                 this.#gates.delete(gate.upstream.name);
-                gate.leave(REMOVED);
-                void gate.close();
+                gate.close(REMOVED);
+                void gate.end();
             }
         }
         for (const upstream of mine) {
@@ -43,16 +44,16 @@
         }
     }
 
-    /** Closes all gates to new work for a reason, those still to come too, or takes the reason back. */
-    setLeaving(reason: string, leaving: boolean): void {
-        if (leaving) {
+    /** Closes all gates to new requests for a reason, those still to come too, or takes the reason back. */
+    setClosed(reason: CloseReason, closed: boolean): void {
+        if (closed) {
             this.#reasons.add(reason);
         }
         else {
             this.#reasons.delete(reason);
         }
         for (const gate of this.#gates.values()) {
-            this.#mark(gate, reason, leaving);
+            this.#mark(gate, reason, closed);
         }
     }
 
@@ -64,13 +65,13 @@
     #open(upstream: Upstream): Gate {
         const gate = this.makeGate(upstream);
         this.#gates.set(upstream.name, gate);
-        this.#reasons.forEach(reason => gate.leave(reason));
+        this.#reasons.forEach(reason => gate.close(reason));
         return gate;
     }
 
-    #mark(gate: Gate, reason: string, leaving: boolean): void {
-        if (leaving) {
-            gate.leave(reason);
+    #mark(gate: Gate, reason: CloseReason, closed: boolean): void {
+        if (closed) {
+            gate.close(reason);
         }
         else {
             gate.reopen(reason);
--- a/src/daemon/gatestatus.ts
+++ b/src/daemon/gatestatus.ts
@@ -8,7 +8,7 @@
     const { running, waiting, limit } = gate.report();
     return {
         upstream: gate.upstream.name,
-        state: gate.leaving === undefined ? "up" : "leaving",
+        state: gate.isClosed ? "leaving" : "up",
         revision: keeper.revision,
         fresh: keeper.fresh(now),
         running,
--- a/src/daemon/inbox.ts
+++ b/src/daemon/inbox.ts
@@ -5,7 +5,7 @@
 import type { Relief } from "../control/relief.js";
 import type { GateIdentity } from "../gate/gateidentity.js";
 import type { Address } from "../ids/address.js";
-import type { Neighbours } from "../ingress/neighbours.js";
+import type { UpstreamTable } from "../ingress/upstreamtable.js";
 import type { Gossip } from "../roster/gossip.js";
 import type { Clock } from "../time/clock.js";
 import type { GateSet } from "./gateset.js";
@@ -16,7 +16,7 @@
     readonly clock: Clock;
     readonly identity: GateIdentity;
     readonly gates: GateSet;
-    readonly neighbours: Neighbours;
+    readonly upstreams: UpstreamTable;
     readonly membership: Membership;
     readonly pinger: Pinger;
     readonly relief: Relief;
@@ -30,20 +30,20 @@
     constructor(private readonly parts: InboxParts) {}
 
     receive(message: Message): void {
-        const { clock, neighbours, membership, pinger, relief } = this.parts;
+        const { clock, upstreams, membership, pinger, relief } = this.parts;
         switch (message.type) {
             case "beat":
                 return membership.hear(message);
             case "ping":
                 return this.#answer(message.from, message.sentAt);
             case "pong":
-                return pinger.hear(message);
+                return pinger.receivePong(message);
             case "load":
                 return message.loads.forEach(({ upstream, report }) =>
-                    neighbours.find(upstream)?.observe(report, clock())
+                    upstreams.find(upstream)?.recordReport(report, clock())
                 );
             case "leave":
-                return message.upstreams.forEach(name => neighbours.find(name)?.stops(clock()));
+                return message.upstreams.forEach(name => upstreams.find(name)?.recordStopping(clock()));
             case "hello":
             case "member":
             case "going":
--- a/src/daemon/loadsharing.ts
+++ b/src/daemon/loadsharing.ts
@@ -2,14 +2,14 @@
 import { Pinger } from "../control/pinger.js";
 import { Relief } from "../control/relief.js";
 import { Reporter } from "../control/reporter.js";
-import type { Neighbours } from "../ingress/neighbours.js";
+import type { UpstreamTable } from "../ingress/upstreamtable.js";
 import type { Settings } from "./settings.js";
 
 type ReliefParts = ConstructorParameters<typeof Relief>[0];
 
 /** What these tasks need of the rest of the daemon. */
 type LoadSharingParts = ReliefParts & {
-    readonly neighbours: Neighbours;
+    readonly upstreams: UpstreamTable;
     readonly policy: Settings["policy"];
 };
 
--- a/src/daemon/ownsurroundings.ts
+++ b/src/daemon/ownsurroundings.ts
@@ -1,5 +1,5 @@
 /** Winglock by itself: its own header fields, and a store as docs/DESIGN.md describes it. */
-import { OwnVocabulary } from "../dialect/ownvocabulary.js";
+import { OwnDialect } from "../dialect/owndialect.js";
 import { splitAddress } from "../ids/splitaddress.js";
 import type { Metrics } from "../metrics/metrics.js";
 import { HttpStore } from "../store/httpstore.js";
@@ -10,5 +10,5 @@
 export function ownSurroundings(settings: Settings, metrics: Metrics): Surroundings {
     const localIp = splitAddress(settings.peer).ip;
     const store = new HttpStore(settings.store, localIp, bytes => metrics.spent("store", bytes));
-    return { vocabulary: new OwnVocabulary(), store, registry: undefined };
+    return { dialect: new OwnDialect(), store, registry: undefined };
 }
--- a/src/daemon/rosterparts.ts
+++ b/src/daemon/rosterparts.ts
@@ -4,7 +4,7 @@
 import type { Message } from "../control/message.js";
 import type { Puller } from "../control/puller.js";
 import type { StoreWatcher } from "../control/storewatcher.js";
-import type { Vocabulary } from "../dialect/vocabulary.js";
+import type { Dialect } from "../dialect/dialect.js";
 import type { Address } from "../ids/address.js";
 import type { Incarnation } from "../ids/incarnation.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
@@ -38,7 +38,7 @@
     readonly incarnation: Incarnation;
     readonly settings: Settings;
     readonly registry: Registry;
-    readonly vocabulary: Vocabulary;
+    readonly dialect: Dialect;
     readonly measuring: Measuring;
     readonly storeWatcher: StoreWatcher;
     readonly keeper: Keeper;
@@ -148,12 +148,12 @@
 
     /** Resolves when an upstream is known, or none was found for a while. */
     async #discover(): Promise<void> {
-        const { settings, vocabulary, measuring, clock } = this.needs;
+        const { settings, dialect, measuring, clock } = this.needs;
         const { upstream: address, callerService: service } = settings;
         if (address === undefined || service === undefined) {
             return;
         }
-        const discovery = new Discovery({ address, service, vocabulary, path: () => measuring.healthPath(service) });
+        const discovery = new Discovery({ address, service, dialect, path: () => measuring.healthPath(service) });
         const until = clock() + DISCOVER_FOR_MS;
         while (this.#announced.upstreams.length === 0 && !this.#going && clock() < until) {
             const found = await discovery.find();
--- a/src/daemon/rulings.ts
+++ b/src/daemon/rulings.ts
@@ -5,6 +5,7 @@
 import type { Keeper } from "../control/keeper.js";
 import type { Outgoing } from "../ingress/outgoing.js";
 import type { Plan } from "../ingress/plan.js";
+import { isStaleKind } from "../policy/retry/isstalekind.js";
 import type { Clock } from "../time/clock.js";
 import type { CallHead } from "../wire/callhead.js";
 
@@ -20,7 +21,7 @@
 
     /** True when the sender's older rules let a request repeat that the rules here do not. */
     isStale(head: CallHead, ruling: Ruling | undefined): boolean {
-        return head.revision < this.keeper.revision && head.kind === "repeatable" && ruling?.kind === "once";
+        return isStaleKind(head, ruling?.kind, this.keeper.revision);
     }
 
     /** What the rules here say of a request; undefined when none matches. `draw` chooses the part of a split. */
--- a/src/daemon/surroundings.ts
+++ b/src/daemon/surroundings.ts
@@ -1,11 +1,11 @@
 /** What differs with where a daemon runs: how it speaks with callers, upstreams and the store. */
-import type { Vocabulary } from "../dialect/vocabulary.js";
+import type { Dialect } from "../dialect/dialect.js";
 import type { Registry } from "../roster/registry.js";
 import type { Store } from "../store/store.js";
 
 /** No registry where the document says which upstreams there are. */
 export type Surroundings = {
-    readonly vocabulary: Vocabulary;
+    readonly dialect: Dialect;
     readonly store: Store;
     readonly registry: Registry | undefined;
 };
--- a/src/dialect/dialect.ts
+++ b/src/dialect/dialect.ts
@@ -4,7 +4,7 @@
 import type { UpstreamLoad } from "./upstreamload.js";
 
 /** Names are in lower case; what an upstream says is proof only where a method here says so. */
-export abstract class Vocabulary {
+export abstract class Dialect {
     /** On requests: the id of the try, which an upstream may send back. */
     abstract readonly requestId: string;
     /** True when callers give each try an id of their own, which goes on to the upstream. */
--- a/src/dialect/owndialect.ts
+++ b/src/dialect/owndialect.ts
@@ -1,13 +1,13 @@
 /** Winglock's own names, for callers and upstreams that know winglock. */
 import type { HttpHeaders } from "../http/httpheaders.js";
 import { httpStatus } from "../http/httpstatus.js";
+import { Dialect } from "./dialect.js";
 import { headerName } from "./headername.js";
-import { Vocabulary } from "./vocabulary.js";
 
 const MS_PER_SECOND = 1000;
 
 /** As docs/SETTINGS.md and headername.ts list them. */
-export class OwnVocabulary extends Vocabulary {
+export class OwnDialect extends Dialect {
     readonly requestId = headerName.requestId;
     readonly callersGiveIds = false;
     readonly callerTimeLimit = undefined;
--- /dev/null
+++ b/src/gate/closereason.ts
@@ -0,0 +1,7 @@
+/** Why a gate takes no new requests. */
+
+/**
+ * `upstream`: the upstream itself said that it is leaving; `draining`: operators or an announcement said so; `removed`: there is no
+ * such upstream any more; `host-leaving`: the platform's list of hosts; `stopping`: the daemon stops.
+ */
+export type CloseReason = "upstream" | "draining" | "removed" | "host-leaving" | "stopping";
--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -1,80 +1,76 @@
 /**
  * The only way in to one upstream.
  *
- * It owns the upstream's slots, its queue and its part of the ledger. Every refusal is a HopError whose outcome is
- * `not-run` exactly when the ledger or the upstream proves it.
+ * Owns the upstream's client, its slots and queue, and what it knows of the upstream's pace. Every refusal is a HopError whose
+ * outcome is `not-run` exactly when the ledger or the upstream proves it. What is decided of a request stands in
+ * policy/admission and policy/failure.
  */
 import type { Upstream } from "../config/upstream.js";
 import type { GateAnswer } from "../hop/gateanswer.js";
 import type { GateCall } from "../hop/gatecall.js";
-import { HopError } from "../hop/hoperror.js";
+import type { HopError } from "../hop/hoperror.js";
+import type { UpstreamName } from "../ids/upstreamname.js";
 import { log } from "../log/log.js";
 import { Admission } from "../policy/admission/admission.js";
 import { makeLimit } from "../policy/admission/makelimit.js";
 import { RuleTimes } from "../policy/admission/ruletimes.js";
+import { atLeast } from "../policy/placement/atleast.js";
 import type { LoadReport } from "../policy/placement/loadreport.js";
 import type { AnswerNote } from "../wire/answernote.js";
-import { Entrance } from "./entrance.js";
+import type { CloseReason } from "./closereason.js";
 import { GateLog } from "./gatelog.js";
 import type { GateParts } from "./gateparts.js";
-import { PaceWatch } from "./pacewatch.js";
-import { Ticket } from "./ticket.js";
+import { GateRefusals } from "./gaterefusals.js";
+import { GateRequest } from "./gaterequest.js";
+import { PaceProbe } from "./paceprobe.js";
+import { RunningRequests } from "./runningrequests.js";
+import { SlotQueue } from "./slotqueue.js";
 import { UpstreamClient } from "./upstreamclient.js";
 import { UpstreamError } from "./upstreamerror.js";
 import { UpstreamRun } from "./upstreamrun.js";
 
 const logger = log("gate");
 
-/** Why a gate is closed when the upstream itself said that it is leaving. */
-const UPSTREAM_REASON = "upstream";
-/** A question of the pace holds a request up, so that it must be answered soon. */
+/** A question of the pace holds a request up: half of the time for which its answer is believed. */
 const ASK_TIMEOUT_MS = 15;
 
-/** Serves the calls for one upstream. */
+/** Serves the requests for one upstream. */
 export class Gate {
-    readonly #pace: PaceWatch;
+    readonly #pace: PaceProbe;
     readonly #log: GateLog;
     readonly #client: UpstreamClient;
-    readonly #admission: Admission<Ticket>;
-    readonly #entrance: Entrance;
-    readonly #runs = new Set<UpstreamRun>();
-    readonly #leaving = new Set<string>();
-    #finished = 0;
-    #refused = 0;
+    readonly #admission: Admission<GateRequest>;
+    readonly #refusals: GateRefusals;
+    readonly #queue: SlotQueue;
+    readonly #running = new RunningRequests();
+    readonly #closedFor = new Set<CloseReason>();
 
     constructor(readonly upstream: Upstream, private readonly parts: GateParts) {
-        const { clock, ledger, localIp, vocabulary } = parts;
-        this.#client = new UpstreamClient(upstream, {
-            localIp,
-            vocabulary,
-            heard: ({ pace }) => this.#pace.heard(pace),
-        });
-        this.#log = new GateLog(upstream.name, vocabulary);
-        this.#pace = new PaceWatch({
+        const { clock, ledger, localIp, dialect } = parts;
+        const onLoad = ({ pace }: { readonly pace: number; }): void => this.#pace.record(pace);
+        this.#client = new UpstreamClient(upstream, { localIp, dialect, onLoad });
+        this.#log = new GateLog(upstream.name, dialect);
+        this.#pace = new PaceProbe({
             clock,
             mayAsk: parts.mayAsk,
-            ask: () => this.ask(parts.healthPath(upstream.service), ASK_TIMEOUT_MS),
+            ask: () => this.askHealth(parts.healthPath(upstream.service), ASK_TIMEOUT_MS),
         });
         this.#admission = new Admission(makeLimit(parts.limit, upstream.slots), new RuleTimes());
-        this.#entrance = new Entrance({
-            clock,
-            ledger,
-            admission: this.#admission,
-            refuse: (reason, more) => this.#refuse(reason, "not-run", more),
-        });
+        this.#refusals = new GateRefusals(more => this.note(more));
+        this.#queue = new SlotQueue({ clock, ledger, admission: this.#admission, refusals: this.#refusals });
     }
 
     get finished(): number {
-        return this.#finished;
+        return this.#running.finished;
     }
 
     get refused(): number {
-        return this.#refused;
+        return this.#refusals.count;
     }
 
-    /** Why no new work is taken, undefined while it is. */
-    get leaving(): string | undefined {
-        return this.#leaving.values().next().value;
+    /** True while no new requests are taken. */
+    get isClosed(): boolean {
+        return this.#closedFor.size > 0;
     }
 
     /** Requests that run or wait. */
@@ -82,94 +78,79 @@
         return this.#admission.running + this.#admission.waiting;
     }
 
-    /** An upstream that answers nothing shows by the age of what it has: that counts as its service time. */
+    /** Slots that are neither in use nor held. */
+    get free(): number {
+        return this.#admission.free;
+    }
+
+    get waiting(): number {
+        return this.#admission.waiting;
+    }
+
+    /** The load as peers are told it. */
     report(): LoadReport {
         const report = { ...this.#admission.report(), pace: this.#pace.last };
-        const meanAgeMs = this.#meanAgeMs();
-        return meanAgeMs > report.serviceMs ? { ...report, serviceMs: meanAgeMs } : report;
+        return atLeast(report, this.#running.meanAgeMs(this.parts.clock()));
     }
 
-    /** Closes the gate to new work for a reason; what waits and runs is finished. */
-    leave(reason: string): void {
-        if (!this.#leaving.has(reason)) {
-            logger.belief("The gate takes no new work.", { upstream: this.upstream.name, reason });
+    /** Takes no new requests for a reason; what waits and runs is finished. */
+    close(reason: CloseReason): void {
+        if (!this.#closedFor.has(reason)) {
+            logger.belief("The gate takes no new requests.", { upstream: this.upstream.name, reason });
         }
-        this.#leaving.add(reason);
+        this.#closedFor.add(reason);
+    }
+
+    /** Takes a reason back; the gate takes new requests when none is left. */
+    reopen(reason: CloseReason): void {
+        this.#closedFor.delete(reason);
     }
 
-    /** Takes a reason back; the gate opens when none is left. */
-    reopen(reason: string): void {
-        this.#leaving.delete(reason);
+    /** Ends the connections to the upstream, after what is in flight. */
+    end(): Promise<void> {
+        return this.#client.close();
     }
 
-    /** Serves a call; throws a HopError. */
+    /** Serves a request; throws a HopError. */
     async serve(call: GateCall): Promise<GateAnswer> {
-        const ticket = new Ticket(call, this.parts.identity, this.parts.clock());
+        const request = new GateRequest(call, this.parts.identity, this.parts.clock());
         try {
-            return await this.#serveTicket(ticket);
+            await this.#admit(request);
+            await this.#queue.enter(request);
+            return await this.#run(request);
         }
         catch (err) {
-            this.#log.refused(ticket, err, this.report());
+            this.#log.refused(request, err, this.report());
             throw err;
         }
     }
 
-    async #serveTicket(ticket: Ticket): Promise<GateAnswer> {
-        const { call } = ticket;
-        this.#refuseIfLeaving();
-        if (ticket.choices > 0) {
-            await this.#refuseIfSlow(call);
-        }
-        if (ticket.once) {
-            const admitted = this.parts.ledger.admit(call.head.id, ticket.deadline, ticket.arrivedAt);
-            if (admitted !== "admitted") {
-                throw this.#refuse(`ledger-${admitted}`, admitted === "duplicate" ? "unknown" : "not-run");
-            }
-        }
-        this.parts.onChange();
-        await this.#entrance.enter(ticket);
-        return this.#run(ticket);
-    }
-
-    /** Asks the upstream's health endpoint and believes what it says of leaving and of its load. */
-    async ask(path: string, timeoutMs: number): Promise<void> {
+    /** Asks the upstream's health endpoint, and acts on what it reports of leaving and of its load. */
+    async askHealth(path: string, timeoutMs: number): Promise<void> {
         const { headers } = await this.#client.ask(path, timeoutMs);
-        if (this.parts.vocabulary.isLeaving(headers)) {
-            this.leave(UPSTREAM_REASON);
+        if (this.parts.dialect.isLeaving(headers)) {
+            this.close("upstream");
         }
         else {
-            this.reopen(UPSTREAM_REASON);
+            this.reopen("upstream");
         }
     }
 
-    /** Keeps a slot for a sibling's request; returns false when none is free. */
+    /** Holds a slot for a sibling's request; false when none is free. */
     offer(id: string): boolean {
-        return this.#leaving.size === 0 && this.#entrance.offers.make(id);
+        return !this.isClosed && this.#queue.offers.make(id);
     }
 
     /** Takes an offer back if it was not used. */
-    withdraw(id: string): void {
-        if (this.#entrance.offers.withdraw(id)) {
-            this.#entrance.advance();
+    withdrawOffer(id: string): void {
+        if (this.#queue.offers.withdraw(id)) {
+            this.#queue.advance();
         }
     }
 
     /** Hands waiting requests back to their ingresses, one for each offer that a sibling has made. */
-    handBack(goTo: string, offers: readonly string[]): number {
-        return this.#entrance.handBack(goTo, offers);
-    }
-
-    /** Slots that are neither in use nor held. */
-    get free(): number {
-        return this.#admission.free;
-    }
-
-    get waiting(): number {
-        return this.#admission.waiting;
-    }
-
-    close(): Promise<void> {
-        return this.#client.close();
+    handBack(goTo: UpstreamName, offers: readonly string[]): number {
+        return this.#queue.handBack(goTo, offers);
     }
 
     /** The note of an answer, or of a refusal. */
@@ -177,71 +158,68 @@
         return { ...this.parts.identity.note(this.parts.clock()), report: more.report ?? this.report(), ...more };
     }
 
-    #meanAgeMs(): number {
-        const now = this.parts.clock();
-        let sumMs = 0;
-        for (const run of this.#runs) {
-            sumMs += run.ageMs(now);
+    /** Throws for a request that belongs elsewhere, or that the ledger does not let run. */
+    async #admit(request: GateRequest): Promise<void> {
+        this.#refuseIfClosed();
+        if (await this.#pace.shouldSendOn(request.choices)) {
+            throw this.#refusals.make("slow");
         }
-        return this.#runs.size === 0 ? 0 : sumMs / this.#runs.size;
-    }
-
-    #refuseIfLeaving(): void {
-        if (this.#leaving.size > 0) {
-            throw this.#refuse("leaving");
+        this.#refuseIfClosed();
+        if (request.call.cancel.aborted) {
+            throw this.#refusals.make("caller-left");
+        }
+        if (request.once) {
+            const { head } = request.call;
+            const admitted = this.parts.ledger.admit(head.id, request.deadline, request.arrivedAt);
+            if (admitted !== "admitted") {
+                throw this.#refusals.make(`ledger-${admitted}`);
+            }
         }
+        this.parts.onChange();
     }
 
-    /** For a request that can go elsewhere. */
-    async #refuseIfSlow(call: GateCall): Promise<void> {
-        if (await this.#pace.isSlow()) {
-            throw this.#refuse("slow");
-        }
-        this.#refuseIfLeaving();
-        if (call.cancel.aborted) {
-            throw this.#refuse("caller-left");
+    #refuseIfClosed(): void {
+        if (this.isClosed) {
+            throw this.#refusals.make("leaving");
         }
     }
 
-    async #run(ticket: Ticket): Promise<GateAnswer> {
+    async #run(request: GateRequest): Promise<GateAnswer> {
         const { clock } = this.parts;
-        if (!this.#entrance.start(ticket)) {
-            throw this.#refuse("deadline-or-revoked");
+        if (!this.#queue.start(request)) {
+            throw this.#refusals.make("deadline-or-revoked");
         }
-        const ended = (serviceMs: number | undefined): void => {
-            this.#runs.delete(run);
-            this.#finished += 1;
-            this.#entrance.release(serviceMs, { rule: ticket.rule, pace: this.#pace.last });
+        const onEnd = (serviceMs: number | undefined): void => {
+            this.#running.remove(run);
+            this.#queue.release(serviceMs, { rule: request.rule, pace: this.#pace.last });
             this.parts.onChange();
         };
         const startedAt = clock();
-        const run = new UpstreamRun(ticket, { ...this.parts, client: this.#client, ended });
-        this.#runs.add(run);
+        const run = new UpstreamRun(request, { ...this.parts, client: this.#client, onEnd });
+        this.#running.add(run);
         try {
             const { leaving, calls, retriedBelow, unframed, ...answer } = await run.send();
             if (leaving) {
-                this.leave(UPSTREAM_REASON);
+                this.close("upstream");
             }
-            const tookMs = clock() - ticket.arrivedAt;
+            const tookMs = clock() - request.arrivedAt;
             const report = this.report();
-            this.#log.answered(ticket, answer.status, startedAt - ticket.arrivedAt, tookMs, report);
+            this.#log.answered(request, answer.status, startedAt - request.arrivedAt, tookMs, report);
             return { ...answer, note: this.note({ tookMs, calls, retriedBelow, unframed, report }) };
         }
         catch (err) {
-            throw this.#turn(err);
+            throw this.#toHopError(err);
         }
     }
 
-    #turn(err: unknown): HopError {
-        const failure = err instanceof UpstreamError ? err : new UpstreamError(true, "gate-error", { cause: err });
-        if (failure.reason === "leaving" || failure.reason === "misdirected") {
-            this.leave(UPSTREAM_REASON);
+    #toHopError(err: unknown): HopError {
+        const reason = err instanceof UpstreamError ? err.reason : "gate-error";
+        if (reason === "gate-error") {
+            logger.trouble("A request failed at its gate.", err, { upstream: this.upstream.name });
         }
-        return this.#refuse(failure.reason, failure.sent ? "unknown" : "not-run");
-    }
-
-    #refuse(reason: string, outcome: "not-run" | "unknown" = "not-run", more: Partial<AnswerNote> = {}): HopError {
-        this.#refused += 1;
-        return new HopError(outcome, reason, this.note({ outcome, reason, ...more }));
+        if (reason === "leaving" || reason === "misdirected") {
+            this.close("upstream");
+        }
+        return this.#refusals.make(reason);
     }
 }
--- a/src/gate/gatelog.ts
+++ b/src/gate/gatelog.ts
@@ -1,19 +1,19 @@
 /** What a gate logs of requests; the same id stands in the ingress's lines. */
-import type { Vocabulary } from "../dialect/vocabulary.js";
+import type { Dialect } from "../dialect/dialect.js";
 import { HopError } from "../hop/hoperror.js";
 import { log } from "../log/log.js";
 import type { LoadReport } from "../policy/placement/loadreport.js";
-import type { Ticket } from "./ticket.js";
+import type { GateRequest } from "./gaterequest.js";
 
 const logger = log("gate");
 
 /** One line for each call. */
 export class GateLog {
-    constructor(private readonly upstream: string, private readonly vocabulary: Vocabulary) {}
+    constructor(private readonly upstream: string, private readonly dialect: Dialect) {}
 
-    answered(ticket: Ticket, status: number, waitedMs: number, tookMs: number, report: LoadReport): void {
-        logger.decision(this.#idOf(ticket), "The upstream has answered.", {
-            try: ticket.call.head.id,
+    answered(request: GateRequest, status: number, waitedMs: number, tookMs: number, report: LoadReport): void {
+        logger.decision(this.#idOf(request), "The upstream has answered.", {
+            try: request.call.head.id,
             status,
             waitedMs: Math.round(waitedMs),
             tookMs: Math.round(tookMs),
@@ -21,19 +21,19 @@
         });
     }
 
-    refused(ticket: Ticket, err: unknown, report: LoadReport): void {
+    refused(request: GateRequest, err: unknown, report: LoadReport): void {
         const { outcome, reason } = err instanceof HopError ? err : { outcome: "unknown", reason: String(err) };
-        logger.failure(this.#idOf(ticket), "The gate has no answer.", {
-            try: ticket.call.head.id,
+        logger.failure(this.#idOf(request), "The gate has no answer.", {
+            try: request.call.head.id,
             outcome,
             reason,
-            choices: ticket.choices,
+            choices: request.choices,
             ...this.#state(report),
         });
     }
 
-    #idOf(ticket: Ticket): string {
-        return this.vocabulary.idOf(ticket.call.headers, ticket.call.head.id);
+    #idOf(request: GateRequest): string {
+        return this.dialect.idOf(request.call.headers, request.call.head.id);
     }
 
     #state({ running, waiting, limit, serviceMs, pace }: LoadReport): object {
--- a/src/gate/gateparts.ts
+++ b/src/gate/gateparts.ts
@@ -1,22 +1,22 @@
 /** What a gate shares with the rest of its daemon. */
-import type { Vocabulary } from "../dialect/vocabulary.js";
+import type { Dialect } from "../dialect/dialect.js";
 import type { ServiceName } from "../ids/servicename.js";
 import type { Ledger } from "../ledger/ledger.js";
 import type { LimitName } from "../policy/admission/limitname.js";
 import type { Clock } from "../time/clock.js";
-import type { Contexts } from "./contexts.js";
+import type { CallContexts } from "./callcontexts.js";
 import type { GateIdentity } from "./gateidentity.js";
 
 /**
- * `localIp` is where connections go out from; `onChange` hears of each arrival and each end; `mayAsk` spends one
+ * `localIp` is where connections go out from; `onChange` is called at each arrival and each end; `mayAsk` spends one
  * question from the budget of measuring.
  */
 export type GateParts = {
     readonly clock: Clock;
     readonly ledger: Ledger;
-    readonly contexts: Contexts;
+    readonly contexts: CallContexts;
     readonly identity: GateIdentity;
-    readonly vocabulary: Vocabulary;
+    readonly dialect: Dialect;
     readonly limit: LimitName;
     readonly localIp: string;
     readonly onChange: () => void;
--- /dev/null
+++ b/src/gate/gaterefusals.ts
@@ -0,0 +1,23 @@
+/** Makes and counts a gate's refusals. */
+import { HopError } from "../hop/hoperror.js";
+import type { Reason } from "../policy/retry/reason.js";
+import { reasons } from "../policy/retry/reasons.js";
+import type { AnswerNote } from "../wire/answernote.js";
+
+/** Whether a refused request is proven not to have run stands in the table of reasons; the ledger sees to it that it holds. */
+export class GateRefusals {
+    #count = 0;
+
+    /** `note` makes the note of an answer, with the gate's load as it is now. */
+    constructor(private readonly note: (more: Partial<AnswerNote>) => AnswerNote) {}
+
+    get count(): number {
+        return this.#count;
+    }
+
+    make(reason: Reason, more: Partial<AnswerNote> = {}): HopError {
+        this.#count += 1;
+        const outcome = reasons[reason].proves === "unknown" ? "unknown" : "not-run";
+        return new HopError(outcome, reason, this.note({ outcome, reason, ...more }));
+    }
+}
--- a/src/gate/gaterequest.ts
+++ b/src/gate/gaterequest.ts
@@ -1,38 +1,35 @@
-/** One call at a gate, from arrival to its end. */
+/** One request at a gate, from its arrival to its end. */
 import type { Priority } from "../config/priority.js";
 import type { GateCall } from "../hop/gatecall.js";
 import { HopError } from "../hop/hoperror.js";
 import type { Cancel } from "../http/cancel.js";
 import type { RuleName } from "../ids/rulename.js";
-import type { TenantName } from "../ids/tenantname.js";
+import type { TeamName } from "../ids/teamname.js";
 import type { Waiting } from "../policy/admission/waiting.js";
 import type { GateIdentity } from "./gateidentity.js";
 
-/** A `once` call must name this life of the gate and carry its clock; `deadline` is on that clock. */
-export class Ticket implements Waiting {
+/** A `once` request must name this life of the gate and carry its clock; `deadline` is on that clock. */
+export class GateRequest implements Waiting {
     readonly priority: Priority;
-    readonly tenant: TenantName;
+    readonly team: TeamName;
     readonly maxWaitMs: number;
     readonly deadline: number;
     readonly once: boolean;
     readonly arrivedAt: number;
-    #go: () => void = () => {};
-    #refuse: (err: HopError) => void = () => {};
+    #resolve: () => void = () => {};
+    #reject: (err: HopError) => void = () => {};
 
     constructor(readonly call: GateCall, identity: GateIdentity, now: number) {
         const { head } = call;
         this.arrivedAt = now;
         this.priority = head.priority;
-        this.tenant = head.tenant;
+        this.team = head.team;
         this.maxWaitMs = head.maxWaitMs;
         this.once = head.kind === "once";
         const stale = head.incarnation !== undefined && head.incarnation !== identity.incarnation;
         if (stale || (this.once && (head.incarnation === undefined || head.gateTime === undefined))) {
-            throw new HopError("not-run", "incarnation", {
-                ...identity.note(now),
-                outcome: "not-run",
-                reason: "incarnation",
-            });
+            const note = { ...identity.note(now), outcome: "not-run" as const, reason: "incarnation" };
+            throw new HopError("not-run", "incarnation", note);
         }
         this.deadline = Math.min(now, head.gateTime ?? now) + head.remainingMs;
     }
@@ -55,23 +52,25 @@
         return this.call.head.offer === undefined;
     }
 
-    /** Resolves when it is the request's turn; rejects with a HopError when it is refused. */
-    turn(): Promise<void> {
+    /** Resolves when a slot is free for the request; rejects with a HopError when it is refused. */
+    waitForSlot(): Promise<void> {
         return new Promise((resolve, reject) => {
-            this.#go = resolve;
-            this.#refuse = reject;
+            this.#resolve = resolve;
+            this.#reject = reject;
         });
     }
 
-    go(): void {
-        this.#go();
+    /** Ends its wait: a slot is free. */
+    grantSlot(): void {
+        this.#resolve();
     }
 
+    /** Ends its wait: it does not run here. */
     refuse(err: HopError): void {
-        this.#refuse(err);
+        this.#reject(err);
     }
 
-    /** Aborts a repeatable request whose caller has left; a running `once` request is let finish. */
+    /** Aborts a repeatable request whose caller has gone; a `once` request that runs is let finish. */
     upstreamCancel(): Cancel | undefined {
         return this.once ? undefined : this.call.cancel;
     }
--- a/src/gate/offers.ts
+++ b/src/gate/offers.ts
@@ -1,12 +1,12 @@
 /** Slots that a gate keeps for requests that a sibling hands back. */
 import type { Admission } from "../policy/admission/admission.js";
-import type { Ticket } from "./ticket.js";
+import type { GateRequest } from "./gaterequest.js";
 
 /** Each offer holds one slot until it is used or withdrawn. */
 export class Offers {
     readonly #open = new Set<string>();
 
-    constructor(private readonly admission: Admission<Ticket>) {}
+    constructor(private readonly admission: Admission<GateRequest>) {}
 
     /** Holds a slot; false when none is free. */
     make(id: string): boolean {
--- a/src/gate/paceprobe.test.ts
+++ b/src/gate/paceprobe.test.ts
@@ -1,34 +1,34 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { PaceWatch } from "./pacewatch.js";
+import { PaceProbe } from "./paceprobe.js";
 
 const LATER_MS = 1000;
 
 /** A watch whose questions are answered with `told`, and the process stands still for `stallMs` before it reads on. */
-const watchOf = (told: number | undefined, stallMs: number): PaceWatch => {
+const watchOf = (told: number | undefined, stallMs: number): PaceProbe => {
     let now = 0;
-    const watch: PaceWatch = new PaceWatch({
+    const probe: PaceProbe = new PaceProbe({
         clock: () => now,
         mayAsk: () => true,
         ask: async () => {
             if (told === undefined) {
                 throw new Error("no word");
             }
-            watch.heard(told);
+            probe.record(told);
             now += stallMs;
         },
     });
-    watch.heard(1);
+    probe.record(1);
     now += LATER_MS;
-    return watch;
+    return probe;
 };
 
 test("pace: an answer to this request's question is believed, however long the process stood still", async () => {
-    assert.equal(await watchOf(4, 0).isSlow(), true);
-    assert.equal(await watchOf(4, LATER_MS).isSlow(), true);
-    assert.equal(await watchOf(1, LATER_MS).isSlow(), false);
+    assert.equal(await watchOf(4, 0).shouldSendOn(1), true);
+    assert.equal(await watchOf(4, LATER_MS).shouldSendOn(1), true);
+    assert.equal(await watchOf(1, LATER_MS).shouldSendOn(1), false);
 });
 
 test("pace: without an answer nothing is held against the upstream", async () => {
-    assert.equal(await watchOf(undefined, 0).isSlow(), false);
+    assert.equal(await watchOf(undefined, 0).shouldSendOn(1), false);
 });
--- a/src/gate/paceprobe.ts
+++ b/src/gate/paceprobe.ts
@@ -1,42 +1,40 @@
-/** Knows how fast the upstream works, and asks it when its last word is too old. */
+/** Knows the pace of the upstream, and asks the upstream when its last report is too old to decide by. */
 import { log } from "../log/log.js";
 import { Pace } from "../policy/failure/pace.js";
+import { checkPace } from "../policy/failure/pacecheck.js";
 import type { Clock } from "../time/clock.js";
 
 const logger = log("gate");
 
-/** The upstream's word is the present for so long. */
-const BELIEVE_MS = 30;
-
-/** `mayAsk` spends one question from the budget; `ask` rejects when the upstream says nothing in time. */
-type PaceWatchParts = {
+/** `mayAsk` spends one question from the budget; `ask` rejects when the upstream does not answer in time. */
+type PaceProbeParts = {
     readonly clock: Clock;
     readonly mayAsk: () => boolean;
     readonly ask: () => Promise<void>;
 };
 
 /** Questions at the same time share one. */
-export class PaceWatch {
-    readonly #pace = new Pace(BELIEVE_MS);
+export class PaceProbe {
+    readonly #pace = new Pace();
     #asking: Promise<boolean> | undefined;
 
-    constructor(private readonly parts: PaceWatchParts) {}
+    constructor(private readonly parts: PaceProbeParts) {}
 
-    /** The last word; undefined of an upstream that never says. */
+    /** The last report; undefined of an upstream that never reports. */
     get last(): number | undefined {
         return this.#pace.last;
     }
 
-    heard(pace: number): void {
+    record(pace: number): void {
         this.#pace.observe(pace, this.parts.clock());
     }
 
-    /** True when the upstream is slow at this moment, by a word that is fresh. */
-    async isSlow(): Promise<boolean> {
+    /** True when a request with so many other choices should go elsewhere, by a report that is fresh. */
+    async shouldSendOn(choices: number): Promise<boolean> {
         const { clock, mayAsk } = this.parts;
-        const now = clock();
-        if (!this.#pace.isStale(now)) {
-            return this.#pace.isSlow(now);
+        const check = checkPace(this.#pace, choices, clock());
+        if (check !== "ask") {
+            return check === "slow";
         }
         if (this.#asking === undefined && !mayAsk()) {
             return false;
@@ -45,7 +43,7 @@
         return await this.#asking;
     }
 
-    /** Resolves with whether the answer says slow; by the time it was heard, so that a stall here ages no answer. */
+    /** Resolves with whether the answer says slow; by the time of the question, so that a stall here ages no answer. */
     async #ask(): Promise<boolean> {
         const askedAt = this.parts.clock();
         try {
@@ -53,7 +51,7 @@
             return this.#pace.isSlowSince(askedAt);
         }
         catch (err) {
-            logger.trouble("The upstream said nothing of its pace.", err);
+            logger.trouble("The upstream did not report its pace.", err);
             return false;
         }
         finally {
--- /dev/null
+++ b/src/gate/runningrequests.ts
@@ -0,0 +1,30 @@
+/** What runs at one upstream. */
+import type { UpstreamRun } from "./upstreamrun.js";
+
+/** Counts since the gate was made. */
+export class RunningRequests {
+    readonly #runs = new Set<UpstreamRun>();
+    #finished = 0;
+
+    get finished(): number {
+        return this.#finished;
+    }
+
+    add(run: UpstreamRun): void {
+        this.#runs.add(run);
+    }
+
+    remove(run: UpstreamRun): void {
+        this.#runs.delete(run);
+        this.#finished += 1;
+    }
+
+    /** How long what runs has run, on average; 0 while nothing runs. */
+    meanAgeMs(now: number): number {
+        let sumMs = 0;
+        for (const run of this.#runs) {
+            sumMs += run.ageMs(now);
+        }
+        return this.#runs.size === 0 ? 0 : sumMs / this.#runs.size;
+    }
+}
--- a/src/gate/slotqueue.ts
+++ b/src/gate/slotqueue.ts
@@ -1,107 +1,123 @@
-/** The way into one gate's slots: who runs, who waits, and what becomes of those whose turn never comes. */
-import type { HopError } from "../hop/hoperror.js";
+/**
+ * The queue in front of one gate's slots: who runs, who waits, and what becomes of those who never get a slot.
+ *
+ * Carries out what policy/admission decides; owns the timers of those who wait and the slots held for siblings' requests.
+ */
+import type { UpstreamName } from "../ids/upstreamname.js";
 import type { Ledger } from "../ledger/ledger.js";
 import type { Admission } from "../policy/admission/admission.js";
+import { waitLimit } from "../policy/admission/waitlimit.js";
+import type { Reason } from "../policy/retry/reason.js";
 import type { Clock } from "../time/clock.js";
-import type { AnswerNote } from "../wire/answernote.js";
+import type { GateRefusals } from "./gaterefusals.js";
+import type { GateRequest } from "./gaterequest.js";
 import { Offers } from "./offers.js";
-import type { Ticket } from "./ticket.js";
 
-/** What an entrance shares with its gate; `refuse` makes and counts a refusal. */
-type EntranceParts = {
+/** What the queue shares with its gate. */
+type QueueParts = {
     readonly clock: Clock;
     readonly ledger: Ledger;
-    readonly admission: Admission<Ticket>;
-    readonly refuse: (reason: string, more?: Partial<AnswerNote>) => HopError;
+    readonly admission: Admission<GateRequest>;
+    readonly refusals: GateRefusals;
 };
 
+type Ended = Parameters<Admission<GateRequest>["finish"]>[1];
+
 /** Every refusal is `not-run`, and the ledger sees to it that it stays so. */
-export class Entrance {
+export class SlotQueue {
     readonly offers: Offers;
 
-    constructor(private readonly parts: EntranceParts) {
+    constructor(private readonly parts: QueueParts) {
         this.offers = new Offers(parts.admission);
     }
 
     /** Resolves when the request may run; rejects with a HopError when it is refused. */
-    async enter(ticket: Ticket): Promise<void> {
-        const { admission, clock, refuse } = this.parts;
-        const { head, cancel } = ticket.call;
-        const verdict = admission.arrive(ticket, clock(), this.offers.take(head.offer));
+    async enter(request: GateRequest): Promise<void> {
+        const { admission, clock, refusals } = this.parts;
+        const verdict = admission.arrive(request, clock(), this.offers.take(request.call.head.offer));
         if (verdict.type === "run") {
             return;
         }
         if (verdict.type === "refuse") {
-            this.withdraw(ticket);
-            throw refuse(verdict.refusal.reason, { retryAfterMs: verdict.refusal.retryAfterMs });
-        }
-        const forget = cancel.onAbort(() => this.#abandon(ticket, "caller-left"));
-        const leftMs = ticket.deadline - clock();
-        const timer = ticket.maxWaitMs < leftMs
-            ? setTimeout(() => this.#abandon(ticket, "wait-too-long", admission.retryAfterMs(ticket)), ticket.maxWaitMs)
-            : setTimeout(() => this.#abandon(ticket, "deadline"), leftMs);
-        try {
-            await ticket.turn();
-        }
-        finally {
-            clearTimeout(timer);
-            forget();
+            this.withdraw(request);
+            const { reason, retryAfterMs } = verdict.refusal;
+            throw refusals.make(reason, { retryAfterMs });
         }
+        await this.#wait(request);
     }
 
-    /** False when the request's time is up or it was taken back meanwhile; then its slot is free again. */
-    start(ticket: Ticket): boolean {
+    /** False when the request's deadline has passed or it was revoked meanwhile; then its slot is free again. */
+    start(request: GateRequest): boolean {
         const { clock, ledger } = this.parts;
         const now = clock();
-        if (now < ticket.deadline && (!ticket.once || ledger.start(ticket.call.head.id, now))) {
+        if (now < request.deadline && (!request.once || ledger.start(request.call.head.id, now))) {
             return true;
         }
-        this.withdraw(ticket);
+        this.withdraw(request);
         this.release(undefined);
         return false;
     }
 
-    /** Takes in that a request has ended, and lets the next ones in. */
-    release(serviceMs: number | undefined, ended: Parameters<Admission<Ticket>["finish"]>[1] = {}): void {
+    /** Records that a request has ended, and lets the next ones run. */
+    release(serviceMs: number | undefined, ended: Ended = {}): void {
         this.parts.admission.finish(serviceMs, ended);
         this.advance();
     }
 
-    /** Lets in what may run now. */
+    /** Lets run what may run now. */
     advance(): void {
-        const { run, late } = this.parts.admission.next(this.parts.clock());
-        for (const ticket of late) {
-            this.withdraw(ticket);
-            ticket.refuse(this.parts.refuse("deadline"));
+        const { admission, clock, refusals } = this.parts;
+        const { run, late } = admission.next(clock());
+        for (const request of late) {
+            this.withdraw(request);
+            request.refuse(refusals.make("deadline"));
         }
-        for (const ticket of run) {
-            ticket.go();
+        for (const request of run) {
+            request.grantSlot();
         }
     }
 
     /** Hands waiting requests back to their ingresses, one for each offer that a sibling has made. */
-    handBack(goTo: string, offers: readonly string[]): number {
+    handBack(goTo: UpstreamName, offers: readonly string[]): number {
+        const { admission, refusals } = this.parts;
         const ids = [...offers];
-        const tickets = this.parts.admission.handBack(ids.length, ticket => ticket.movable);
-        for (const ticket of tickets) {
-            this.withdraw(ticket);
-            ticket.refuse(this.parts.refuse("handed-back", { goTo: goTo as never, offer: ids.shift() }));
+        const requests = admission.handBack(ids.length, request => request.movable);
+        for (const request of requests) {
+            this.withdraw(request);
+            request.refuse(refusals.make("handed-back", { goTo, offer: ids.shift() }));
         }
-        return tickets.length;
+        return requests.length;
     }
 
     /** Leaves a tombstone, so that a request that was refused can't run later. */
-    withdraw(ticket: Ticket): void {
-        if (ticket.once) {
-            this.parts.ledger.revoke(ticket.call.head.id, ticket.deadline, this.parts.clock());
+    withdraw(request: GateRequest): void {
+        if (request.once) {
+            this.parts.ledger.revoke(request.call.head.id, request.deadline, this.parts.clock());
+        }
+    }
+
+    async #wait(request: GateRequest): Promise<void> {
+        const { admission, clock } = this.parts;
+        const { afterMs, reason } = waitLimit(request.maxWaitMs, request.deadline - clock());
+        const timer = setTimeout(() => {
+            const retryAfterMs = reason === "wait-too-long" ? admission.retryAfterMs(request) : undefined;
+            this.#giveUp(request, reason, retryAfterMs);
+        }, afterMs);
+        const forget = request.call.cancel.onAbort(() => this.#giveUp(request, "caller-left"));
+        try {
+            await request.waitForSlot();
+        }
+        finally {
+            clearTimeout(timer);
+            forget();
         }
     }
 
-    /** Gives up a request that still waits: it has not run. */
-    #abandon(ticket: Ticket, reason: string, retryAfterMs?: number): void {
-        if (this.parts.admission.leave(ticket)) {
-            this.withdraw(ticket);
-            ticket.refuse(this.parts.refuse(reason, { retryAfterMs }));
+    /** Refuses a request that still waits: it has not run. */
+    #giveUp(request: GateRequest, reason: Reason, retryAfterMs?: number): void {
+        if (this.parts.admission.leave(request)) {
+            this.withdraw(request);
+            request.refuse(this.parts.refusals.make(reason, { retryAfterMs }));
         }
     }
 }
--- a/src/gate/upstreamclient.ts
+++ b/src/gate/upstreamclient.ts
@@ -1,8 +1,8 @@
 /** The one client of an upstream: HTTP/1.1 with no retries and no pipelining. */
 import type { Readable } from "node:stream";
 import type { Upstream } from "../config/upstream.js";
+import type { Dialect } from "../dialect/dialect.js";
 import type { UpstreamLoad } from "../dialect/upstreamload.js";
-import type { Vocabulary } from "../dialect/vocabulary.js";
 import type { GateCall } from "../hop/gatecall.js";
 import type { Cancel } from "../http/cancel.js";
 import { isConnectError } from "../http/connecterror.js";
@@ -14,11 +14,11 @@
 /** The upstream's answer as it comes. */
 type UpstreamAnswer = { readonly status: number; readonly headers: HttpHeaders; readonly body: Readable; };
 
-/** Where and how to reach the upstream; `heard` takes in what it says of its load. */
+/** Where and how to reach the upstream; `onLoad` is told what it reports of its load. */
 type ClientOptions = {
     readonly localIp: string;
-    readonly vocabulary: Vocabulary;
-    readonly heard: (load: UpstreamLoad) => void;
+    readonly dialect: Dialect;
+    readonly onLoad: (load: UpstreamLoad) => void;
 };
 
 /** Sends requests and tells what is proven when one fails. */
@@ -32,23 +32,23 @@
 
     /** Sends a request; throws an UpstreamError. An answer that is not to this request is an error. */
     async send(call: GateCall, headers: HttpHeaders, cancel: Cancel | undefined): Promise<UpstreamAnswer> {
-        const { vocabulary } = this.options;
+        const { dialect } = this.options;
         const connection = this.#take();
         const answer = await this.#request(connection, call, headers, cancel);
-        const reason = vocabulary.notRun(answer.status, answer.headers);
+        const reason = dialect.notRun(answer.status, answer.headers);
         if (reason !== undefined) {
             answer.body.resume();
-            throw new UpstreamError(false, reason);
+            throw new UpstreamError(reason);
         }
-        if (!vocabulary.isOwnAnswer(answer.status, answer.headers, String(headers[vocabulary.requestId]))) {
+        if (!dialect.isOwnAnswer(answer.status, answer.headers, String(headers[dialect.requestId]))) {
             answer.body.destroy();
             this.#drop(connection);
-            throw new UpstreamError(true, "foreign-answer");
+            throw new UpstreamError("foreign-answer");
         }
         return answer;
     }
 
-    /** Asks the upstream's health endpoint; its load is taken in by the way. Throws what the connection throws. */
+    /** Asks the upstream's health endpoint; what it reports of its load is recorded. Throws what the connection throws. */
     async ask(path: string, timeoutMs: number): Promise<{ readonly status: number; readonly headers: HttpHeaders; }> {
         const connection = this.#take();
         try {
@@ -58,7 +58,7 @@
                 signal: AbortSignal.timeout(timeoutMs),
             });
             await body.dump();
-            this.#hear(headers);
+            this.#readLoad(headers);
             return { status: statusCode, headers };
         }
         finally {
@@ -93,10 +93,10 @@
         connection.destroy();
     }
 
-    #hear(headers: HttpHeaders): void {
-        const load = this.options.vocabulary.load(headers);
+    #readLoad(headers: HttpHeaders): void {
+        const load = this.options.dialect.load(headers);
         if (load !== undefined) {
-            this.options.heard(load);
+            this.options.onLoad(load);
         }
     }
 
@@ -114,15 +114,14 @@
                 body: call.body,
                 signal: cancel,
             });
-            this.#hear(answer.headers);
+            this.#readLoad(answer.headers);
             const body = guardBody(connection.whole(answer));
             body.once("close", () => this.#give(connection));
             return { status: answer.statusCode, headers: answer.headers, body };
         }
         catch (err) {
             this.#give(connection);
-            const unsent = isConnectError(err);
-            throw new UpstreamError(!unsent, unsent ? "unreachable" : "upstream-broke", { cause: err });
+            throw new UpstreamError(isConnectError(err) ? "unreachable" : "upstream-broke", { cause: err });
         }
     }
 }
--- a/src/gate/upstreamerror.ts
+++ b/src/gate/upstreamerror.ts
@@ -1,8 +1,15 @@
 /** The error of the layer that talks to an upstream. */
+import type { Reason } from "../policy/retry/reason.js";
 
-/** `sent` is false when it is proven that the upstream has not run the request. */
+/** What may go wrong there; policy/retry/reasons.ts says which of them prove that the request has not run. */
+type UpstreamReason = Extract<
+    Reason,
+    "shed" | "leaving" | "misdirected" | "foreign-answer" | "unreachable" | "upstream-broke"
+>;
+
+/** An attempt that brought no answer of the upstream to the request. */
 export class UpstreamError extends Error {
-    constructor(readonly sent: boolean, readonly reason: string, options?: ErrorOptions) {
+    constructor(readonly reason: UpstreamReason, options?: ErrorOptions) {
         super(reason, options);
         this.name = "UpstreamError";
     }
--- a/src/gate/upstreamrun.ts
+++ b/src/gate/upstreamrun.ts
@@ -1,26 +1,27 @@
 /** One request at the upstream, from its start to the end of its answer. */
 import { PassThrough, type Readable } from "node:stream";
-import type { Vocabulary } from "../dialect/vocabulary.js";
+import type { Dialect } from "../dialect/dialect.js";
 import type { GateAnswer } from "../hop/gateanswer.js";
 import { Cancel } from "../http/cancel.js";
 import { cleanHeaders } from "../http/cleanheaders.js";
 import type { HttpHeaders } from "../http/httpheaders.js";
 import type { Ledger } from "../ledger/ledger.js";
+import { reasons } from "../policy/retry/reasons.js";
 import type { Clock } from "../time/clock.js";
-import type { Contexts } from "./contexts.js";
+import type { CallContexts } from "./callcontexts.js";
+import type { GateRequest } from "./gaterequest.js";
 import { isFramed } from "./isframed.js";
-import type { Ticket } from "./ticket.js";
 import type { UpstreamClient } from "./upstreamclient.js";
 import { UpstreamError } from "./upstreamerror.js";
 
-/** What a run needs; `ended` is called once, with the service time when the upstream served the request. */
+/** What a run needs; `onEnd` is called once, with the service time when the upstream served the request. */
 type RunParts = {
     readonly clock: Clock;
     readonly ledger: Ledger;
-    readonly contexts: Contexts;
-    readonly vocabulary: Vocabulary;
+    readonly contexts: CallContexts;
+    readonly dialect: Dialect;
     readonly client: UpstreamClient;
-    readonly ended: (serviceMs: number | undefined) => void;
+    readonly onEnd: (serviceMs: number | undefined) => void;
 };
 
 /** An upstream that is silent for so long past the deadline is cut off, so that its slot is not held for ever. */
@@ -38,17 +39,17 @@
 export class UpstreamRun {
     readonly #startedAt: number;
     readonly #requestId: string;
-    readonly #context: ReturnType<Contexts["open"]>;
+    readonly #context: ReturnType<CallContexts["open"]>;
     readonly #cancel = new Cancel();
     readonly #overtime: NodeJS.Timeout;
     #open = true;
 
-    constructor(private readonly ticket: Ticket, private readonly parts: RunParts) {
+    constructor(private readonly request: GateRequest, private readonly parts: RunParts) {
         this.#startedAt = parts.clock();
-        const { headers, head } = ticket.call;
-        this.#requestId = parts.vocabulary.idOf(headers, head.id);
-        this.#context = parts.contexts.open(this.#requestId, ticket.deadline, ticket.call.head.depth);
-        this.#overtime = setTimeout(() => this.#cancel.abort(), ticket.deadline - this.#startedAt + OVERTIME_MS);
+        const { headers, head } = request.call;
+        this.#requestId = parts.dialect.idOf(headers, head.id);
+        this.#context = parts.contexts.open(this.#requestId, request.deadline, request.call.head.depth);
+        this.#overtime = setTimeout(() => this.#cancel.abort(), request.deadline - this.#startedAt + OVERTIME_MS);
     }
 
     /** How long it has run, in milliseconds. */
@@ -58,15 +59,15 @@
 
     /** Sends the request; throws an UpstreamError, and then the run has ended. */
     async send(): Promise<RunAnswer> {
-        const { ticket, parts } = this;
-        const left = ticket.upstreamCancel();
-        const forget = left?.onAbort(() => this.#cancel.abort());
-        if (left?.aborted) {
+        const { request, parts } = this;
+        const callerCancel = request.upstreamCancel();
+        const forget = callerCancel?.onAbort(() => this.#cancel.abort());
+        if (callerCancel?.aborted) {
             this.#cancel.abort();
         }
         try {
-            const answer = await parts.client.send(ticket.call, this.#headers(), this.#cancel);
-            const streamed = ticket.call.head.answer === "streamed";
+            const answer = await parts.client.send(request.call, this.#headers(), this.#cancel);
+            const streamed = request.call.head.answer === "streamed";
             if (streamed) {
                 this.#end(true);
             }
@@ -74,15 +75,15 @@
                 status: answer.status,
                 headers: cleanHeaders(answer.headers),
                 body: streamed ? answer.body : this.#watch(answer.body),
-                leaving: parts.vocabulary.isLeaving(answer.headers),
+                leaving: parts.dialect.isLeaving(answer.headers),
                 calls: this.#context.calls,
                 retriedBelow: this.#context.retriedBelow,
                 unframed: !isFramed(answer.headers),
             };
         }
         catch (err) {
-            if (ticket.once && err instanceof UpstreamError && !err.sent) {
-                parts.ledger.disprove(ticket.call.head.id);
+            if (request.once && err instanceof UpstreamError && reasons[err.reason].proves === "not-run") {
+                parts.ledger.disprove(request.call.head.id);
             }
             forget?.();
             this.#end(false);
@@ -93,7 +94,7 @@
     /** Ends the run with the body; a `once` request's answer is read to its end whoever has left. */
     #watch(body: Readable): Readable {
         body.on("close", () => this.#end(true));
-        if (!this.ticket.once) {
+        if (!this.request.once) {
             return body;
         }
         const out = new PassThrough();
@@ -104,14 +105,14 @@
     }
 
     #headers(): HttpHeaders {
-        const { call, deadline } = this.ticket;
-        const { vocabulary } = this.parts;
+        const { call, deadline } = this.request;
+        const { dialect } = this.parts;
         return {
             ...call.headers,
-            [vocabulary.context]: this.#context.token,
-            [vocabulary.requestId]: this.#requestId,
-            [vocabulary.upstream]: call.head.upstream,
-            [vocabulary.timeLimit]: String(Math.max(1, Math.floor(deadline - this.#startedAt))),
+            [dialect.context]: this.#context.token,
+            [dialect.requestId]: this.#requestId,
+            [dialect.upstream]: call.head.upstream,
+            [dialect.timeLimit]: String(Math.max(1, Math.floor(deadline - this.#startedAt))),
         };
     }
 
@@ -122,7 +123,7 @@
         this.#open = false;
         clearTimeout(this.#overtime);
         this.parts.contexts.close(this.#context);
-        this.parts.ledger.finish(this.ticket.call.head.id);
-        this.parts.ended(served ? this.ageMs(this.parts.clock()) : undefined);
+        this.parts.ledger.finish(this.request.call.head.id);
+        this.parts.onEnd(served ? this.ageMs(this.parts.clock()) : undefined);
     }
 }
--- a/src/hop/remotehop.ts
+++ b/src/hop/remotehop.ts
@@ -5,8 +5,12 @@
 import { emptyBuffer } from "../link/emptybuffer.js";
 import { LinkError } from "../link/linkerror.js";
 import { LinkPool } from "../link/linkpool.js";
+import { log } from "../log/log.js";
 import type { PeerClient } from "../peer/peerclient.js";
 import type { PeerOptions } from "../peer/peeroptions.js";
+import { decodeReason } from "../policy/retry/decodereason.js";
+import type { Reason } from "../policy/retry/reason.js";
+import type { AnswerNote } from "../wire/answernote.js";
 import type { CallHead } from "../wire/callhead.js";
 import type { GateAnswer } from "./gateanswer.js";
 import type { GateCall } from "./gatecall.js";
@@ -14,6 +18,8 @@
 import { Hop } from "./hop.js";
 import { HopError } from "./hoperror.js";
 
+const logger = log("peer");
+
 /** Owns the connections to one gate. */
 export class RemoteHop extends Hop {
     readonly clock = new GateClock();
@@ -35,7 +41,7 @@
         const { status, headers, body = emptyBuffer, note } = await this.#request(call);
         this.clock.observe(note.incarnation, note.gateTime, this.options.clock());
         if (note.outcome !== undefined) {
-            throw new HopError(note.outcome, note.reason ?? "no-reason", note);
+            throw new HopError(note.outcome, this.#reasonOf(note), note);
         }
         return { status, headers, body: Buffer.isBuffer(body) ? body : guardBody(body), note };
     }
@@ -63,6 +69,14 @@
         this.#pool.close();
     }
 
+    #reasonOf({ reason: word }: AnswerNote): Reason {
+        const reason = decodeReason(word);
+        if (reason === "unknown-reason") {
+            logger.trouble("A peer refused for a reason that is not known here.", word, { peer: this.address });
+        }
+        return reason;
+    }
+
     /** The head is stamped when it is sent: with the gate's life and clock, so that the gate can tell its delay. */
     #stamp(head: CallHead): void {
         const stamped = head as { incarnation?: CallHead["incarnation"]; gateTime?: number; };
@@ -77,7 +91,7 @@
             return await connection.send(call);
         }
         catch (err) {
-            const { unsent, reason } = err instanceof LinkError ? err : new LinkError("peer-broke", false);
+            const { unsent, reason } = err instanceof LinkError ? err : new LinkError("peer-broke", { cause: err });
             throw new HopError(unsent ? "not-run" : "broken", reason, undefined, { cause: err });
         }
     }
--- a/src/ids/teamname.ts
+++ b/src/ids/teamname.ts
@@ -2,10 +2,10 @@
 import { z } from "zod";
 import { namePattern } from "./namepattern.js";
 
-const TenantName = z.string().regex(namePattern, "must be 1 to 63 letters, digits, dots or hyphens").brand(
-    "TenantName",
+const TeamName = z.string().regex(namePattern, "must be 1 to 63 letters, digits, dots or hyphens").brand(
+    "TeamName",
 );
-type TenantName = z.infer<typeof TenantName>;
+type TeamName = z.infer<typeof TeamName>;
 
 /** The name of the party on whose account a request is served. */
-export { TenantName };
+export { TeamName };
--- a/src/ingress/attempt.ts
+++ b/src/ingress/attempt.ts
@@ -1,33 +1,27 @@
-/** One try of a request at one upstream. */
+/**
+ * One attempt of a request at one upstream.
+ *
+ * Sends the request, records at the upstream's view what came of it, and returns a result. What a reason means stands in
+ * policy/retry/reasons.ts.
+ */
 import type { GateAnswer } from "../hop/gateanswer.js";
 import { HopError } from "../hop/hoperror.js";
 import { abandonBody } from "../http/abandonbody.js";
 import { Cancel } from "../http/cancel.js";
 import { httpStatus } from "../http/httpstatus.js";
 import type { RequestId } from "../ids/requestid.js";
-import { log } from "../log/log.js";
+import { maxWait } from "../policy/admission/maxwait.js";
+import type { AttemptResult } from "../policy/retry/attemptresult.js";
+import type { Reason } from "../policy/retry/reason.js";
+import { reasons } from "../policy/retry/reasons.js";
 import type { CallHead } from "../wire/callhead.js";
-import type { AttemptResult } from "./attemptresult.js";
 import type { IngressParts } from "./ingressparts.js";
-import { maxWaitMs } from "./maxwaitms.js";
-import type { Neighbour } from "./neighbour.js";
 import type { Outgoing } from "./outgoing.js";
 import type { Plan } from "./plan.js";
+import type { RequestLog } from "./requestlog.js";
+import type { UpstreamView } from "./upstreamview.js";
 
-const REDIRECTS: ReadonlySet<string> = new Set([
-    "handed-back",
-    "slow",
-    "busy",
-    "leaving",
-    "incarnation",
-    "no-such-upstream",
-    "stale-rule",
-]);
-const UNREACHABLE: ReadonlySet<string> = new Set(["unreachable", "peer-broke"]);
-
-const logger = log("ingress");
-
-/** What the exchange lends to a try. */
+/** What the request lends to an attempt. */
 type AttemptParts = {
     readonly ingress: IngressParts;
     readonly plan: Plan;
@@ -35,36 +29,42 @@
     readonly choices: number;
     readonly nearChoices: number;
     readonly out: Outgoing;
-    /** Aborts when the caller has left or the time is up. */
-    readonly left: Cancel;
-    readonly deadlinePassed: () => boolean;
-    /** False when another try has answered already. */
+    readonly log: RequestLog;
+    /** Aborts when the caller has gone or the deadline has passed. */
+    readonly ended: Cancel;
+    readonly isDeadlinePassed: () => boolean;
+    /** False when another attempt has answered already. */
     readonly claim: () => boolean;
     /** Sends an answer to the caller; rejects only while nothing has been sent. */
     readonly deliver: (answer: GateAnswer) => Promise<void>;
 };
 
-/** Sends the request once and turns whatever comes of it into a AttemptResult. */
+type Result = AttemptResult<GateAnswer>;
+
+/** Never rejects: whatever comes of the attempt is a result. */
 export class Attempt {
-    readonly #giveUp = new Cancel();
+    readonly #cancel = new Cancel();
     readonly #head: CallHead;
 
     constructor(
-        private readonly neighbour: Neighbour,
+        private readonly target: UpstreamView,
         offer: string | undefined,
         private readonly parts: AttemptParts,
     ) {
         const { ingress, plan, choices, nearChoices } = parts;
+        const { rule, service, startedAt, depth } = plan;
+        const { maxWaitMs: serviceMaxWaitMs } = service;
+        const now = ingress.clock();
         this.#head = {
             id: ingress.newId() as RequestId,
-            upstream: neighbour.upstream,
+            upstream: target.upstream,
             kind: plan.kind,
-            priority: plan.rule.priority,
-            tenant: plan.rule.tenant,
-            answer: plan.rule.answer,
-            remainingMs: Math.max(0, plan.deadline - ingress.clock()),
-            maxWaitMs: maxWaitMs(plan, ingress.clock()),
-            depth: plan.depth,
+            priority: rule.priority,
+            team: rule.tenant,
+            answer: rule.answer,
+            remainingMs: Math.max(0, plan.deadline - now),
+            maxWaitMs: maxWait({ serviceMaxWaitMs, targetMs: rule.targetMs, startedAt, depth }, now),
+            depth,
             revision: ingress.revision(),
             choices,
             nearChoices,
@@ -73,17 +73,17 @@
         };
     }
 
-    /** Gives the try up, since another has answered. */
+    /** Gives the attempt up, since another has answered. */
     cancel(): void {
-        this.#giveUp.abort();
+        this.#cancel.abort();
     }
 
-    async run(): Promise<AttemptResult> {
-        const { neighbour } = this;
-        const { ingress, plan, left } = this.parts;
-        const forget = left.onAbort(() => this.#giveUp.abort());
-        const abandonable = plan.kind === "repeatable" ? this.#giveUp : undefined;
-        neighbour.begin(ingress.clock(), abandonable);
+    async run(): Promise<Result> {
+        const { target } = this;
+        const { ingress, plan, ended } = this.parts;
+        const forget = ended.onAbort(() => this.#cancel.abort());
+        const abandonable = plan.kind === "repeatable" ? this.#cancel : undefined;
+        target.attemptStarted(ingress.clock(), abandonable);
         try {
             return await this.#send();
         }
@@ -91,107 +91,89 @@
             return await this.#explain(err);
         }
         finally {
-            neighbour.end(abandonable);
+            target.attemptEnded(abandonable);
             forget();
         }
     }
 
-    async #send(): Promise<AttemptResult> {
-        const { neighbour } = this;
-        const { ingress, plan, out, left, deliver } = this.parts;
-        if (left.aborted) {
+    async #send(): Promise<Result> {
+        const { target } = this;
+        const { ingress, plan, out, ended } = this.parts;
+        if (ended.aborted) {
             throw new HopError("not-run", "deadline");
         }
         const sentAt = ingress.clock();
+        this.parts.log.placed(target, this.#head, sentAt);
         const { method, path, headers, body } = out;
-        logger.decision(out.id, "The request is placed.", {
-            try: this.#head.id,
-            upstream: neighbour.upstream,
-            near: neighbour.near,
-            own: neighbour.own,
-            report: neighbour.report,
-            reportAgeMs: neighbour.report === undefined ? undefined : Math.round(sentAt - neighbour.reportAt),
-            choices: this.parts.choices,
-            remainingMs: Math.round(this.#head.remainingMs),
-        });
-        const cancel = this.#giveUp;
-        const answer = await neighbour.hop.send({
+        const answer = await target.hop.send({
             head: this.#head,
             rule: plan.rule.name,
             method,
             path,
             headers,
             body: body.content,
-            cancel,
+            cancel: this.#cancel,
         });
         const now = ingress.clock();
-        neighbour.answered(answer.note, now - sentAt, now);
+        target.recordAnswer(answer.note, now - sentAt, now);
         if (answer.status >= httpStatus.internalServerError) {
-            return this.#failed(answer);
+            target.recordFailure(now);
+            const { status, note } = answer;
+            return { outcome: "failed", answer, status, retriedBelow: note?.retriedBelow === true };
         }
         ingress.retries(plan.service.name).hedging.observe(now - sentAt, answer.note?.calls === true);
-        if (!this.parts.claim()) {
+        return await this.#deliver(answer);
+    }
+
+    async #deliver(answer: GateAnswer): Promise<Result> {
+        const { ingress, plan, claim, deliver } = this.parts;
+        if (!claim()) {
             abandonBody(answer.body);
-            return { outcome: "unknown", reason: "overtaken", redirected: false, retriedBelow: false };
+            return { outcome: "unknown", reason: "overtaken" };
         }
         await deliver(answer);
-        neighbour.succeeded();
+        this.target.recordSuccess();
         ingress.retries(plan.service.name).budget.earn(plan.service.retryRatio);
-        return { outcome: "served", reason: "", redirected: false, retriedBelow: false };
+        return { outcome: "served" };
     }
 
-    #failed(answer: GateAnswer): AttemptResult {
-        this.neighbour.failed(this.parts.ingress.clock());
-        const retriedBelow = answer.note?.retriedBelow === true;
-        return { outcome: "failed", reason: `status-${answer.status}`, answer, redirected: false, retriedBelow };
-    }
-
-    /** Turns an error into what is known of the request. */
-    async #explain(err: unknown): Promise<AttemptResult> {
-        const { neighbour } = this;
+    /** Turns an error into what is known of the request, and records what it says of the upstream. */
+    async #explain(err: unknown): Promise<Result> {
+        const { target } = this;
         const now = this.parts.ingress.clock();
         if (!(err instanceof HopError)) {
-            neighbour.failed(now);
-            const reason = this.parts.deadlinePassed() ? "deadline" : "broken-answer";
-            return { outcome: "unknown", reason, redirected: false, retriedBelow: false };
+            this.parts.log.brokeOff(err, target);
+            target.recordFailure(now);
+            return { outcome: "unknown", reason: this.#lateOr("broken-answer") };
         }
         const { note, reason, outcome } = err;
         if (note !== undefined) {
-            neighbour.heard(now);
-            neighbour.observe(note.report, now);
-        }
-        if (reason === "shed") {
-            neighbour.failed(now);
-        }
-        if (reason === "leaving") {
-            neighbour.leaves(now);
-        }
-        if (reason === "no-such-upstream") {
-            neighbour.isAbsent(now);
+            target.recordAlive(now);
+            target.recordReport(note.report, now);
         }
         if (outcome === "broken") {
             return await this.#settle();
         }
-        if (UNREACHABLE.has(reason)) {
-            neighbour.suspect(now);
-        }
+        target.recordRefusal(reasons[reason].upstream, now);
         const { retryAfterMs, goTo, offer, revision } = note ?? {};
-        const redirected = REDIRECTS.has(reason);
-        return { outcome, reason, retryAfterMs, goTo, offer, revision, redirected, retriedBelow: false };
+        return { outcome, reason, retryAfterMs, goTo, offer, revision };
     }
 
-    /** No word came. A repeatable request needs none; the gate is asked to take back one that may run once. */
-    async #settle(): Promise<AttemptResult> {
-        const { ingress, plan, left, deadlinePassed } = this.parts;
-        const reason = deadlinePassed() ? "deadline" : "peer-broke";
-        const base = { reason, redirected: false, retriedBelow: false };
-        if (!left.aborted && !this.#giveUp.aborted) {
-            this.neighbour.suspect(ingress.clock());
+    /** No answer came. A repeatable request needs none; the gate is asked to revoke one that may run once. */
+    async #settle(): Promise<Result> {
+        const { ingress, plan, ended } = this.parts;
+        const reason = this.#lateOr("peer-broke");
+        if (!ended.aborted && !this.#cancel.aborted) {
+            this.target.suspect(ingress.clock());
         }
         if (plan.kind === "repeatable") {
-            return { outcome: "unknown", ...base };
+            return { outcome: "unknown", reason };
         }
-        const result = await this.neighbour.hop.revoke(this.#head);
-        return { outcome: result === "revoked" ? "not-run" : "unknown", ...base };
+        const result = await this.target.hop.revoke(this.#head);
+        return { outcome: result === "revoked" ? "not-run" : "unknown", reason };
+    }
+
+    #lateOr(reason: Reason): Reason {
+        return this.parts.isDeadlinePassed() ? "deadline" : reason;
     }
 }
--- a/src/ingress/ingressparts.ts
+++ b/src/ingress/ingressparts.ts
@@ -1,5 +1,5 @@
-/** What an exchange needs of its daemon. */
-import type { Vocabulary } from "../dialect/vocabulary.js";
+/** What the handling of requests needs of its daemon. */
+import type { Dialect } from "../dialect/dialect.js";
 import type { Address } from "../ids/address.js";
 import type { ServiceName } from "../ids/servicename.js";
 import type { Metrics } from "../metrics/metrics.js";
@@ -7,20 +7,20 @@
 import type { RandomSource } from "../policy/randomsource.js";
 import type { Retries } from "../policy/retry/retries.js";
 import type { Clock } from "../time/clock.js";
-import type { Neighbours } from "./neighbours.js";
 import type { Outgoing } from "./outgoing.js";
 import type { Plan } from "./plan.js";
+import type { UpstreamTable } from "./upstreamtable.js";
 
-/** `from` is the daemon's own peer address, where it hears load reports. */
+/** `from` is the daemon's own peer address, where load reports are received. */
 export type IngressParts = {
     readonly clock: Clock;
     readonly random: RandomSource;
     readonly placement: Placement;
-    readonly neighbours: Neighbours;
+    readonly upstreams: UpstreamTable;
     readonly metrics: Metrics;
-    /** What the service's answers so far say of tries after the first. */
+    /** The service's budget of retries, and what its answers so far say of hedging. */
     readonly retries: (service: ServiceName) => Retries;
-    readonly vocabulary: Vocabulary;
+    readonly dialect: Dialect;
     readonly hedge: boolean;
     readonly newId: () => string;
     readonly revision: () => number;
--- a/src/ingress/plan.ts
+++ b/src/ingress/plan.ts
@@ -1,5 +1,10 @@
 /** What is to be done with a request, before any upstream is chosen. */
 import type { Ruling } from "../config/ruling.js";
 
-/** Times are on the daemon's clock, in milliseconds. */
-export type Plan = Ruling & { readonly startedAt: number; readonly deadline: number; readonly depth: number; };
+/** Times are on the daemon's clock, in milliseconds; `depth` counts the calls between services above this request. */
+export type Plan = Ruling & {
+    readonly type: "plan";
+    readonly startedAt: number;
+    readonly deadline: number;
+    readonly depth: number;
+};
--- a/src/ingress/problems.ts
+++ b/src/ingress/problems.ts
@@ -1,6 +1,6 @@
 /** The answers that winglock makes itself. */
 import { httpStatus } from "../http/httpstatus.js";
-import type { ProblemType } from "./problemtype.js";
+import type { ProblemType } from "../policy/retry/problemtype.js";
 
 /** A status of RFC 9110 and words for people. */
 type Problem = { readonly status: number; readonly title: string; };
--- a/src/ingress/requesthandler.ts
+++ b/src/ingress/requesthandler.ts
@@ -1,99 +1,102 @@
-/** One caller's request, from its plan to its answer. */
-import type { ServerResponse } from "node:http";
+/**
+ * Serves one caller's request, from its plan to its answer.
+ *
+ * Owns the answer to the caller, the request's deadline and the history of its attempts. Which upstream, whether another attempt
+ * follows, and what the caller is told at the end are decided in src/policy; here they are carried out and logged.
+ */
 import type { GateAnswer } from "../hop/gateanswer.js";
 import { Cancel } from "../http/cancel.js";
 import { dropBody } from "../http/dropbody.js";
-import { log } from "../log/log.js";
+import { retrySoonMs } from "../policy/admission/retrysoon.js";
+import { AttemptHistory } from "../policy/retry/attempthistory.js";
+import type { AttemptResult } from "../policy/retry/attemptresult.js";
+import { decideHedge } from "../policy/retry/decidehedge.js";
+import { decideRetry } from "../policy/retry/decideretry.js";
+import { defaultAttempts } from "../policy/retry/defaultattempts.js";
+import { reasonWord } from "../policy/retry/reasonword.js";
+import type { Retries } from "../policy/retry/retries.js";
+import type { RetryDecision } from "../policy/retry/retrydecision.js";
+import { tellProblem } from "../policy/retry/tellproblem.js";
 import { Attempt } from "./attempt.js";
-import type { AttemptResult } from "./attemptresult.js";
-import { deliver } from "./deliver.js";
+import type { CallerAnswer } from "./calleranswer.js";
+import type { Ending } from "./ending.js";
+import { runHedged } from "./hedgedattempt.js";
 import type { IngressParts } from "./ingressparts.js";
-import type { Neighbour } from "./neighbour.js";
 import type { Outgoing } from "./outgoing.js";
-import { isOverdue } from "./overdue.js";
-import { pickResult } from "./pickresult.js";
 import type { Plan } from "./plan.js";
-import { problemOf } from "./problemof.js";
-import { selectFit } from "./selectfit.js";
-import { sendProblem } from "./sendproblem.js";
-import { TryRecord } from "./tryrecord.js";
-import { untriedFit } from "./untriedfit.js";
-
-const logger = log("ingress");
-
-/** What the caller was told; `left` means that it did not wait. */
-type Ending = "served" | "not-run" | "unknown" | "left";
-
-const RETRY_SOON_MS = 250;
-const NO_UPSTREAM: AttemptResult = {
-    outcome: "not-run",
-    reason: "no-upstream",
-    retryAfterMs: RETRY_SOON_MS,
-    redirected: false,
-    retriedBelow: false,
-};
-
-/** Owns the answer to the caller: tries, retries, and says the outcome. */
-export class Exchange {
-    readonly #record: TryRecord;
-    readonly #left = new Cancel();
+import { RequestLog } from "./requestlog.js";
+import { Targets } from "./targets.js";
+import type { Unserved } from "./unserved.js";
+import type { UpstreamView } from "./upstreamview.js";
+
+type Result = AttemptResult<GateAnswer>;
+type Unanswered = Exclude<Unserved, { readonly outcome: "failed"; }>;
+
+const NO_UPSTREAM: Unanswered = { outcome: "not-run", reason: "no-upstream", retryAfterMs: retrySoonMs };
+
+/** `run` is called once. */
+export class RequestHandler {
+    readonly #history = new AttemptHistory<UpstreamView>();
+    /** Aborts when the caller has gone or the deadline has passed. */
+    readonly #ended = new Cancel();
+    readonly #log: RequestLog;
+    readonly #targets: Targets;
     #timer: NodeJS.Timeout | undefined;
     #claimed: Attempt | undefined;
-    #deadlinePassed = false;
+    #isDeadlinePassed = false;
 
     constructor(
-        private readonly res: ServerResponse,
+        private readonly answer: CallerAnswer,
         private plan: Plan,
         private readonly out: Outgoing,
         private readonly parts: IngressParts,
     ) {
-        this.#record = new TryRecord(out, parts.retries(plan.service.name).budget);
+        this.#log = new RequestLog(out.id);
+        this.#targets = new Targets(parts, this.#history.tried);
     }
 
     /** How many upstreams it was sent to, or tried to be. */
-    get tries(): number {
-        return this.#record.tries;
+    get attempts(): number {
+        return this.#history.attempts;
     }
 
-    /** Serves the request; resolves with what the caller was told. */
+    /** Resolves with what the caller was told. */
     async run(): Promise<Ending> {
-        const onClose = (): void => this.#left.abort();
-        this.res.on("close", onClose);
+        const forget = this.answer.onClose(() => this.#ended.abort());
         this.#timer = setTimeout(() => {
-            this.#deadlinePassed = true;
-            this.#left.abort();
-        }, this.plan.deadline - this.parts.clock());
+            this.#isDeadlinePassed = true;
+            this.#ended.abort();
+        }, this.#remainingMs());
         try {
             return await this.#tryUntilSettled();
         }
         finally {
             clearTimeout(this.#timer);
-            this.res.removeListener("close", onClose);
+            forget();
         }
     }
 
     async #tryUntilSettled(): Promise<Ending> {
-        let last: AttemptResult | undefined;
+        let last: Unserved | undefined;
         for (;;) {
-            const neighbour = this.#place(last);
-            const result = neighbour === undefined
-                ? last ?? NO_UPSTREAM
-                : await this.#tryHedged(neighbour, last?.offer);
+            const { goTo, offer } = last === undefined || last.outcome === "failed" ? NO_UPSTREAM : last;
+            const target = this.#targets.choose(this.plan.service.name, goTo);
+            if (target === undefined) {
+                return await this.#endWithout(last ?? NO_UPSTREAM);
+            }
+            const result = await this.#tryAt(target, offer);
             if (result.outcome === "served") {
-                return this.res.writableFinished || !this.res.destroyed ? "served" : "left";
+                return this.answer.isGone ? "left" : "served";
             }
-            if (this.res.destroyed) {
+            if (this.answer.isGone) {
                 return "left";
             }
-            this.#record.end(result);
-            if (
-                neighbour === undefined
-                || !this.#record.mayRetry(result, this.plan, this.plan.deadline - this.parts.clock())
-            ) {
+            this.#history.end(result);
+            if (!this.#decideRetry(result).again) {
                 return await this.#conclude(result);
             }
-            await this.#prepare(result, neighbour);
-            if (this.plan.kind === "once" && this.#record.mayHaveRun) {
+            await this.#prepare(result, target);
+            if (this.plan.kind === "once" && this.#history.mayHaveRun) {
                 return await this.#conclude(result);
             }
             this.#claimed = undefined;
@@ -101,117 +104,115 @@
         }
     }
 
-    #place(last: AttemptResult | undefined): Neighbour | undefined {
-        const { neighbours, placement, random, clock } = this.parts;
-        const all = neighbours.ofService(this.plan.service.name);
-        const named = all.find(neighbour => neighbour.upstream === last?.goTo);
-        if (named !== undefined) {
-            return named;
+    /** Ends a request for which no upstream is left; `last` is the result of its last attempt, if there was one. */
+    async #endWithout(last: Unserved): Promise<Ending> {
+        if (this.answer.isGone) {
+            return "left";
         }
-        const now = clock();
-        return placement.choose(selectFit(all, this.#record.tried, now), now, random) as Neighbour | undefined;
+        this.#logDecision(last, { again: false, why: "no-upstream" });
+        return await this.#conclude(last);
     }
 
-    /** Tries a neighbour and, when its answer is overdue, another beside it; the first that answers is taken. */
-    async #tryHedged(neighbour: Neighbour, offer: string | undefined): Promise<AttemptResult> {
-        const first = this.#attempt(neighbour, offer);
-        const running = first.run();
-        const second = await this.#hedge(neighbour, running);
-        if (second === undefined) {
-            return await running;
-        }
-        const beside = second.run();
-        const [one, two] = await Promise.all([this.#overtake(running, second), this.#overtake(beside, first)]);
-        const picked = pickResult(one, two);
-        dropBody((picked === one ? two : one).answer?.body);
-        return picked;
-    }
-
-    /** Cancels the other try when this one has served. */
-    async #overtake(running: Promise<AttemptResult>, other: Attempt): Promise<AttemptResult> {
-        const result = await running;
-        if (result.outcome === "served") {
-            other.cancel();
-        }
-        return result;
+    #tryAt(target: UpstreamView, offer: string | undefined): Promise<Result> {
+        const first = this.#attempt(target, offer);
+        const afterMs = this.#hedgeAfterMs();
+        return runHedged(first, { afterMs, second: () => this.#hedge(target, afterMs!) });
     }
 
-    /** A second try for a repeatable request whose answer is overdue, if the budget has one. */
-    async #hedge(neighbour: Neighbour, running: Promise<AttemptResult>): Promise<Attempt | undefined> {
-        const { hedge, retries, clock } = this.parts;
-        const { kind, rule, service } = this.plan;
-        if (!hedge || kind !== "repeatable" || rule.answer !== "whole" || !this.out.body.kept) {
-            return undefined;
-        }
-        const { hedging, budget } = retries(service.name);
-        const { afterMs } = hedging;
-        if (afterMs === undefined || !this.#record.allowsMore(this.plan)) {
-            return undefined;
-        }
-        if (!await isOverdue(running, afterMs) || this.#claimed !== undefined || this.#left.aborted) {
+    #hedgeAfterMs(): number | undefined {
+        const { kind, rule } = this.plan;
+        return decideHedge({
+            isEnabled: this.parts.hedge,
+            kind,
+            answer: rule.answer,
+            bodyKept: this.out.body.kept,
+            attempts: this.#history.counted,
+            maxAttempts: this.#maxAttempts(),
+            afterMs: this.#retries().hedging.afterMs,
+        });
+    }
+
+    #hedge(overdue: UpstreamView, afterMs: number): Attempt | undefined {
+        const { clock, metrics } = this.parts;
+        const { budget } = this.#retries();
+        if (this.#claimed !== undefined || this.#ended.aborted) {
             return undefined;
         }
-        neighbour.lags(afterMs, clock());
-        const other = this.#place(undefined);
-        if (other === undefined || this.#record.tried.has(other) || !budget.spendSurplus()) {
+        overdue.recordOverdue(afterMs, clock());
+        const target = this.#targets.choose(this.plan.service.name, undefined);
+        if (target === undefined || this.#history.tried.has(target) || !budget.spendSurplus()) {
             return undefined;
         }
-        this.parts.metrics.retried(service.name, "hedge");
-        logger.decision(this.out.id, "The answer is overdue; the request is also sent elsewhere.", {
-            afterMs,
-            overdue: neighbour.upstream,
-            upstream: other.upstream,
-            budgetLeft: budget.left,
-        });
-        return this.#attempt(other, undefined);
+        metrics.retried(this.plan.service.name, "hedge");
+        this.#log.hedged(afterMs, overdue, target, budget.left);
+        return this.#attempt(target, undefined);
     }
 
-    #attempt(neighbour: Neighbour, offer: string | undefined): Attempt {
-        this.#record.begin(neighbour);
-        const untried = this.#record.mayMove ? this.#untried() : [];
-        const attempt: Attempt = new Attempt(neighbour, offer, {
+    #attempt(target: UpstreamView, offer: string | undefined): Attempt {
+        this.#history.begin(target);
+        const untried = this.#history.mayMove ? this.#targets.untried(this.plan.service.name) : [];
+        const attempt: Attempt = new Attempt(target, offer, {
             ingress: this.parts,
             plan: this.plan,
             choices: untried.length,
             nearChoices: untried.filter(other => other.near).length,
             out: this.out,
-            left: this.#left,
-            deadlinePassed: () => this.#deadlinePassed,
+            log: this.#log,
+            ended: this.#ended,
+            isDeadlinePassed: () => this.#isDeadlinePassed,
             claim: () => this.#claim(attempt),
             deliver: answer => this.#deliver(answer),
         });
         return attempt;
     }
 
-    /** Fit upstreams that have not been tried. */
-    #untried(): Neighbour[] {
-        const all = this.parts.neighbours.ofService(this.plan.service.name);
-        return untriedFit(all, this.#record.tried, this.parts.clock());
-    }
-
     #claim(attempt: Attempt): boolean {
         this.#claimed ??= attempt;
         return this.#claimed === attempt;
     }
 
+    #decideRetry(result: Unserved): RetryDecision {
+        const decision = decideRetry({
+            result,
+            kind: this.plan.kind,
+            attempts: this.#history.counted,
+            maxAttempts: this.#maxAttempts(),
+            moves: this.#history.moves,
+            remainingMs: this.#remainingMs(),
+            bodyKept: this.out.body.kept,
+        }, this.#retries().budget);
+        this.#logDecision(result, decision);
+        return decision;
+    }
+
+    #logDecision(result: Unserved, decision: RetryDecision): void {
+        const { attempts, moves } = this.#history;
+        const { left: budgetLeft } = this.#retries().budget;
+        this.#log.decided(result, decision, { attempts, moves, remainingMs: this.#remainingMs(), budgetLeft });
+    }
+
     /** Lets the last answer go, and gets a newer rule when the gate has one. */
-    async #prepare(result: AttemptResult, neighbour: Neighbour): Promise<void> {
-        this.parts.metrics.retried(this.plan.service.name, result.reason);
-        dropBody(result.answer?.body);
+    async #prepare(result: Unserved, target: UpstreamView): Promise<void> {
+        this.parts.metrics.retried(this.plan.service.name, reasonWord(result));
+        if (result.outcome === "failed") {
+            dropBody(result.answer.body);
+            return;
+        }
         if (result.reason === "stale-rule") {
-            this.#record.tried.delete(neighbour);
-            await this.parts.catchUp(result.revision ?? 0, neighbour.settings.gate);
+            this.#history.tried.delete(target);
+            await this.parts.catchUp(result.revision ?? 0, target.settings.gate);
             this.plan = this.parts.replan(this.out, this.plan);
         }
     }
 
-    async #conclude(result: AttemptResult): Promise<Ending> {
-        if (result.answer !== undefined) {
+    async #conclude(result: Unserved): Promise<Ending> {
+        if (result.outcome === "failed") {
             return await this.#pass(result.answer);
         }
-        const outcome = this.#record.mayHaveRun ? "unknown" : "not-run";
+        const outcome = this.#history.mayHaveRun ? "unknown" : "not-run";
         const { reason: detail, retryAfterMs } = result;
-        sendProblem(this.res, this.parts.vocabulary, problemOf(result), { outcome, detail, retryAfterMs });
+        const problem = tellProblem(result.outcome, detail);
+        this.answer.tell(problem, { outcome, detail, retryAfterMs });
         return outcome;
     }
 
@@ -221,20 +222,29 @@
             await this.#deliver(answer);
             return "served";
         }
-        catch {
-            sendProblem(this.res, this.parts.vocabulary, "answer-lost", {
-                outcome: "unknown",
-                detail: "broken-answer",
-            });
+        catch (err) {
+            this.#log.brokeOff(err);
+            this.answer.tell("answer-lost", { outcome: "unknown", detail: "broken-answer" });
             return "unknown";
         }
     }
 
     #deliver(answer: GateAnswer): Promise<void> {
-        const whole = this.plan.rule.answer === "whole";
-        if (!whole) {
+        if (this.plan.rule.answer === "streamed") {
             clearTimeout(this.#timer);
         }
-        return deliver(this.res, answer, whole, this.out.method === "HEAD", this.plan.service.bufferBytes);
+        return this.answer.deliver(answer, this.plan);
+    }
+
+    #retries(): Retries {
+        return this.parts.retries(this.plan.service.name);
+    }
+
+    #maxAttempts(): number {
+        return this.plan.rule.maxTries ?? defaultAttempts;
+    }
+
+    #remainingMs(): number {
+        return this.plan.deadline - this.parts.clock();
     }
 }
--- a/src/ingress/upstreamtable.ts
+++ b/src/ingress/upstreamtable.ts
@@ -4,32 +4,32 @@
 import type { Address } from "../ids/address.js";
 import type { ServiceName } from "../ids/servicename.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
-import { Neighbour } from "./neighbour.js";
+import { UpstreamView } from "./upstreamview.js";
 
-/** Makes the way to an upstream's gate. */
+/** Opens the way to an upstream's gate. */
 type OpenHop = (upstream: Upstream) => { readonly hop: Hop; readonly near: boolean; readonly local: boolean; };
 
 /** Follows the upstreams that there are. */
-export class Neighbours {
-    readonly #byName = new Map<UpstreamName, Neighbour>();
-    readonly #byService = new Map<ServiceName, Neighbour[]>();
+export class UpstreamTable {
+    readonly #byName = new Map<UpstreamName, UpstreamView>();
+    readonly #byService = new Map<ServiceName, UpstreamView[]>();
     #upstreams: readonly Upstream[] = [];
 
     constructor(private readonly openHop: OpenHop) {}
 
-    get all(): Iterable<Neighbour> {
+    get all(): Iterable<UpstreamView> {
         return this.#byName.values();
     }
 
-    /** Takes in which upstreams there are; what is known of those that stay is kept. */
+    /** Applies which upstreams there are; what is known of those that stay is kept. */
     apply(all: readonly Upstream[]): void {
         this.#upstreams = all;
         this.#byService.clear();
         const named = new Map(all.map(upstream => [upstream.name, upstream]));
-        for (const [name, neighbour] of this.#byName) {
+        for (const [name, view] of this.#byName) {
             const settings = named.get(name);
-            if (settings?.gate === neighbour.settings.gate && settings.service === neighbour.settings.service) {
-                neighbour.settings = settings;
+            if (settings?.gate === view.settings.gate && settings.service === view.settings.service) {
+                view.settings = settings;
             }
             else {
                 this.#byName.delete(name);
@@ -37,34 +37,34 @@
         }
     }
 
-    ofService(service: ServiceName): readonly Neighbour[] {
+    ofService(service: ServiceName): readonly UpstreamView[] {
         const known = this.#byService.get(service);
         if (known !== undefined) {
             return known;
         }
         const upstreams = this.#upstreams.filter(upstream => upstream.service === service);
-        const neighbours = upstreams.map(upstream => this.#neighbour(upstream));
-        this.#byService.set(service, neighbours);
-        return neighbours;
+        const views = upstreams.map(upstream => this.#view(upstream));
+        this.#byService.set(service, views);
+        return views;
     }
 
-    find(name: UpstreamName): Neighbour | undefined {
+    find(name: UpstreamName): UpstreamView | undefined {
         return this.#byName.get(name);
     }
 
     /** Those behind one gate. */
-    atGate(gate: Address): Neighbour[] {
-        return [...this.#byName.values()].filter(neighbour => neighbour.settings.gate === gate);
+    atGate(gate: Address): UpstreamView[] {
+        return [...this.#byName.values()].filter(view => view.settings.gate === gate);
     }
 
-    #neighbour(upstream: Upstream): Neighbour {
+    #view(upstream: Upstream): UpstreamView {
         const known = this.#byName.get(upstream.name);
         if (known !== undefined) {
             return known;
         }
         const { hop, near, local } = this.openHop(upstream);
-        const neighbour = new Neighbour(upstream, hop, near, local);
-        this.#byName.set(upstream.name, neighbour);
-        return neighbour;
+        const view = new UpstreamView(upstream, hop, near, local);
+        this.#byName.set(upstream.name, view);
+        return view;
     }
 }
--- a/src/ingress/upstreamview.ts
+++ b/src/ingress/upstreamview.ts
@@ -1,43 +1,39 @@
-/** What an ingress knows of one upstream. */
+/**
+ * What an ingress knows of one upstream: what its gate reported, what this daemon counts itself, and what follows for placement.
+ *
+ * Holds the state; the rules are in src/policy (placement, failure). Times are milliseconds on the daemon's clock.
+ */
 import type { Upstream } from "../config/upstream.js";
 import type { Hop } from "../hop/hop.js";
 import type { Cancel } from "../http/cancel.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
+import { Silence } from "../policy/failure/silence.js";
 import { Suspicion } from "../policy/failure/suspicion.js";
+import { atLeast } from "../policy/placement/atleast.js";
+import type { Availability } from "../policy/placement/availability.js";
+import { Avoidance } from "../policy/placement/avoidance.js";
 import type { Candidate } from "../policy/placement/candidate.js";
+import { FailurePenalty } from "../policy/placement/failurepenalty.js";
 import type { LoadReport } from "../policy/placement/loadreport.js";
+import { RoundTrip } from "../policy/placement/roundtrip.js";
+import type { Selectable } from "../policy/placement/selectable.js";
+import type { ReasonFacts } from "../policy/retry/reasonfacts.js";
 import type { AnswerNote } from "../wire/answernote.js";
 
-const START_ROUND_TRIP_MS = 1;
-const ROUND_TRIP_WEIGHT = 0.1;
-const FAILURE_PENALTY_MS = 50;
-const MAX_PENALTY_MS = 1000;
-const PENALTY_DECAY = 0.7;
-/** How long a gate that said it is leaving is left alone before it is asked again. */
-const LEAVING_MS = 2000;
-/** How long an upstream that its gate does not know (yet) is left alone. */
-const ABSENT_MS = 100;
-/** How long a gate whose daemon stops is left alone: longer than its idle connections last. */
-const STOPPING_MS = 5000;
-
-/** Holds the upstream's own word and this daemon's own count. */
-export class Neighbour implements Candidate {
-    own = 0;
+/** One for each upstream of a service that requests are sent to. */
+export class UpstreamView implements Candidate, Selectable {
+    /** Requests of this daemon that were sent there and have not ended. */
+    outstanding = 0;
     report: LoadReport | undefined;
     reportAt = 0;
-    ownAtReport = 0;
-    roundTripMs = START_ROUND_TRIP_MS;
-    penaltyMs = 0;
-    penaltyAt = 0;
-    /** When the gate was last heard, and when the oldest unanswered request was sent. */
-    heardAt = 0;
-    silentSince: number | undefined;
-    pingedAt: number | undefined;
-    /** Pings in a row that were not answered. */
-    unanswered = 0;
+    outstandingAtReport = 0;
+    readonly silence = new Silence();
     readonly suspicion = new Suspicion();
-    readonly #waiting = new Set<Cancel>();
-    #leavingUntil = 0;
+    readonly #avoidance = new Avoidance();
+    readonly #penalty = new FailurePenalty();
+    readonly #roundTrip = new RoundTrip();
+    /** Attempts that may be given up when the gate falls silent. */
+    readonly #abandonable = new Set<Cancel>();
 
     /** `near`: in this daemon's own data hall; `local`: beside this daemon. */
     constructor(public settings: Upstream, readonly hop: Hop, readonly near: boolean, readonly local: boolean) {}
@@ -50,107 +46,112 @@
         return this.settings.slots;
     }
 
-    /** Why nothing should be sent there, undefined when it may. */
-    unfit(now: number): "draining" | "leaving" | "suspected" | undefined {
+    get roundTripMs(): number {
+        return this.#roundTrip.ms;
+    }
+
+    get penaltyMs(): number {
+        return this.#penalty.ms;
+    }
+
+    get penaltyAt(): number {
+        return this.#penalty.at;
+    }
+
+    availability(now: number): Availability {
         if (this.settings.draining) {
             return "draining";
         }
-        if (now < this.#leavingUntil) {
+        if (this.#avoidance.isActive(now)) {
             return "leaving";
         }
-        return this.suspicion.active(now) ? "suspected" : undefined;
+        return this.suspicion.active(now) ? "suspected" : "available";
     }
 
-    /** Counts a try; a repeatable one is given up when the gate falls silent. */
-    begin(now: number, giveUp: Cancel | undefined): void {
-        this.own += 1;
+    /** Counts an attempt; `cancel` gives up one that may be given up when the gate falls silent. */
+    attemptStarted(now: number, cancel: Cancel | undefined): void {
+        this.outstanding += 1;
         this.suspicion.probe(now);
-        this.silentSince ??= now;
-        if (giveUp !== undefined) {
-            this.#waiting.add(giveUp);
+        this.silence.sent(now);
+        if (cancel !== undefined) {
+            this.#abandonable.add(cancel);
         }
     }
 
-    end(giveUp: Cancel | undefined): void {
-        this.own -= 1;
-        if (this.own === 0) {
-            this.silentSince = undefined;
+    attemptEnded(cancel: Cancel | undefined): void {
+        this.outstanding -= 1;
+        if (this.outstanding === 0) {
+            this.silence.settled();
         }
-        if (giveUp !== undefined) {
-            this.#waiting.delete(giveUp);
+        if (cancel !== undefined) {
+            this.#abandonable.delete(cancel);
         }
     }
 
-    /** Takes in any sign of life. */
-    heard(now: number): void {
-        this.heardAt = now;
-        this.silentSince = this.own > 0 ? now : undefined;
-        this.pingedAt = undefined;
-        this.unanswered = 0;
+    /** Records a sign of life. */
+    recordAlive(now: number): void {
+        this.silence.heard(this.outstanding, now);
         this.suspicion.clear();
     }
 
-    /** Takes in a report. */
-    observe(report: LoadReport | undefined, now: number): void {
+    recordReport(report: LoadReport | undefined, now: number): void {
         if (report !== undefined) {
             this.report = report;
             this.reportAt = now;
-            this.ownAtReport = this.own;
+            this.outstandingAtReport = this.outstanding;
         }
     }
 
-    /** Takes in an answer's note; `elapsedMs` is from sending to the answer's head. */
-    answered(note: AnswerNote | undefined, elapsedMs: number, now: number): void {
-        this.heard(now);
-        this.observe(note?.report, now);
+    /** Records the note of an answer or of a refusal; `elapsedMs` is from sending to the answer's head. */
+    recordAnswer(note: AnswerNote | undefined, elapsedMs: number, now: number): void {
+        this.recordAlive(now);
+        this.recordReport(note?.report, now);
         if (note?.tookMs !== undefined) {
-            const roundTripMs = Math.max(0, elapsedMs - note.tookMs);
-            this.roundTripMs += ROUND_TRIP_WEIGHT * (roundTripMs - this.roundTripMs);
+            this.#roundTrip.observe(elapsedMs, note.tookMs);
         }
     }
 
-    /** Takes in that an answer from there has taken `elapsedMs` and has not come: own evidence, fresher than a report. */
-    lags(elapsedMs: number, now: number): void {
-        if (this.report !== undefined && this.report.serviceMs < elapsedMs) {
-            this.observe({ ...this.report, serviceMs: elapsedMs }, now);
+    /** Records that an answer has taken `elapsedMs` and has not come: evidence of its own, fresher than a report. */
+    recordOverdue(elapsedMs: number, now: number): void {
+        if (this.report !== undefined && atLeast(this.report, elapsedMs) !== this.report) {
+            this.recordReport(atLeast(this.report, elapsedMs), now);
         }
     }
 
-    succeeded(): void {
-        this.penaltyMs = this.penaltyMs < 1 ? 0 : this.penaltyMs * PENALTY_DECAY;
+    recordSuccess(): void {
+        this.#penalty.succeeded();
     }
 
-    /** Takes in a failed answer: it counts as a slow one. */
-    failed(now: number): void {
-        this.penaltyAt = now;
-        this.penaltyMs = Math.min(MAX_PENALTY_MS, this.penaltyMs + FAILURE_PENALTY_MS);
+    recordFailure(now: number): void {
+        this.#penalty.failed(now);
     }
 
-    /** Takes in that the gate refused since it takes no new work. */
-    leaves(now: number): void {
-        this.#leaveAlone(now + LEAVING_MS);
+    /** Records that the gate's daemon is about to stop. */
+    recordStopping(now: number): void {
+        this.#avoidance.avoid("stopping", now);
     }
 
-    /** Takes in that the gate knows no such upstream: it has just started, or the upstream has gone. */
-    isAbsent(now: number): void {
-        this.#leaveAlone(now + ABSENT_MS);
-    }
-
-    /** Takes in that the gate's daemon is about to stop. */
-    stops(now: number): void {
-        this.#leaveAlone(now + STOPPING_MS);
+    /** Records what the reason of a refusal says of the upstream. */
+    recordRefusal(effect: ReasonFacts["upstream"], now: number): void {
+        switch (effect) {
+            case "none":
+                return;
+            case "failing":
+                return this.recordFailure(now);
+            case "leaving":
+            case "absent":
+                return this.#avoidance.avoid(effect, now);
+            case "suspected":
+                return this.suspect(now);
+        }
     }
 
-    /** Takes in that the gate can't be reached or has fallen silent; repeatable tries there may be given up. */
+    /** Records that the gate can't be reached or has fallen silent; attempts there may be given up. */
     suspect(now: number, giveUp = true): void {
         this.suspicion.fail(now);
         if (giveUp) {
-            this.#waiting.forEach(cancel => cancel.abort());
-            this.#waiting.clear();
+            this.#abandonable.forEach(cancel => cancel.abort());
+            this.#abandonable.clear();
         }
     }
-
-    #leaveAlone(until: number): void {
-        this.#leavingUntil = Math.max(this.#leavingUntil, until);
-    }
 }
--- a/src/link/framedbody.ts
+++ b/src/link/framedbody.ts
@@ -43,8 +43,8 @@
     }
 
     /** Fails the reader. */
-    breakOff(reason: string): void {
+    breakOff(reason: LinkError["reason"]): void {
         this.#ended = true;
-        this.stream.destroy(new LinkError(reason, false));
+        this.stream.destroy(new LinkError(reason));
     }
 }
--- a/src/link/framereader.ts
+++ b/src/link/framereader.ts
@@ -34,7 +34,7 @@
     #lengthAt(bytes: Buffer, at: number): number {
         const length = bytes.readUInt32BE(at + 1);
         if (!TYPES.has(bytes[at]!) || length > MAX_PAYLOAD_BYTES) {
-            throw new LinkError("not-a-frame", false);
+            throw new LinkError("not-a-frame");
         }
         return length;
     }
--- a/src/link/link.test.ts
+++ b/src/link/link.test.ts
@@ -53,7 +53,7 @@
         upstream: "i-1",
         kind: "repeatable",
         priority: "normal",
-        tenant: "none",
+        team: "none",
         answer: "whole",
         remainingMs: 900,
         maxWaitMs: 100,
--- a/src/link/linkconnection.ts
+++ b/src/link/linkconnection.ts
@@ -42,7 +42,7 @@
     send(call: GateCall): Promise<LinkAnswer> {
         if (call.cancel.aborted) {
             this.onFree(this);
-            return Promise.reject(new LinkError("called-off", true));
+            return Promise.reject(new LinkError("called-off"));
         }
         this.#forget = call.cancel.onAbort(() => this.destroy());
         return new Promise((resolve, reject) => {
@@ -119,7 +119,7 @@
 
     #broke(): void {
         this.#forget();
-        this.#waiting?.reject(new LinkError("peer-broke", false));
+        this.#waiting?.reject(new LinkError("peer-broke"));
         this.#waiting = undefined;
         this.#body?.breakOff("peer-broke");
         this.#body = undefined;
--- a/src/link/linkpool.ts
+++ b/src/link/linkpool.ts
@@ -31,7 +31,7 @@
             }
         }
         if (this.#all.size >= MAX_CONNECTIONS) {
-            throw new LinkError("too-many-connections", true);
+            throw new LinkError("too-many-connections");
         }
         return await this.#open();
     }
@@ -47,10 +47,10 @@
         const { localIp, key } = this.options;
         return new Promise((resolve, reject) => {
             const socket = connect({ host: ip, port, localAddress: localIp, noDelay: true });
-            const fail = (err: Error): void => reject(new LinkError("unreachable", true, { cause: err }));
+            const fail = (err: Error): void => reject(new LinkError("unreachable", { cause: err }));
             const timer = setTimeout(() => {
                 socket.destroy();
-                reject(new LinkError("unreachable", true));
+                reject(new LinkError("unreachable"));
             }, CONNECT_TIMEOUT_MS);
             socket.once("error", fail);
             socket.once("close", () => clearTimeout(timer));
--- a/src/operator/explain.ts
+++ b/src/operator/explain.ts
@@ -1,11 +1,11 @@
 /** Explains a request without sending it. */
-import { decideKind } from "../config/decidekind.js";
 import type { Document } from "../config/document.js";
 import { matchRule } from "../config/matchrule.js";
 import type { Rule } from "../config/rule.js";
-import type { Neighbour } from "../ingress/neighbour.js";
-import type { Neighbours } from "../ingress/neighbours.js";
+import type { UpstreamTable } from "../ingress/upstreamtable.js";
+import type { UpstreamView } from "../ingress/upstreamview.js";
 import { ExpectedTime } from "../policy/placement/expectedtime.js";
+import { decideKind } from "../policy/retry/decidekind.js";
 import type { Explanation } from "./explanation.js";
 
 const expected = new ExpectedTime();
@@ -17,13 +17,14 @@
     return rule.kind === undefined ? `the method is ${method}` : "the rule says so";
 };
 
-const explainNeighbour = (neighbour: Neighbour, now: number): Explanation["candidates"][number] => {
-    const unfit = neighbour.unfit(now);
+const explainUpstream = (view: UpstreamView, now: number): Explanation["candidates"][number] => {
+    const availability = view.availability(now);
+    const eligible = availability === "available";
     return {
-        upstream: neighbour.upstream,
-        eligible: unfit === undefined,
-        reason: unfit ?? "",
-        expectedMs: expected.expectedMs(neighbour, now),
+        upstream: view.upstream,
+        eligible,
+        reason: eligible ? "" : availability,
+        expectedMs: expected.expectedMs(view, now),
     };
 };
 
@@ -31,7 +32,7 @@
 export function explain(
     document: Document,
     fresh: boolean,
-    neighbours: Neighbours,
+    upstreams: UpstreamTable,
     { method, url }: { readonly method: string; readonly url: URL; },
     now: number,
 ): Explanation {
@@ -43,6 +44,6 @@
         rule,
         kind: decideKind(rule, method, fresh),
         kindReason: explainKind(rule, method, fresh),
-        candidates: neighbours.ofService(rule.service).map(neighbour => explainNeighbour(neighbour, now)),
+        candidates: upstreams.ofService(rule.service).map(view => explainUpstream(view, now)),
     };
 }
--- a/src/operator/operatorface.ts
+++ b/src/operator/operatorface.ts
@@ -5,7 +5,7 @@
 import type { Keeper } from "../control/keeper.js";
 import type { Publisher } from "../control/publisher.js";
 import type { ChangeId } from "../ids/changeid.js";
-import type { Neighbours } from "../ingress/neighbours.js";
+import type { UpstreamTable } from "../ingress/upstreamtable.js";
 import type { PeerClient } from "../peer/peerclient.js";
 import type { Clock } from "../time/clock.js";
 import { collectStatus } from "./collectstatus.js";
@@ -17,7 +17,7 @@
     readonly clock: Clock;
     readonly keeper: Keeper;
     readonly publisher: Publisher;
-    readonly neighbours: Neighbours;
+    readonly upstreams: UpstreamTable;
     readonly peer: PeerClient;
 };
 
@@ -47,6 +47,6 @@
     }
 
     explain(method: string, url: URL): Explanation {
-        return explain(this.document, this.fresh, this.parts.neighbours, { method, url }, this.parts.clock());
+        return explain(this.document, this.fresh, this.parts.upstreams, { method, url }, this.parts.clock());
     }
 }
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -144,13 +144,20 @@
             return { ...answer, note: note ?? this.#note({}) };
         }
         catch (err) {
-            const failure = err instanceof HopError ? err : new HopError("unknown", "gate-error", undefined);
-            const outcome = failure.outcome === "not-run" ? "not-run" : "unknown";
-            const { reason } = failure;
-            return { note: this.#note({ outcome, reason, ...failure.note }), ...REFUSAL };
+            return { note: this.#noteOf(err, head.upstream), ...REFUSAL };
         }
     }
 
+    #noteOf(err: unknown, upstream: UpstreamName): AnswerNote {
+        if (!(err instanceof HopError)) {
+            logger.trouble("A peer's request failed at its gate.", err, { upstream });
+            return this.#note({ outcome: "unknown", reason: "gate-error" });
+        }
+        const { reason, note } = err;
+        const outcome = err.outcome === "not-run" ? "not-run" : "unknown";
+        return this.#note({ outcome, reason, ...note });
+    }
+
     async #answer({ head, method, path, headers, body }: ServedCall, cancel: Cancel): Promise<GateAnswer> {
         const gate = this.parts.gate(head.upstream);
         if (gate === undefined) {
--- a/src/policy/admission/admission.test.ts
+++ b/src/policy/admission/admission.test.ts
@@ -1,15 +1,15 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Priority } from "../../config/priority.js";
-import type { TenantName } from "../../ids/tenantname.js";
+import type { TeamName } from "../../ids/teamname.js";
 import { Admission } from "./admission.js";
 import { FixedLimit } from "./fixedlimit.js";
 import { RuleTimes } from "./ruletimes.js";
 import type { Waiting } from "./waiting.js";
 
-const item = (priority: Priority = "normal", tenant = "a", deadline = 10_000): Waiting => ({
+const item = (priority: Priority = "normal", team = "a", deadline = 10_000): Waiting => ({
     priority,
-    tenant: tenant as TenantName,
+    team: team as TeamName,
     deadline,
     maxWaitMs: 1000,
     choices: 0,
@@ -52,7 +52,7 @@
     assert.ok(order.includes("background"));
 });
 
-test("admission: tenants of a class share evenly", () => {
+test("admission: teams of a class share evenly", () => {
     const gate = admission(1);
     gate.arrive(item(), 0);
     for (let at = 0; at < 10; at++) {
@@ -62,7 +62,7 @@
     const served: string[] = [];
     for (let turn = 0; turn < 3; turn++) {
         gate.finish(1);
-        served.push(gate.next(0).run[0]!.tenant);
+        served.push(gate.next(0).run[0]!.team);
     }
     assert.ok(served.includes("few"));
 });
--- a/src/policy/admission/admission.ts
+++ b/src/policy/admission/admission.ts
@@ -1,4 +1,13 @@
-/** The gate's decision: its counts are exact, so what an ingress only guessed is decided here. */
+/**
+ * May a request run now at its upstream, wait, or not? And when should one that is refused come back?
+ *
+ * The gate's counts are exact, so what an ingress only guessed is decided here. A request runs while slots are free; it waits
+ * when its turn is expected within the time that it may wait and before its deadline; it is refused at once when it is known
+ * not to be served here, or when it could go elsewhere sooner. Times are milliseconds on the gate's clock.
+ *
+ * Measured: docs/EXPERIMENTS.md, "waits of a quarter of the target, busy gates send on, calls wait longer", "silence by what is
+ * usual and by two pings; waits by deadline".
+ */
 import type { RuleName } from "../../ids/rulename.js";
 import type { LoadReport } from "../placement/loadreport.js";
 import type { Refusal } from "./refusal.js";
@@ -8,7 +17,7 @@
 import type { Waiting } from "./waiting.js";
 import { WaitQueue } from "./waitqueue.js";
 
-/** The queue holds so many requests for each slot at the most. */
+/** Requests for each slot that the queue holds at the most; bounds memory, chosen, not measured. */
 const QUEUE_PER_SLOT = 16;
 /**
  * A request that can go elsewhere does so when it would wait longer than this share of a usual service time: sooner
@@ -16,15 +25,15 @@
  */
 const NEAR_SHARE = 0.25;
 const FAR_SHARE = 0.5;
-/** A caller that comes back just when the queue should have ended mostly finds that it has not. */
+/** Of a usual service time, added: a caller that comes back just when the queue should have ended mostly finds that it has not. */
 const COME_BACK_SHARE = 0.5;
 const RUN: Verdict = { type: "run" };
 const WAIT: Verdict = { type: "wait" };
 
-/** What is known of a request that has ended: its rule, and how slow the upstream said it was. */
+/** What is known of a request that has ended: its rule, and the pace that the upstream reported. */
 type Ended = { readonly rule?: RuleName; readonly pace?: number; };
 
-/** What `next` gives: requests that may run now, and requests whose time is up. */
+/** What `next` gives: requests that may run now, and requests whose deadline has passed. */
 type Released<Item> = { readonly run: Item[]; readonly late: Item[]; };
 
 /** Counts what runs and what waits at one upstream. */
@@ -58,7 +67,7 @@
         };
     }
 
-    /** Decides on an arrival; one that holds an offer takes the slot held for it. */
+    /** Decides on an arrival; one that holds an offer takes the slot held for it. A request that waits is in the queue then. */
     arrive(item: Item, now: number, holdsOffer = false): Verdict {
         if (holdsOffer) {
             this.release();
@@ -92,7 +101,7 @@
         this.#held = Math.max(0, this.#held - 1);
     }
 
-    /** Takes in that a running request has ended; `serviceMs` is undefined when it says nothing of the upstream. */
+    /** Records that a running request has ended; `serviceMs` is undefined when it says nothing of the upstream. */
     finish(serviceMs: number | undefined, ended: Ended = {}): void {
         const running = this.#running;
         this.#running -= 1;
--- a/src/policy/admission/fairqueue.ts
+++ b/src/policy/admission/fairqueue.ts
@@ -1,4 +1,4 @@
-/** Start-time fair queueing over keys (Goyal and others 1996), each item costing the same. */
+/** Whose turn is it among keys that share by weight? Start-time fair queueing (Goyal and others 1996), each item costing the same. */
 
 type Lane<Item> = { items: Item[]; pass: number; weight: number; };
 
--- a/src/policy/admission/fixedlimit.ts
+++ b/src/policy/admission/fixedlimit.ts
@@ -1,4 +1,4 @@
-/** A baseline: the slots that the operator set. */
+/** How many requests may run at once? A baseline: the slots that operators set. */
 import { SlotLimit } from "./slotlimit.js";
 
 /** Never changes. */
--- a/src/policy/admission/learnedlimit.ts
+++ b/src/policy/admission/learnedlimit.ts
@@ -1,17 +1,21 @@
 /**
- * Ramps up from a cold start, and learns whether the upstream does more work when its last slots stay free.
+ * How many requests may run at once? Ramps up from a cold start, and learns whether the upstream does more work when its last slots stay free.
  *
  * Many upstreams slow down when they are nearly full, and then fewer at once get more done. One that only looks slow
  * by chance must not be strangled: the limit falls only for a clear gain, never below two thirds, and is tried higher
  * again and again.
+ *
+ * Measured: docs/EXPERIMENTS.md, "the limit learns against a long mean", "the limit takes the fewest at once" (taken back).
  */
 import { LevelTimes } from "./leveltimes.js";
 import { RampLimit } from "./ramplimit.js";
 import { SlotLimit } from "./slotlimit.js";
 
+/** Of the slots: the limit never falls below; chosen, not measured. */
 const LEAST_SHARE = 2 / 3;
-/** What fewer at once must get done more, to be worth it. */
+/** Fewer at once must get so many times as much done, to be worth it: above the noise of the levels' means. */
 const CLEAR_GAIN = 1.08;
+/** Answers between two decisions: two for each level that is compared, about; chosen, not measured. */
 const DECIDE_EVERY = 40;
 /** Every so many decisions one more is tried, for one decision's time. */
 const EXPLORE_EVERY = 5;
--- a/src/policy/admission/leveltimes.ts
+++ b/src/policy/admission/leveltimes.ts
@@ -1,7 +1,8 @@
 /** How long work takes at each number of requests that run at once. */
 
+/** Of the newest answer in a level's mean; chosen, not measured. */
 const WEIGHT = 0.05;
-/** Fewer answers say nothing of a level. */
+/** Fewer answers say nothing of a level: as many as the weight remembers. */
 const MIN_SAMPLES = 20;
 
 type Level = { count: number; mean: number; };
--- a/src/policy/admission/maxwait.test.ts
+++ b/src/policy/admission/maxwait.test.ts
@@ -1,18 +1,17 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { maxWaitMs } from "./maxwaitms.js";
-import type { Plan } from "./plan.js";
+import { maxWait } from "./maxwait.js";
 
-const plan = (targetMs: number | undefined, depth = 0): Plan =>
-    ({ service: { maxWaitMs: 1000 }, rule: { targetMs }, startedAt: 100, deadline: 2000, depth }) as Plan;
+const waitAt = (targetMs: number | undefined, now: number, depth = 0): number =>
+    maxWait({ serviceMaxWaitMs: 1000, targetMs, startedAt: 100, depth }, now);
 
 test("wait: a quarter of the target, less what is spent", () => {
-    assert.equal(maxWaitMs(plan(400), 100), 100);
-    assert.equal(maxWaitMs(plan(400), 150), 50);
-    assert.equal(maxWaitMs(plan(400), 900), 0);
+    assert.equal(waitAt(400, 100), 100);
+    assert.equal(waitAt(400, 150), 50);
+    assert.equal(waitAt(400, 900), 0);
 });
 
 test("wait: the service's own bound where the rule has no target, and for a call of a request that runs", () => {
-    assert.equal(maxWaitMs(plan(undefined), 500), 1000);
-    assert.equal(maxWaitMs(plan(400, 1), 500), 1000);
+    assert.equal(waitAt(undefined, 500), 1000);
+    assert.equal(waitAt(400, 500, 1), 1000);
 });
--- a/src/policy/admission/ramplimit.ts
+++ b/src/policy/admission/ramplimit.ts
@@ -1,10 +1,10 @@
-/** Ramps up from a cold start. */
+/** How many requests may run at once? The slots that operators set, opened one by one from a cold start. */
 import { SlotLimit } from "./slotlimit.js";
 
-/** Share of the slots that a cold upstream starts with; each answer opens another slot. */
+/** Of the slots, that a cold upstream starts with; three quarters gave no more (docs/EXPERIMENTS.md, taken back). */
 const COLD_SHARE = 0.5;
 
-/** The slots that the operator set, opened one by one. */
+/** Each answer opens another slot. */
 export class RampLimit extends SlotLimit {
     #opened: number;
 
--- a/src/policy/admission/ruletimes.ts
+++ b/src/policy/admission/ruletimes.ts
@@ -3,6 +3,7 @@
 import { LongMean } from "./longmean.js";
 import { ServiceTimes } from "./servicetimes.js";
 
+/** Rules with times of their own at the most; bounds memory, far above the rules of one upstream that were seen. */
 const MAX_RULES = 256;
 
 type RuleTime = { readonly times: ServiceTimes; readonly long: LongMean; };
@@ -22,12 +23,12 @@
         return (rule === undefined ? undefined : this.#byRule.get(rule)?.times.slowMs) ?? this.#all.slowMs;
     }
 
-    /** The same over a long time, so that a spell of slowness does not become the measure; in milliseconds. */
+    /** The same over a long time, so that a slow phase does not become the measure; in milliseconds. */
     longMs(rule: RuleName | undefined): number {
         return (rule === undefined ? undefined : this.#byRule.get(rule)?.long.value) ?? this.#all.slowMs;
     }
 
-    /** Takes in a time, and the same as it would have been at the upstream's usual pace. */
+    /** Records a time, and the same as it would have been at the upstream's usual pace. */
     observe(rule: RuleName | undefined, serviceMs: number, pacedMs: number): void {
         this.#all.observe(serviceMs);
         if (rule !== undefined) {
--- a/src/policy/admission/servicetimes.ts
+++ b/src/policy/admission/servicetimes.ts
@@ -1,9 +1,12 @@
 /** How long an upstream takes, now and as a rule. */
 
+/** Of the newest time in the fast average: the last five, about; chosen, not measured. */
 const FAST_WEIGHT = 0.2;
+/** Of the newest time in the slow average: the last hundred, about; chosen, not measured. */
 const SLOW_WEIGHT = 0.01;
 /** The slow average is a plain mean over the first answers, so that the very first does not set it. */
 const WARMUP = 1 / SLOW_WEIGHT;
+/** Assumed before the first answer, in milliseconds; the same as placement assumes. */
 const START_MS = 5;
 
 /** A fast and a slow moving average of service times, in milliseconds. */
--- a/src/policy/admission/slotlimit.ts
+++ b/src/policy/admission/slotlimit.ts
@@ -5,7 +5,7 @@
     /** The most that may run now. */
     abstract current(): number;
     /**
-     * Takes in that the upstream has finished a request while `running` ran, itself among them; the time it took is
+     * Records that the upstream has finished a request while `running` ran, itself among them; the time it took is
      * relative to what is usual for such requests.
      */
     abstract observe(running: number, relativeTime: number): void;
--- a/src/policy/admission/waiting.ts
+++ b/src/policy/admission/waiting.ts
@@ -1,12 +1,12 @@
 /** A request at a gate, as admission sees it. */
 import type { Priority } from "../../config/priority.js";
 import type { RuleName } from "../../ids/rulename.js";
-import type { TenantName } from "../../ids/tenantname.js";
+import type { TeamName } from "../../ids/teamname.js";
 
 /** `deadline` is on the gate's clock, in milliseconds. */
 export type Waiting = {
     readonly priority: Priority;
-    readonly tenant: TenantName;
+    readonly team: TeamName;
     readonly deadline: number;
     readonly maxWaitMs: number;
     readonly rule?: RuleName;
--- a/src/policy/failure/pace.test.ts
+++ b/src/policy/failure/pace.test.ts
@@ -2,11 +2,9 @@
 import { test } from "node:test";
 import { Pace } from "./pace.js";
 
-const BELIEVE_MS = 30;
-
 /** What a pace is called at each word in turn. */
 const judge = (words: readonly number[]): boolean[] => {
-    const pace = new Pace(BELIEVE_MS);
+    const pace = new Pace();
     return words.map((word, now) => {
         pace.observe(word, now);
         return pace.isSlow(now);
--- a/src/policy/failure/pace.ts
+++ b/src/policy/failure/pace.ts
@@ -1,21 +1,26 @@
-/** How fast an upstream works at this moment, by its own word, and how long that word is believed. */
+/**
+ * How fast does an upstream work at this moment, by its own report, and for how long is a report believed?
+ *
+ * The pace is how many times longer than usual work takes there, 1 as usual. A cold upstream is as slow as its siblings, which
+ * were started with it, so an upstream is slow against its own best only. Times are milliseconds on the daemon's clock.
+ *
+ * Measured: docs/EXPERIMENTS.md, "an upstream is slow against its own best" (SLOW is chosen, not measured).
+ */
 
 /** An upstream this many times slower than it has been is worth avoiding: moving a request costs far less. */
 const SLOW = 1.5;
 const USUAL = 1;
+/** A report is the present for so long: a tenth of the time between changes of pace at the users' (about 300 ms). */
+const BELIEVE_MS = 30;
 
-/** What the upstream said last; times in milliseconds on the daemon's clock. */
+/** Of one upstream. */
 export class Pace {
-    #pace = 1;
-    /** A cold upstream is as slow as its siblings, which were started with it: it is held against its own best only. */
+    #pace = USUAL;
     #best = Infinity;
     #at = -Infinity;
     #known = false;
 
-    /** `believeMs` is how long a word counts as the present. */
-    constructor(private readonly believeMs: number) {}
-
-    /** Takes in a word that was true at `now`. */
+    /** Records a report that was true at `now`. */
     observe(pace: number, now: number): void {
         this.#pace = pace;
         this.#best = Math.max(USUAL, Math.min(this.#best, pace));
@@ -23,22 +28,22 @@
         this.#known = true;
     }
 
-    /** The last word; undefined of an upstream that never says. */
+    /** The last report; undefined of an upstream that never reports. */
     get last(): number | undefined {
         return this.#known ? this.#pace : undefined;
     }
 
-    /** True when the upstream tells its pace and the last word is too old to decide by. */
+    /** True when the upstream reports its pace and the last report is too old to decide by. */
     isStale(now: number): boolean {
-        return this.#known && now - this.#at > this.believeMs;
+        return this.#known && now - this.#at > BELIEVE_MS;
     }
 
-    /** True when the upstream is slow by a word not older than `at`. */
+    /** True when the upstream is slow by a report not older than `at`. */
     isSlowSince(at: number): boolean {
         return this.#at >= at && this.#pace >= SLOW * this.#best;
     }
 
-    /** True when the upstream is slow by a word that is still believed. */
+    /** True when the upstream is slow by a report that is still believed. */
     isSlow(now: number): boolean {
         return this.#known && !this.isStale(now) && this.#pace >= SLOW * this.#best;
     }
--- a/src/policy/failure/suspicion.ts
+++ b/src/policy/failure/suspicion.ts
@@ -1,12 +1,16 @@
-/** When an ingress leaves a gate alone that does not answer. */
+/**
+ * For how long is nothing sent to a gate that does not answer?
+ *
+ * Until a sign of life, such as the answer to a ping. Without one, a single request tries the gate after a pause that doubles with
+ * each failure in a row. Times are milliseconds on the daemon's clock.
+ */
 
+/** The first pause; pings mostly find the gate sooner. Chosen, not measured. */
 const FIRST_MS = 1000;
+/** The longest: a host that was restarted is found again within it. Chosen, not measured. */
 const LONGEST_MS = 8000;
 
-/**
- * Ends with any sign of life, such as the answer to a ping. Without one, a single request tries the gate after a pause
- * that doubles with each failure in a row.
- */
+/** Of one gate. */
 export class Suspicion {
     #failures = 0;
     #until = 0;
@@ -21,7 +25,7 @@
         return now < this.#until;
     }
 
-    /** Takes in that it did not answer. */
+    /** Records that it did not answer. */
     fail(now: number): void {
         if (this.active(now) && this.suspected) {
             return;
@@ -30,14 +34,14 @@
         this.#failures += 1;
     }
 
-    /** Takes in that a request is sent there; while it is suspected, no other follows for a while. */
+    /** Records that a request is sent there; while it is suspected, no other follows for a while. */
     probe(now: number): void {
         if (this.suspected) {
             this.#until = Math.max(this.#until, now + this.#pauseMs());
         }
     }
 
-    /** Takes in a sign of life. */
+    /** Records a sign of life. */
     clear(): void {
         this.#failures = 0;
         this.#until = 0;
--- a/src/policy/placement/candidate.ts
+++ b/src/policy/placement/candidate.ts
@@ -10,12 +10,12 @@
     readonly near: boolean;
     /** Path round trip to the gate. */
     readonly roundTripMs: number;
-    /** Own requests sent there and not answered. */
-    readonly own: number;
+    /** Requests of this daemon that were sent there and have not ended. */
+    readonly outstanding: number;
     readonly report: LoadReport | undefined;
     readonly reportAt: number;
-    /** `own` when the report came. */
-    readonly ownAtReport: number;
+    /** `outstanding` when the report came. */
+    readonly outstandingAtReport: number;
     /** Added to the expected time, for an upstream that fails: a fast failure must not look fast. Fades. */
     readonly penaltyMs: number;
     readonly penaltyAt: number;
--- /dev/null
+++ b/src/policy/placement/expectedtime.test.ts
@@ -0,0 +1,46 @@
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import type { UpstreamName } from "../../ids/upstreamname.js";
+import type { Candidate } from "./candidate.js";
+import { ExpectedTime } from "./expectedtime.js";
+
+const candidate = (name: string, more: Partial<Candidate> = {}): Candidate => ({
+    upstream: name as UpstreamName,
+    slots: 10,
+    near: true,
+    roundTripMs: 1,
+    outstanding: 0,
+    report: { running: 2, waiting: 0, limit: 10, serviceMs: 10, baseMs: 10 },
+    reportAt: 0,
+    outstandingAtReport: 0,
+    penaltyMs: 0,
+    penaltyAt: 0,
+    ...more,
+});
+
+const choose = (candidates: Candidate[], now: number): string =>
+    new ExpectedTime().choose(candidates, now, () => 0)!.upstream;
+
+test("placement: own requests outstanding weigh more than an old report", () => {
+    assert.equal(choose([candidate("a", { outstanding: 4 }), candidate("b")], 50), "b");
+});
+
+test("placement: the near hall is preferred only while it is faster", () => {
+    const near = candidate("near", { roundTripMs: 0.5 });
+    const far = candidate("far", { roundTripMs: 4 });
+    assert.equal(choose([far, near], 50), "near");
+    assert.equal(choose([far, { ...near, outstanding: 5 }], 50), "far");
+});
+
+test("placement: a fast failure does not look fast, and is forgiven with time", () => {
+    const failing = candidate("a", { penaltyMs: 50, penaltyAt: 0, roundTripMs: 0 });
+    assert.equal(choose([failing, candidate("b")], 10), "b");
+    assert.equal(choose([failing, candidate("b")], 10_000), "a");
+});
+
+test("placement: reported slowness is believed for a while", () => {
+    const slow = { running: 2, waiting: 0, limit: 10, serviceMs: 100, baseMs: 10 };
+    const candidates = [candidate("a", { report: slow, roundTripMs: 0 }), candidate("b")];
+    assert.equal(choose(candidates, 100), "b");
+    assert.equal(choose(candidates, 5000), "a");
+});
--- a/src/policy/placement/expectedtime.ts
+++ b/src/policy/placement/expectedtime.ts
@@ -1,22 +1,29 @@
 /**
- * The placement that winglock uses: the least expected time until the answer.
+ * Which upstream? The one with the least expected time until the answer, among a few drawn at random.
  *
- * Own outstanding requests are exact and never stale, so they weigh most. What others sent is known from reports
- * only, and a report fades in a few milliseconds, since a herd of ingresses that all believe the same stale report
- * is worse than none. How slow the upstream is changes less fast, so that part of a report fades later.
+ * The requests of this daemon that are outstanding are exact and never stale, so they weigh most. What others sent is known from
+ * reports only, and a report fades in a few milliseconds, since a herd of ingresses that all believe the same stale report is
+ * worse than none. How long work takes changes less fast, so that part of a report fades later. All times are milliseconds.
+ *
+ * Measured: docs/EXPERIMENTS.md, "speed of an upstream fades in 400 ms", "costs within a tenth are alike, slow is 1.5 times the
+ * usual", "two candidates drawn in place of four", "leaving the hall costs 1.5".
  */
 import type { RandomSource } from "../randomsource.js";
 import type { Candidate } from "./candidate.js";
 import { Placement } from "./placement.js";
 import { sample } from "./sample.js";
 
-/** What an operator's profile may set; times in milliseconds. */
+/** What operators may set, as docs/SETTINGS.md describes `policy.placementOptions`. */
 type Options = {
+    /** How many candidates are drawn. */
     readonly choices: number;
+    /** For how long a report of the load is believed. */
     readonly loadFadeMs: number;
-    readonly speedFadeMs: number;
+    /** For how long a report of service times and of the limit is believed; not among the settings. */
+    readonly serviceFadeMs: number;
+    /** How many requests of others one of this daemon stands for, when no report is fresh. */
     readonly ownWeight: number;
-    /** How long an upstream's own word on its pace is believed. */
+    /** For how long an upstream's report of its pace is believed. */
     readonly paceFadeMs: number;
     /** What it costs to leave the data hall, in usual service times. */
     readonly leaveHallCost: number;
@@ -25,16 +32,16 @@
 const DEFAULTS: Options = {
     choices: 4,
     loadFadeMs: 5,
-    speedFadeMs: 400,
+    serviceFadeMs: 400,
     ownWeight: 8,
     paceFadeMs: 250,
     leaveHallCost: 0,
 };
 
-/** Assumed of an upstream that has never been heard of. */
+/** Assumed of an upstream without a report, in milliseconds; chosen, not measured. */
 const UNKNOWN_SERVICE_MS = 5;
 
-/** How much a busy slot costs while there are free ones: enough to spread, too little to leave the hall. */
+/** What all slots in use but one cost, in service times: enough to spread, too little to leave the hall; chosen. */
 const BUSY_SHARE = 0.5;
 
 /**
@@ -43,9 +50,10 @@
  */
 const ALIKE = 1.1;
 
-/** An upstream is called slow when its fast average is this many times its slow one; less is noise too. */
+/** The fast average of service times is believed from this many times the slow one on; less is noise too. */
 const SLOW_RATIO = 1.5;
 
+/** An upstream that failed is tried again within about this time, in milliseconds; chosen, not measured. */
 const PENALTY_FADE_MS = 1000;
 
 const faded = (ageMs: number, fadeMs: number): number => Math.exp(-Math.max(0, ageMs) / fadeMs);
@@ -93,26 +101,26 @@
         return candidate.report?.baseMs ?? UNKNOWN_SERVICE_MS;
     }
 
-    /** It fades, since an upstream that nothing is sent to can't show that it is well again. */
+    /** It fades, since an upstream that nothing is sent to can't show that it works again. */
     #penaltyMs(candidate: Candidate, now: number): number {
         return candidate.penaltyMs === 0 ? 0 : candidate.penaltyMs * faded(now - candidate.penaltyAt, PENALTY_FADE_MS);
     }
 
     #limit(candidate: Candidate, ageMs: number): number {
-        const weight = faded(ageMs, this.#options.speedFadeMs);
+        const weight = faded(ageMs, this.#options.serviceFadeMs);
         const reported = candidate.report?.limit ?? candidate.slots;
         return weight * reported + (1 - weight) * candidate.slots;
     }
 
     #load(candidate: Candidate, ageMs: number): number {
         const { report } = candidate;
-        const own = candidate.own * this.#options.ownWeight;
+        const own = candidate.outstanding * this.#options.ownWeight;
         if (report === undefined) {
             return own;
         }
-        const others = Math.max(0, report.running + report.waiting - candidate.ownAtReport);
+        const others = Math.max(0, report.running + report.waiting - candidate.outstandingAtReport);
         const weight = faded(ageMs, this.#options.loadFadeMs);
-        return weight * (others + candidate.own) + (1 - weight) * own;
+        return weight * (others + candidate.outstanding) + (1 - weight) * own;
     }
 
     #serviceMs(candidate: Candidate, ageMs: number): number {
@@ -126,7 +134,7 @@
         if (report.serviceMs < report.baseMs * SLOW_RATIO) {
             return report.baseMs;
         }
-        const weight = faded(ageMs, this.#options.speedFadeMs);
+        const weight = faded(ageMs, this.#options.serviceFadeMs);
         return weight * report.serviceMs + (1 - weight) * report.baseMs;
     }
 }
--- /dev/null
+++ b/src/policy/placement/selecttargets.ts
@@ -0,0 +1,22 @@
+/**
+ * Which upstreams may a request be placed on?
+ *
+ * Available ones that it has not been sent to; or else suspected ones, so that suspicion alone never empties a service; or else
+ * available ones that it has been sent to. Draining and leaving ones never.
+ */
+import { availableOf } from "./availableof.js";
+import type { Selectable } from "./selectable.js";
+
+/** Empty when no upstream may be sent the request now. */
+export function selectTargets<Target extends Selectable>(
+    all: readonly Target[],
+    tried: ReadonlySet<Target>,
+    now: number,
+): Target[] {
+    const untried = availableOf(all, tried, now);
+    if (untried.length > 0) {
+        return untried;
+    }
+    const suspected = all.filter(target => !tried.has(target) && target.availability(now) === "suspected");
+    return suspected.length > 0 ? suspected : availableOf(all, new Set(), now);
+}
--- a/src/policy/retry/decideretry.ts
+++ b/src/policy/retry/decideretry.ts
@@ -1,41 +1,58 @@
-/** Whether a request whose try has come to nothing is tried again. */
+/**
+ * May a request be tried again after an attempt that did not serve it?
+ *
+ * By what is proven, not by status. A request that belongs elsewhere moves there for free, a bounded number of times. A proven
+ * `not-run` may be tried again; where the refusal was for load the attempt comes out of the retry budget, since a retry adds to
+ * a load that is too high already. What may have run is tried again only when it is repeatable, from the same budget. Every
+ * decision rests on the caller's remaining time, and on whether the body can be sent once more.
+ *
+ * The rows of reasons.ts say what is for load; the budget's share is set by services (`retryRatio`, 0.1 where they say nothing).
+ */
 import type { Kind } from "../../config/kind.js";
-import type { Outcome } from "./outcome.js";
+import type { AttemptResult } from "./attemptresult.js";
+import { maxMoves } from "./maxmoves.js";
+import { reasons } from "./reasons.js";
 import type { RetryBudget } from "./retrybudget.js";
+import type { RetryDecision } from "./retrydecision.js";
 
-/** What is known after a try; `retriedBelow` says that a hop nearer to the failure has retried already. */
-type Attempt = {
-    readonly outcome: Outcome;
+/** The request, after the attempt that ended last. */
+type RetryInput = {
+    readonly result: Exclude<AttemptResult<unknown>, { readonly outcome: "served"; }>;
     readonly kind: Kind;
-    /** Tries so far and the most that the rule allows, redirects apart. */
-    readonly tries: number;
-    readonly maxTries: number;
+    /** Attempts that count, and how many the rule allows. */
+    readonly attempts: number;
+    readonly maxAttempts: number;
+    /** Moves, that of the last attempt among them. */
+    readonly moves: number;
+    /** What is left of the request's time limit, in milliseconds. */
     readonly remainingMs: number;
     readonly bodyKept: boolean;
-    readonly retriedBelow: boolean;
-    /** Refused not for load but since it belongs elsewhere: handed back, or the gate is leaving. */
-    readonly redirected: boolean;
-    readonly redirects: number;
-    /** Refused since the gate is busy: a retry adds to a load that is too high already. */
-    readonly overloaded: boolean;
 };
 
-const MAX_REDIRECTS = 2;
-
-/** Decides by outcome, not by status: `not-run` may go elsewhere, the rest only when it is repeatable. */
-export function decideRetry(attempt: Attempt, budget: RetryBudget): boolean {
-    if (attempt.remainingMs <= 0 || !attempt.bodyKept || attempt.retriedBelow) {
-        return false;
+/** Spends from the budget when it says `budget`. */
+export function decideRetry(input: RetryInput, budget: RetryBudget): RetryDecision {
+    const { result, kind, attempts, maxAttempts, moves, remainingMs, bodyKept } = input;
+    const facts = result.outcome === "failed" ? undefined : reasons[result.reason];
+    if (remainingMs <= 0) {
+        return { again: false, why: "time-over" };
+    }
+    if (!bodyKept) {
+        return { again: false, why: "body-gone" };
+    }
+    if (result.outcome === "failed" && result.retriedBelow) {
+        return { again: false, why: "retried-below" };
+    }
+    if (facts?.moves === true && moves <= maxMoves) {
+        return { again: true, why: "moves" };
     }
-    if (attempt.redirected && attempt.redirects <= MAX_REDIRECTS) {
-        return true;
+    if (attempts >= maxAttempts) {
+        return { again: false, why: "attempts-spent" };
     }
-    if (attempt.tries >= attempt.maxTries) {
-        return false;
+    if (result.outcome !== "not-run" && kind !== "repeatable") {
+        return { again: false, why: "may-have-run" };
     }
-    if (attempt.outcome !== "not-run" && attempt.kind !== "repeatable") {
-        return false;
+    if (result.outcome === "not-run" && facts?.costsBudget === false) {
+        return { again: true, why: "free" };
     }
-    const isFree = attempt.outcome === "not-run" && !attempt.overloaded;
-    return isFree || budget.spend();
+    return budget.spend() ? { again: true, why: "budget" } : { again: false, why: "budget-spent" };
 }
--- a/src/policy/retry/hedging.ts
+++ b/src/policy/retry/hedging.ts
@@ -1,13 +1,22 @@
-/** When a repeatable request that is still unanswered is also sent elsewhere (Dean and Barroso 2013). */
+/**
+ * When is an answer overdue? Later than nearly all answers of its service come (Dean and Barroso 2013), so that few requests are
+ * sent twice in steady load. Times are milliseconds.
+ *
+ * Measured: docs/EXPERIMENTS.md, "hedging past the 98th in place of the 95th percentile", "chains hedged at the last hop only".
+ */
 import { QuantileEstimate } from "./quantileestimate.js";
 
-/** Later than nearly all answers come, so that few requests are sent twice in steady load. */
+/** Of the answers, that come sooner. */
 const SHARE = 0.98;
+/** Assumed before the first answers; the estimate moves from there. */
 const START_MS = 50;
+/** An answer is never overdue before: about two hops. */
 const LEAST_MS = 4;
+/** On top of the estimate, which moves by a twentieth for each answer; chosen, not measured. */
 const MARGIN = 1.1;
-/** An answer moves the share of those that made calls by so much; a service that mostly calls others is not hedged. */
+/** Of the newest answer in the share of those that needed calls. */
 const CALLS_WEIGHT = 0.1;
+/** From this share on the service leaves hedging to the services that it calls. */
 const MOSTLY = 0.5;
 /** Fewer answers say nothing of what is usual. */
 const MIN_ANSWERS = 30;
@@ -31,7 +40,7 @@
         return Math.max(LEAST_MS, this.#usual.value * MARGIN);
     }
 
-    /** Takes in how long an answer took, or, for one that was overtaken, at least took, and whether it needed calls. */
+    /** Records how long an answer took, or, for one that was overtaken, at least took, and whether it needed calls. */
     observe(elapsedMs: number, calls: boolean): void {
         this.#answers += 1;
         this.#callsShare += CALLS_WEIGHT * (Number(calls) - this.#callsShare);
--- a/src/policy/retry/outcome.ts
+++ b/src/policy/retry/outcome.ts
@@ -1,4 +1,4 @@
-/** What is known of a try of a request. */
+/** What is known of an attempt of a request. */
 
 /** `not-run` is proven; `unknown` may have run; `failed` ran and the upstream says that it went wrong. */
 export type Outcome = "not-run" | "unknown" | "failed";
--- a/src/policy/retry/pickresult.test.ts
+++ b/src/policy/retry/pickresult.test.ts
@@ -3,12 +3,19 @@
 import type { AttemptResult } from "./attemptresult.js";
 import { pickResult } from "./pickresult.js";
 
-const result = (outcome: AttemptResult["outcome"]): AttemptResult => ({
-    outcome,
-    reason: "",
-    redirected: false,
-    retriedBelow: false,
-});
+type Result = AttemptResult<undefined>;
+
+const result = (outcome: Result["outcome"]): Result => {
+    switch (outcome) {
+        case "served":
+            return { outcome };
+        case "failed":
+            return { outcome, answer: undefined, status: 500, retriedBelow: false };
+        case "not-run":
+        case "unknown":
+            return { outcome, reason: "busy" };
+    }
+};
 
 test("hedge: a refused second try does not hide a first that ran", () => {
     for (const outcome of ["served", "failed", "unknown"] as const) {
--- /dev/null
+++ b/src/policy/retry/reasons.test.ts
@@ -0,0 +1,58 @@
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { AttemptHistory } from "./attempthistory.js";
+import { decodeReason } from "./decodereason.js";
+import type { Reason } from "./reason.js";
+import { reasons } from "./reasons.js";
+import { tellProblem } from "./tellproblem.js";
+
+const having = (test: (reason: Reason) => boolean): string[] => (Object.keys(reasons) as Reason[]).filter(test).sort();
+
+test("reasons: those that move a request elsewhere", () => {
+    assert.deepEqual(having(reason => reasons[reason].moves), [
+        "busy",
+        "handed-back",
+        "incarnation",
+        "leaving",
+        "no-such-upstream",
+        "slow",
+        "stale-rule",
+    ]);
+});
+
+test("reasons: what an ingress holds against the upstream", () => {
+    assert.deepEqual(having(reason => reasons[reason].upstream === "suspected"), ["peer-broke", "unreachable"]);
+    assert.deepEqual(having(reason => reasons[reason].upstream === "failing"), ["shed"]);
+    assert.deepEqual(having(reason => reasons[reason].upstream === "leaving"), ["leaving"]);
+    assert.deepEqual(having(reason => reasons[reason].upstream === "absent"), ["no-such-upstream"]);
+});
+
+test("reasons: what may have run is never told as not run", () => {
+    for (const reason of Object.keys(reasons) as Reason[]) {
+        assert.match(tellProblem("unknown", reason), /^(answer-lost|deadline)$/, reason);
+    }
+    assert.equal(tellProblem("not-run", "queue-full"), "overloaded");
+    assert.equal(tellProblem("not-run", "peer-broke"), "unreachable");
+    assert.equal(tellProblem("not-run", "ledger-expired"), "deadline");
+    assert.equal(tellProblem("not-run", "leaving"), "no-upstream");
+});
+
+test("reasons: a word that is not known is decoded to a case of its own", () => {
+    assert.equal(decodeReason("busy"), "busy");
+    assert.equal(decodeReason("a-word-of-tomorrow"), "unknown-reason");
+    assert.equal(decodeReason("toString"), "unknown-reason");
+    assert.equal(decodeReason(undefined), "no-reason");
+});
+
+test("history: moves do not count as attempts, and one attempt that may have run is not forgotten", () => {
+    const history = new AttemptHistory<string>();
+    history.begin("a");
+    history.end({ outcome: "not-run", reason: "busy" });
+    history.begin("b");
+    history.end({ outcome: "unknown", reason: "peer-broke" });
+    history.begin("c");
+    history.end({ outcome: "not-run", reason: "slow" });
+    assert.deepEqual([history.attempts, history.moves, history.counted], [3, 2, 1]);
+    assert.equal(history.mayMove, false);
+    assert.equal(history.mayHaveRun, true);
+});
--- a/src/policy/retry/retries.ts
+++ b/src/policy/retry/retries.ts
@@ -1,4 +1,4 @@
-/** What one daemon holds of one service for tries after the first. */
+/** What one daemon holds of one service for attempts after the first. */
 import type { Hedging } from "./hedging.js";
 import type { RetryBudget } from "./retrybudget.js";
 
--- a/src/policy/retry/retrybudget.ts
+++ b/src/policy/retry/retrybudget.ts
@@ -1,9 +1,14 @@
-/** Bounds what retries add to a service's load. */
+/**
+ * May one more retry be afforded? Bounds what retries add to a service's load.
+ *
+ * Each success earns a share of a retry, a retry spends a whole one; what there is at the start is kept for failures, so a hedge
+ * takes only what successes have earned beyond it.
+ */
 
-/** What may be saved up, as a multiple of what there is at the start. */
+/** What may be saved up, as a multiple of what there is at the start; chosen, not measured. */
 const MAX_SHARE = 5;
 
-/** Each success earns a share of a retry; a retry spends a whole one. */
+/** Of one service at one ingress. */
 export class RetryBudget {
     #tokens: number;
 
@@ -12,7 +17,7 @@
         this.#tokens = burst;
     }
 
-    /** Takes in one success. */
+    /** Records one success; `ratio` is what it earns, in retries. */
     earn(ratio: number): void {
         this.#tokens = Math.min(MAX_SHARE * this.burst, this.#tokens + ratio);
     }
--- /dev/null
+++ b/src/policy/retry/retrydecision.ts
@@ -0,0 +1,19 @@
+/** Whether another attempt follows, and why. */
+
+/** What the attempt is paid with. */
+type Again = { readonly again: true; readonly why: "moves" | "free" | "budget"; };
+
+type Ended = {
+    readonly again: false;
+    readonly why:
+        | "time-over"
+        | "body-gone"
+        | "retried-below"
+        | "attempts-spent"
+        | "may-have-run"
+        | "budget-spent"
+        | "no-upstream";
+};
+
+/** `why` stands in the log line of the decision. */
+export type RetryDecision = Again | Ended;
--- a/src/policy/retry/serviceretries.ts
+++ b/src/policy/retry/serviceretries.ts
@@ -1,4 +1,4 @@
-/** What one daemon holds of all services for tries after the first. */
+/** What one daemon holds of all services for attempts after the first. */
 import type { ServiceName } from "../../ids/servicename.js";
 import { Hedging } from "./hedging.js";
 import type { Retries } from "./retries.js";
--- a/src/policy/tokenbucket.ts
+++ b/src/policy/tokenbucket.ts
@@ -1,4 +1,4 @@
-/** A hard budget. */
+/** May this much be spent now? A hard budget: no second passes it by more than the burst. */
 
 /** Fills at `rate` a second up to `burst`; what it does not hold can't be spent. */
 export class TokenBucket {
--- a/src/time/isoverdue.ts
+++ b/src/time/isoverdue.ts
@@ -1,6 +1,6 @@
 /** Waits for something, but not for long. */
 
-/** Resolves true when the time is up before the promise has settled. */
+/** Resolves true when `afterMs` milliseconds pass before the promise has settled. */
 export function isOverdue(promise: Promise<unknown>, afterMs: number): Promise<boolean> {
     return new Promise(resolve => {
         const timer = setTimeout(() => resolve(true), afterMs);
--- a/src/wire/callhead.ts
+++ b/src/wire/callhead.ts
@@ -5,17 +5,17 @@
 import { Priority } from "../config/priority.js";
 import { Incarnation } from "../ids/incarnation.js";
 import { RequestId } from "../ids/requestid.js";
-import { TenantName } from "../ids/tenantname.js";
+import { TeamName } from "../ids/teamname.js";
 import { UpstreamName } from "../ids/upstreamname.js";
 
-const NO_TENANT = "none" as TenantName;
+const NO_TEAM = "none" as TeamName;
 
 const CallHead = z.object({
     id: RequestId,
     upstream: UpstreamName,
     kind: Kind,
     priority: Priority,
-    tenant: TenantName.default(NO_TENANT),
+    team: TeamName.default(NO_TEAM),
     answer: AnswerMode.default("whole"),
     /** Milliseconds left at the time of sending. */
     remainingMs: z.number().min(0),
--- a/src/wire/headcodec.ts
+++ b/src/wire/headcodec.ts
@@ -19,7 +19,7 @@
     { name: "incarnation" },
     { name: "gateTime", form: "time" },
     { name: "depth", usual: 0 },
-    { name: "tenant", usual: "none" },
+    { name: "team", usual: "none" },
     { name: "answer", form: AnswerMode.options, usual: "whole" },
     { name: "offer" },
 ]);
--- a/src/wire/wire.test.ts
+++ b/src/wire/wire.test.ts
@@ -13,7 +13,7 @@
     upstream: "i-1",
     kind: "once",
     priority: "urgent",
-    tenant: "none",
+    team: "none",
     answer: "whole",
     remainingMs: 950.25,
     maxWaitMs: 1000,
@@ -36,7 +36,7 @@
 });
 
 test("wire: what is not as usual comes back too", () => {
-    const full = { ...head, depth: 3, tenant: "t", answer: "streamed", offer: "o", incarnation: "x", gateTime: 7 };
+    const full = { ...head, depth: 3, team: "t", answer: "streamed", offer: "o", incarnation: "x", gateTime: 7 };
     assert.deepEqual(readHead(headCodec.write(full)), { ...full, remainingMs: 950.2 });
 });
 
