--- a/build/warm.js
+++ b/build/warm.js
@@ -20,12 +20,14 @@
 const NETWORK = `127.250.${1 + process.pid % 250}`;
 const IPS = [`${NETWORK}.1`, `${NETWORK}.2`];
 const STORE = `${NETWORK}.3:7300`;
+/** The whole of it takes about five seconds; a build must not hang on it. */
 const LIMIT_MS = 20_000;
+/** Each function on the path of a request has run often enough to be compiled; chosen, not measured. */
 const ROUNDS = 60;
 
 const children = [];
 
-/** Node's own flags in the deploy file's `run`. */
+/** Node's own flags in the deploy file's `run`: a code cache is for one set of flags. */
 const flags = () => {
     const [, run] = /^run = "node (.*?) target\//m.exec(readFileSync(new URL("deploy/system.toml", ROOT), "utf8"));
     return run.split(" ");
@@ -37,6 +39,7 @@
     return child;
 };
 
+/** The stand-ins are TypeScript; the platform's build runs no tsc. */
 const makeStandins = () =>
     build({
         entryPoints: ["standin/storemain.ts", "standin/instancemain.ts"].map(name => new URL(name, ROOT).pathname),
@@ -48,6 +51,7 @@
         logLevel: "error",
     });
 
+/** The deployed settings, with addresses on loopback in the place of what the platform fills in. */
 const settings = (ip, index) => ({
     ...JSON.parse(readFileSync(new URL("deploy/settings.json", ROOT), "utf8").replaceAll(/"\{\{.*?\}\}.*?"/g, "\"x\"")),
     host: `h${index}`,
@@ -64,6 +68,7 @@
     stop: { lingerMs: 50, limitMs: 500 },
 });
 
+/** One rule of each kind, so that both paths through the gate are compiled. */
 const configuration = {
     revision: 1,
     rules: ["repeatable", "once"].map(kind => ({
@@ -81,6 +86,7 @@
     limits: { headerBytes: 16384, bodyBytes: 65536, headersTimeoutMs: 3000, keepAliveMs: 15000 },
 };
 
+/** The store is a process that has just been started: it is tried until it answers. */
 const configure = async () => {
     const value = Buffer.from(JSON.stringify(configuration)).toString("base64");
     const body = JSON.stringify({ put: [{ key: "op/config", value }] });
@@ -110,6 +116,7 @@
         req.end(method === "POST" ? "a body" : undefined);
     });
 
+/** Requests that stay on their host and such that cross, on kept and on new connections. */
 const exercise = async () => {
     const kept = new Agent({ keepAlive: true });
     let served = 0;
