--- a/src/http/passbody.ts
+++ b/src/http/passbody.ts
@@ -4,7 +4,7 @@
 
 /** Copies the body to the response; when either breaks off, the other does, so that no part is taken for the whole. */
 export function passBody(body: Readable, res: ServerResponse): void {
-    if (body.destroyed) {
+    if (body.destroyed && !body.readableEnded) {
         res.destroy();
         return;
     }
--- /dev/null
+++ b/src/ingress/deliver.test.ts
@@ -0,0 +1,27 @@
+import assert from "node:assert/strict";
+import { once } from "node:events";
+import { createServer } from "node:http";
+import type { AddressInfo } from "node:net";
+import { Readable } from "node:stream";
+import { test } from "node:test";
+import { deliver } from "./deliver.js";
+
+const BOUND = 5;
+
+test("deliver: an answer past its bound that ends while it is collected is whole", async () => {
+    const server = createServer((_req, res) => {
+        const body = Readable.from([Buffer.from("0123456789")], { objectMode: false });
+        void deliver(res, { status: 200, headers: {}, body, note: undefined }, true, false, BOUND);
+    });
+    server.listen(0, "127.0.0.1");
+    await once(server, "listening");
+    try {
+        const { port } = server.address() as AddressInfo;
+        const answer = await fetch(`http://127.0.0.1:${port}`);
+        assert.equal(await answer.text(), "0123456789");
+    }
+    finally {
+        server.close();
+        server.closeAllConnections();
+    }
+});
