--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -8,13 +8,13 @@
 import { timePath } from "../demo/timepath.js";
 import { table } from "../src/cli/table.js";
 import { Document } from "../src/config/document.js";
-import { findRuling } from "../src/config/findruling.js";
 import { makePatch } from "../src/config/makepatch.js";
+import { matchRequest } from "../src/config/matchrequest.js";
 import { parse } from "../src/config/parse.js";
-import { hallMembers } from "../src/control/hallmembers.js";
-import { Keeper } from "../src/control/keeper.js";
-import { Message } from "../src/control/message.js";
-import { rank } from "../src/control/rank.js";
+import { Message } from "../src/datagram/message.js";
+import { CurrentConfiguration } from "../src/distribution/currentconfiguration.js";
+import { hallMembers } from "../src/distribution/hallmembers.js";
+import { rank } from "../src/distribution/rank.js";
 import { RemoteHop } from "../src/hop/remotehop.js";
 import type { Address } from "../src/ids/address.js";
 import type { HallName } from "../src/ids/hallname.js";
@@ -64,9 +64,9 @@
 
 const random = (): number => Math.random();
 const hall = "hall-1" as HallName;
-const makeKeeper = (count: number): Keeper => {
-    const keeper = new Keeper();
-    keeper.adopt(parse(Document, makeDocument(count)));
+const makeKeeper = (count: number): CurrentConfiguration => {
+    const keeper = new CurrentConfiguration();
+    keeper.apply(parse(Document, makeDocument(count)));
     return keeper;
 };
 const makeViews = (count: number): UpstreamView[] =>
@@ -128,7 +128,7 @@
     await measureSlope("finding a rule, by upstream (0.3 rules each)", "us", COUNTS, count => {
         const document = makeDocument(count);
         const target = { method: "GET", host: "any", path: "/service-0/get/1?x" };
-        return microseconds(2000, () => findRuling(document, target, true, 0));
+        return microseconds(2000, () => matchRequest(document, target, true, 0));
     }),
     await measureSlope(
         "view of an upstream in memory, no connection",
--- a/src/config/ruling.ts
+++ b/src/config/matchedrule.ts
@@ -4,7 +4,7 @@
 import type { Service } from "./service.js";
 
 /** The rule that matches, its service, and the kind that results. */
-export type Ruling = {
+export type MatchedRule = {
     readonly rule: Rule;
     readonly service: Service;
     readonly kind: Kind;
--- /dev/null
+++ b/src/config/matchrequest.test.ts
@@ -0,0 +1,23 @@
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { emptyDocument } from "./emptydocument.js";
+import { matchRequest } from "./matchrequest.js";
+import { parse } from "./parse.js";
+import { Rule } from "./rule.js";
+import { Service } from "./service.js";
+
+test("rules: the most exact one is taken, and its order does not matter", () => {
+    const rules = [
+        { name: "all", pathPrefix: "/" },
+        { name: "long", pathPrefix: "/a/b" },
+        { name: "post", pathPrefix: "/a/b", methods: ["POST"] },
+        { name: "host", pathPrefix: "/", host: "h" },
+    ].map(rule => parse(Rule, { ...rule, service: "s" }));
+    const document = { ...emptyDocument, services: [parse(Service, { name: "s" })], rules };
+    const find = (method: string, host: string, path: string): string | undefined =>
+        matchRequest(document, { method, host, path }, true, 0)?.rule.name;
+    assert.equal(find("GET", "x", "/a/b/c?q"), "long");
+    assert.equal(find("POST", "x", "/a/b"), "post");
+    assert.equal(find("GET", "x", "/a/bc"), "all");
+    assert.equal(find("GET", "h:80", "/a/b"), "host");
+});
--- a/src/config/findruling.ts
+++ b/src/config/matchrequest.ts
@@ -2,17 +2,17 @@
 import { decideKind } from "../policy/retry/decidekind.js";
 import type { Document } from "./document.js";
 import { drawService } from "./drawservice.js";
+import type { MatchedRule } from "./matchedrule.js";
 import { matchRule } from "./matchrule.js";
 import type { RequestTarget } from "./requesttarget.js";
-import type { Ruling } from "./ruling.js";
 
 /** Undefined when no rule matches; `draw` from 0 up to 1 chooses the part of a split. */
-export function findRuling(
+export function matchRequest(
     document: Document,
     target: RequestTarget,
     fresh: boolean,
     draw: number,
-): Ruling | undefined {
+): MatchedRule | undefined {
     const rule = matchRule(document.rules, target);
     if (rule === undefined) {
         return undefined;
--- a/src/daemon/assembly.ts
+++ b/src/daemon/assembly.ts
@@ -2,19 +2,20 @@
 import { randomBytes } from "node:crypto";
 import type { Document } from "../config/document.js";
 import type { Upstream } from "../config/upstream.js";
-import { Datagrams } from "../control/datagrams.js";
-import { Election } from "../control/election.js";
-import { HealthCheck } from "../control/healthcheck.js";
-import { HostWatcher } from "../control/hostwatcher.js";
-import { Keeper } from "../control/keeper.js";
-import { Membership } from "../control/membership.js";
-import type { Message } from "../control/message.js";
-import { Publisher } from "../control/publisher.js";
-import { Puller } from "../control/puller.js";
-import { StoreWatcher } from "../control/storewatcher.js";
+import { Datagrams } from "../datagram/datagrams.js";
+import type { Message } from "../datagram/message.js";
+import { ChangePublisher } from "../distribution/changepublisher.js";
+import { ConfigurationPuller } from "../distribution/configurationpuller.js";
+import { CurrentConfiguration } from "../distribution/currentconfiguration.js";
+import { DocumentWatcher } from "../distribution/documentwatcher.js";
+import { HallHeartbeats } from "../distribution/hallheartbeats.js";
+import { LeavingHosts } from "../distribution/leavinghosts.js";
+import { WatcherElection } from "../distribution/watcherelection.js";
 import { CallContexts } from "../gate/callcontexts.js";
 import { Gate } from "../gate/gate.js";
 import { GateIdentity } from "../gate/gateidentity.js";
+import { HealthCheck } from "../health/healthcheck.js";
+import { ProbeBudget } from "../health/probebudget.js";
 import type { Address } from "../ids/address.js";
 import type { Incarnation } from "../ids/incarnation.js";
 import { splitAddress } from "../ids/splitaddress.js";
@@ -22,26 +23,25 @@
 import { Planner } from "../ingress/planner.js";
 import { UpstreamTable } from "../ingress/upstreamtable.js";
 import { Ledger } from "../ledger/ledger.js";
+import type { Member } from "../membership/member.js";
+import { Membership } from "../membership/membership.js";
 import type { Metrics } from "../metrics/metrics.js";
-import { OperatorFace } from "../operator/operatorface.js";
+import { OperatorApi } from "../operator/operatorapi.js";
 import { OperatorServer } from "../operator/operatorserver.js";
 import { PeerClient } from "../peer/peerclient.js";
 import { PeerServer } from "../peer/peerserver.js";
 import { ServiceRetries } from "../policy/retry/serviceretries.js";
-import type { Member } from "../roster/member.js";
 import { processClock as clock } from "../time/processclock.js";
 import { sleep } from "../time/sleep.js";
+import { DaemonPeerService } from "./daemonpeerservice.js";
+import { DatagramRouter } from "./datagramrouter.js";
+import type { Environment } from "./environment.js";
 import { GateSet } from "./gateset.js";
 import { Hops } from "./hops.js";
-import { Inbox } from "./inbox.js";
 import { LoadSharing } from "./loadsharing.js";
 import { makePlacement } from "./makeplacement.js";
-import { Measuring } from "./measuring.js";
-import { PeerFace } from "./peerface.js";
-import { RosterParts } from "./rosterparts.js";
-import { Rulings } from "./rulings.js";
+import { RuleMatcher } from "./rulematcher.js";
 import type { Settings } from "./settings.js";
-import type { Surroundings } from "./surroundings.js";
 
 const INCARNATION_BYTES = 9;
 const RETRY_PAUSE_MS = 100;
@@ -51,29 +51,29 @@
 export class Assembly {
     readonly self: Address;
     readonly #incarnation = randomBytes(INCARNATION_BYTES).toString("base64url") as Incarnation;
-    readonly keeper = new Keeper();
+    readonly keeper = new CurrentConfiguration();
     readonly #contexts = new CallContexts();
     readonly #retries: ServiceRetries;
     readonly #identity: GateIdentity;
     readonly #ledger: Ledger;
-    readonly #measuring: Measuring;
+    readonly #measuring: ProbeBudget;
     readonly peer: PeerClient;
-    readonly puller: Puller;
+    readonly puller: ConfigurationPuller;
     readonly gates: GateSet;
     readonly #hops: Hops;
-    readonly #inbox: Inbox;
+    readonly #inbox: DatagramRouter;
     readonly #table: UpstreamTable;
     readonly datagrams: Datagrams;
-    readonly membership: Membership;
+    readonly membership: HallHeartbeats;
     readonly sharing: LoadSharing;
     readonly health: HealthCheck;
     readonly peerServer: PeerServer;
     readonly ingress: Ingress;
     readonly operator: OperatorServer;
-    readonly roster: RosterParts | undefined;
+    readonly roster: Membership | undefined;
     #requests = 0;
 
-    constructor(readonly settings: Settings, readonly surroundings: Surroundings, readonly metrics: Metrics) {
+    constructor(readonly settings: Settings, readonly surroundings: Environment, readonly metrics: Metrics) {
         const { control, host, hall, limits, peerKey: key } = settings;
         const localIp = splitAddress(settings.peer).ip;
         const self = this.self = settings.advertise ?? settings.peer;
@@ -81,9 +81,9 @@
         this.#identity = new GateIdentity(this.#incarnation, () => this.keeper.revision);
         this.#ledger = new Ledger(limits.ledgerEntries);
         this.#retries = new ServiceRetries(settings.policy.retryBurst);
-        this.#measuring = new Measuring(control, this.keeper, metrics, clock);
+        this.#measuring = new ProbeBudget(control, this.keeper, metrics, clock);
         this.peer = new PeerClient({ localIp, key, clock });
-        this.puller = new Puller(this.keeper, this.peer, this.metrics);
+        this.puller = new ConfigurationPuller(this.keeper, this.peer, this.metrics);
         this.gates = new GateSet(self, upstream => this.#makeGate(upstream));
         this.#hops = new Hops({
             self,
@@ -99,8 +99,8 @@
             { key, clock, bytesPerSecond: control.bytesPerSecond, metrics: this.metrics },
             message => this.#inbox.receive(message),
         );
-        const storeWatcher = new StoreWatcher(surroundings.store, this.keeper, clock);
-        this.membership = new Membership({
+        const storeWatcher = new DocumentWatcher(surroundings.store, this.keeper, clock);
+        this.membership = new HallHeartbeats({
             self,
             hall,
             host,
@@ -109,9 +109,9 @@
             send,
             keeper: this.keeper,
             puller: this.puller,
-            election: new Election(self, clock()),
+            election: new WatcherElection(self, clock()),
             storeWatcher,
-            hostWatcher: new HostWatcher(surroundings.store),
+            hostWatcher: new LeavingHosts(surroundings.store),
             onHostLeaving: leaving => this.gates.setClosed("host-leaving", leaving),
         });
         this.sharing = new LoadSharing({
@@ -126,7 +126,7 @@
             policy: settings.policy,
         });
         this.roster = this.#makeRoster(storeWatcher, send);
-        this.#inbox = new Inbox({
+        this.#inbox = new DatagramRouter({
             self,
             clock,
             send,
@@ -145,7 +145,7 @@
         );
         const catchUp = (revision: number, from: string | undefined): Promise<void> =>
             this.puller.pullSoon(revision, from as Address | undefined);
-        const rulings = new Rulings(this.keeper, clock);
+        const rulings = new RuleMatcher(this.keeper, clock);
         this.peerServer = new PeerServer({
             key,
             clock,
@@ -155,7 +155,7 @@
             catchUp,
             find: target => rulings.find(target),
             isStale: (head, ruling) => rulings.isStale(head, ruling),
-            heardFrom: sender => this.sharing.reporter.heardFrom(sender as Address),
+            heardFrom: sender => this.sharing.reporter.recordSender(sender as Address),
         });
         this.ingress = new Ingress(limits, {
             planner: new Planner({
@@ -186,9 +186,9 @@
         this.keeper.onChange(document => this.#follow(document));
     }
 
-    #makePeerFace(): PeerFace {
+    #makePeerFace(): DaemonPeerService {
         const members = (): Member[] => this.roster?.members ?? [];
-        return new PeerFace(this.#identity, this.#ledger, this.keeper, this.gates, clock, members);
+        return new DaemonPeerService(this.#identity, this.#ledger, this.keeper, this.gates, clock, members);
     }
 
     #makeGate(upstream: Upstream): Gate {
@@ -207,7 +207,10 @@
         });
     }
 
-    #makeRoster(storeWatcher: StoreWatcher, send: (to: Address, message: Message) => boolean): RosterParts | undefined {
+    #makeRoster(
+        storeWatcher: DocumentWatcher,
+        send: (to: Address, message: Message) => boolean,
+    ): Membership | undefined {
         const { registry, dialect } = this.surroundings;
         if (registry === undefined) {
             return undefined;
@@ -216,15 +219,15 @@
         const own = { incarnation: this.#incarnation, measuring: this.#measuring };
         const shared = { self, settings, keeper, puller, peer, ...own };
         const onChange = (): void => this.#followUpstreams();
-        return new RosterParts({ ...shared, registry, dialect, storeWatcher, clock, random, send, onChange });
+        return new Membership({ ...shared, registry, dialect, storeWatcher, clock, random, send, onChange });
     }
 
-    #makeOperatorFace(): OperatorFace {
+    #makeOperatorFace(): OperatorApi {
         const pause = (attempt: number): Promise<void> => sleep(RETRY_PAUSE_MS * attempt);
-        return new OperatorFace({
+        return new OperatorApi({
             clock,
             keeper: this.keeper,
-            publisher: new Publisher(this.surroundings.store, this.keeper, pause),
+            publisher: new ChangePublisher(this.surroundings.store, this.keeper, pause),
             upstreams: this.#table,
             peer: this.peer,
         });
--- a/src/daemon/bootstrap.ts
+++ b/src/daemon/bootstrap.ts
@@ -1,7 +1,7 @@
 /** Gets a configuration at start: the highest of what the store and the seeds give. */
-import { decodeDocument } from "../control/decodedocument.js";
-import type { Keeper } from "../control/keeper.js";
-import type { Puller } from "../control/puller.js";
+import type { ConfigurationPuller } from "../distribution/configurationpuller.js";
+import type { CurrentConfiguration } from "../distribution/currentconfiguration.js";
+import { decodeDocument } from "../distribution/decodedocument.js";
 import type { Address } from "../ids/address.js";
 import { log } from "../log/log.js";
 import type { Store } from "../store/store.js";
@@ -9,11 +9,11 @@
 
 const logger = log("config");
 
-const readStore = async (store: Store, keeper: Keeper, clock: Clock): Promise<void> => {
+const readStore = async (store: Store, keeper: CurrentConfiguration, clock: Clock): Promise<void> => {
     const askedAt = clock();
     try {
         const { value } = await store.read();
-        keeper.adopt(decodeDocument(value));
+        keeper.apply(decodeDocument(value));
         keeper.confirm(keeper.revision, askedAt);
     }
     catch (err) {
@@ -25,8 +25,8 @@
 export async function bootstrap(
     store: Store,
     seeds: readonly Address[],
-    keeper: Keeper,
-    puller: Puller,
+    keeper: CurrentConfiguration,
+    puller: ConfigurationPuller,
     clock: Clock,
 ): Promise<void> {
     const asked = seeds.map(async seed => await puller.pull(Infinity, seed));
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -5,9 +5,9 @@
 import { sleep } from "../time/sleep.js";
 import { Assembly } from "./assembly.js";
 import { bootstrap } from "./bootstrap.js";
+import type { Environment } from "./environment.js";
 import { ReadinessServer } from "./readinessserver.js";
 import type { Settings } from "./settings.js";
-import type { Surroundings } from "./surroundings.js";
 import { waitIdle } from "./waitidle.js";
 
 const logger = log("daemon");
@@ -22,7 +22,7 @@
     private readonly parts: Assembly;
     private readonly readiness: ReadinessServer;
 
-    constructor(settings: Settings, surroundings: (settings: Settings, metrics: Metrics) => Surroundings) {
+    constructor(settings: Settings, surroundings: (settings: Settings, metrics: Metrics) => Environment) {
         const metrics = new Metrics();
         this.parts = new Assembly(settings, surroundings(settings, metrics), metrics);
         this.readiness = new ReadinessServer(() => this.parts.operator.ready);
@@ -84,7 +84,7 @@
      */
     #leave(): void {
         this.parts.sharing.stop();
-        void this.parts.roster?.go();
+        void this.parts.roster?.startLeaving();
         this.parts.gates.setClosed("stopping", true);
         this.#tellLeaving();
         this.parts.peerServer.wind();
--- a/src/daemon/peerface.ts
+++ b/src/daemon/daemonpeerservice.ts
@@ -1,23 +1,23 @@
 /** What this daemon does for its peers. */
 import type { Update } from "../config/update.js";
-import type { Keeper } from "../control/keeper.js";
+import type { CurrentConfiguration } from "../distribution/currentconfiguration.js";
 import type { GateIdentity } from "../gate/gateidentity.js";
 import type { Ledger } from "../ledger/ledger.js";
 import type { RevokeResult } from "../ledger/revokeresult.js";
+import type { Member } from "../membership/member.js";
 import type { GateStatus } from "../peer/gatestatus.js";
 import { PeerService } from "../peer/peerservice.js";
 import type { RevokeInput } from "../peer/revokeinput.js";
-import type { Member } from "../roster/member.js";
 import type { Clock } from "../time/clock.js";
 import type { GateSet } from "./gateset.js";
 import { gateStatus } from "./gatestatus.js";
 
 /** Answers from the daemon's own state. */
-export class PeerFace extends PeerService {
+export class DaemonPeerService extends PeerService {
     constructor(
         private readonly identity: GateIdentity,
         private readonly ledger: Ledger,
-        private readonly keeper: Keeper,
+        private readonly keeper: CurrentConfiguration,
         private readonly gates: GateSet,
         private readonly clock: Clock,
         private readonly known: () => Member[],
@@ -40,7 +40,7 @@
     }
 
     update(have: number): Update | undefined {
-        return this.keeper.update(have);
+        return this.keeper.updateFor(have);
     }
 
     members(): Member[] {
--- a/src/daemon/inbox.ts
+++ b/src/daemon/datagramrouter.ts
@@ -1,13 +1,13 @@
 /** Hands each datagram to the task that it is for. */
-import type { Membership } from "../control/membership.js";
-import type { Message } from "../control/message.js";
-import type { Pinger } from "../control/pinger.js";
-import type { Relief } from "../control/relief.js";
+import type { Message } from "../datagram/message.js";
+import type { HallHeartbeats } from "../distribution/hallheartbeats.js";
+import type { FailureDetector } from "../failuredetection/failuredetector.js";
 import type { GateIdentity } from "../gate/gateidentity.js";
 import type { Address } from "../ids/address.js";
 import type { UpstreamTable } from "../ingress/upstreamtable.js";
-import type { Gossip } from "../roster/gossip.js";
+import type { Gossip } from "../membership/gossip.js";
 import type { Clock } from "../time/clock.js";
+import type { WorkTransfer } from "../transfer/worktransfer.js";
 import type { GateSet } from "./gateset.js";
 
 /** The tasks, and how to answer. */
@@ -17,23 +17,23 @@
     readonly identity: GateIdentity;
     readonly gates: GateSet;
     readonly upstreams: UpstreamTable;
-    readonly membership: Membership;
-    readonly pinger: Pinger;
-    readonly relief: Relief;
+    readonly membership: HallHeartbeats;
+    readonly pinger: FailureDetector;
+    readonly relief: WorkTransfer;
     /** Undefined where the document says which upstreams there are. */
     readonly gossip: () => Gossip | undefined;
     readonly send: (to: Address, message: Message) => boolean;
 };
 
 /** Knows every type of message. */
-export class Inbox {
+export class DatagramRouter {
     constructor(private readonly parts: InboxParts) {}
 
     receive(message: Message): void {
         const { clock, upstreams, membership, pinger, relief } = this.parts;
         switch (message.type) {
             case "beat":
-                return membership.hear(message);
+                return membership.receive(message);
             case "ping":
                 return this.#answer(message.from, message.sentAt);
             case "pong":
@@ -47,11 +47,11 @@
             case "hello":
             case "member":
             case "going":
-                return this.parts.gossip()?.hear(message);
+                return this.parts.gossip()?.receive(message);
             case "need":
-                return relief.hearNeed(message);
+                return relief.receiveNeed(message);
             case "offer":
-                return relief.hearOffer(message);
+                return relief.receiveOffer(message);
         }
     }
 
--- a/src/daemon/surroundings.ts
+++ b/src/daemon/environment.ts
@@ -1,10 +1,10 @@
 /** What differs with where a daemon runs: how it speaks with callers, upstreams and the store. */
 import type { Dialect } from "../dialect/dialect.js";
-import type { Registry } from "../roster/registry.js";
+import type { Registry } from "../membership/registry.js";
 import type { Store } from "../store/store.js";
 
 /** No registry where the document says which upstreams there are. */
-export type Surroundings = {
+export type Environment = {
     readonly dialect: Dialect;
     readonly store: Store;
     readonly registry: Registry | undefined;
--- a/src/daemon/gatestatus.ts
+++ b/src/daemon/gatestatus.ts
@@ -1,10 +1,10 @@
 /** The state of a gate, as operators see it. */
-import type { Keeper } from "../control/keeper.js";
+import type { CurrentConfiguration } from "../distribution/currentconfiguration.js";
 import type { Gate } from "../gate/gate.js";
 import type { GateStatus } from "../peer/gatestatus.js";
 
 /** One line of `winglock status`. */
-export function gateStatus(gate: Gate, keeper: Keeper, now: number): GateStatus {
+export function gateStatus(gate: Gate, keeper: CurrentConfiguration, now: number): GateStatus {
     const { running, waiting, limit } = gate.report();
     return {
         upstream: gate.upstream.name,
--- a/src/daemon/loadsharing.ts
+++ b/src/daemon/loadsharing.ts
@@ -1,11 +1,11 @@
 /** The tasks by which daemons tell each other of load and take work off each other. */
-import { Pinger } from "../control/pinger.js";
-import { Relief } from "../control/relief.js";
-import { Reporter } from "../control/reporter.js";
+import { FailureDetector } from "../failuredetection/failuredetector.js";
 import type { UpstreamTable } from "../ingress/upstreamtable.js";
+import { LoadReporter } from "../loadreports/loadreporter.js";
+import { WorkTransfer } from "../transfer/worktransfer.js";
 import type { Settings } from "./settings.js";
 
-type ReliefParts = ConstructorParameters<typeof Relief>[0];
+type ReliefParts = ConstructorParameters<typeof WorkTransfer>[0];
 
 /** What these tasks need of the rest of the daemon. */
 type LoadSharingParts = ReliefParts & {
@@ -15,14 +15,14 @@
 
 /** Owns their timers. */
 export class LoadSharing {
-    readonly pinger: Pinger;
-    readonly reporter: Reporter;
-    readonly relief: Relief;
+    readonly pinger: FailureDetector;
+    readonly reporter: LoadReporter;
+    readonly relief: WorkTransfer;
 
     constructor(private readonly parts: LoadSharingParts) {
-        this.pinger = new Pinger(parts);
-        this.reporter = new Reporter(parts);
-        this.relief = new Relief(parts);
+        this.pinger = new FailureDetector(parts);
+        this.reporter = new LoadReporter(parts);
+        this.relief = new WorkTransfer(parts);
     }
 
     start(): void {
@@ -40,9 +40,9 @@
         if (profile === "frugal") {
             return;
         }
-        this.reporter.look();
+        this.reporter.check();
         if (relief) {
-            this.relief.look();
+            this.relief.check();
         }
     }
 }
--- a/src/daemon/ownsurroundings.ts
+++ b/src/daemon/ownenvironment.ts
@@ -3,11 +3,11 @@
 import { splitAddress } from "../ids/splitaddress.js";
 import type { Metrics } from "../metrics/metrics.js";
 import { HttpStore } from "../store/httpstore.js";
+import type { Environment } from "./environment.js";
 import type { Settings } from "./settings.js";
-import type { Surroundings } from "./surroundings.js";
 
 /** The store's bytes are counted. */
-export function ownSurroundings(settings: Settings, metrics: Metrics): Surroundings {
+export function ownEnvironment(settings: Settings, metrics: Metrics): Environment {
     const localIp = splitAddress(settings.peer).ip;
     const store = new HttpStore(settings.store, localIp, bytes => metrics.spent("store", bytes));
     return { dialect: new OwnDialect(), store, registry: undefined };
--- a/src/daemon/serve.ts
+++ b/src/daemon/serve.ts
@@ -5,9 +5,9 @@
 import { logSink } from "../log/logsink.js";
 import type { Metrics } from "../metrics/metrics.js";
 import { Daemon } from "./daemon.js";
+import type { Environment } from "./environment.js";
 import { Settings } from "./settings.js";
 import { SettingsFile } from "./settingsfile.js";
-import type { Surroundings } from "./surroundings.js";
 
 const EXIT_FAILED = 1;
 const EXIT_SETTINGS = 2;
@@ -46,7 +46,7 @@
 /** Reads the settings, starts, and stops by plan at the first signal, at once at the second. */
 export async function serve(
     file: string,
-    surroundings: (settings: Settings, metrics: Metrics) => Surroundings,
+    surroundings: (settings: Settings, metrics: Metrics) => Environment,
 ): Promise<void> {
     const settings = readSettings(file);
     logSink.configure(settings.log.level, settings.log.linesPerSecond);
--- a/src/control/message.ts
+++ b/src/datagram/message.ts
@@ -5,7 +5,7 @@
 import { Incarnation } from "../ids/incarnation.js";
 import { ServiceName } from "../ids/servicename.js";
 import { UpstreamName } from "../ids/upstreamname.js";
-import { Member } from "../roster/member.js";
+import { Member } from "../membership/member.js";
 import { loadReportSchema } from "../wire/loadreportschema.js";
 
 const MAX_ITEMS = 64;
--- a/src/control/publisher.ts
+++ b/src/distribution/changepublisher.ts
@@ -15,9 +15,9 @@
 import { StoreError } from "../store/storeerror.js";
 import type { ChangeRequest } from "./changerequest.js";
 import type { ChangeResult } from "./changeresult.js";
+import type { CurrentConfiguration } from "./currentconfiguration.js";
 import { decodeDocument } from "./decodedocument.js";
 import { encodeDocument } from "./encodedocument.js";
-import type { Keeper } from "./keeper.js";
 
 const logger = log("config");
 
@@ -33,8 +33,12 @@
     document.changes.find(change => change.id === id)?.revision;
 
 /** Serves the operators' changes at this daemon. */
-export class Publisher {
-    constructor(private readonly store: Store, private readonly keeper: Keeper, private readonly pause: Pause) {}
+export class ChangePublisher {
+    constructor(
+        private readonly store: Store,
+        private readonly keeper: CurrentConfiguration,
+        private readonly pause: Pause,
+    ) {}
 
     /** Makes the change, or tells why not; never throws for what the store or the operator does. */
     async apply(request: ChangeRequest): Promise<ChangeResult> {
@@ -75,7 +79,7 @@
     async #attempt(request: ChangeRequest, writing: () => void): Promise<ChangeResult | undefined> {
         const { value, version } = await this.store.read();
         const document = decodeDocument(value);
-        this.keeper.adopt(document);
+        this.keeper.apply(document);
         const known = isKnown(document, request.id);
         if (known !== undefined) {
             return { type: "accepted", revision: known, difference: [] };
@@ -106,7 +110,7 @@
         if (!await this.store.write(value, version)) {
             return undefined;
         }
-        this.keeper.adopt(changed);
+        this.keeper.apply(changed);
         return { type: "accepted", revision: changed.revision, difference };
     }
 }
--- a/src/control/puller.ts
+++ b/src/distribution/configurationpuller.ts
@@ -6,18 +6,18 @@
 import type { Metrics } from "../metrics/metrics.js";
 import type { PeerClient } from "../peer/peerclient.js";
 import { sleep } from "../time/sleep.js";
-import type { Keeper } from "./keeper.js";
+import type { CurrentConfiguration } from "./currentconfiguration.js";
 
 const logger = log("config");
 
 const SOON_MS = 250;
 
 /** One pull at a time; what is asked for meanwhile shares it. */
-export class Puller {
+export class ConfigurationPuller {
     #pulling: Promise<void> | undefined;
 
     constructor(
-        private readonly keeper: Keeper,
+        private readonly keeper: CurrentConfiguration,
         private readonly peer: PeerClient,
         private readonly metrics: Metrics,
     ) {}
@@ -43,7 +43,7 @@
             const update = await this.peer.update(from, this.keeper.revision);
             if (update !== undefined) {
                 this.metrics.spent("pull", JSON.stringify(update).length);
-                this.keeper.take(parse(Update, update));
+                this.keeper.applyUpdate(parse(Update, update));
             }
         }
         catch (err) {
--- a/src/control/keeper.ts
+++ b/src/distribution/currentconfiguration.ts
@@ -16,7 +16,7 @@
 const FRESH_MS = 12_000;
 
 /** The document, when it was last known to be the newest, and the last patches. */
-export class Keeper {
+export class CurrentConfiguration {
     readonly #patches: Patch[] = [];
     readonly #listeners: ((document: Document) => void)[] = [];
     #document: Document = emptyDocument;
@@ -51,7 +51,7 @@
     }
 
     /** Takes in a document; false when it is not newer. */
-    adopt(document: Document): boolean {
+    apply(document: Document): boolean {
         if (document.revision <= this.revision) {
             return false;
         }
@@ -66,19 +66,19 @@
     }
 
     /** Takes in what a peer gave; false when nothing in it was newer. */
-    take(update: Update): boolean {
+    applyUpdate(update: Update): boolean {
         if (update.type === "full") {
-            return this.adopt(update.document);
+            return this.apply(update.document);
         }
         const before = this.revision;
         for (const patch of update.patches) {
-            this.adopt(applyPatch(this.#document, patch) ?? this.#document);
+            this.apply(applyPatch(this.#document, patch) ?? this.#document);
         }
         return this.revision > before;
     }
 
     /** What a peer lacks that has revision `have`. */
-    update(have: number): Update | undefined {
+    updateFor(have: number): Update | undefined {
         if (have >= this.revision) {
             return undefined;
         }
--- a/src/control/storewatcher.ts
+++ b/src/distribution/documentwatcher.ts
@@ -3,17 +3,21 @@
 import type { Store } from "../store/store.js";
 import { StoreLoop } from "../store/storeloop.js";
 import type { Clock } from "../time/clock.js";
+import type { CurrentConfiguration } from "./currentconfiguration.js";
 import { decodeDocument } from "./decodedocument.js";
-import type { Keeper } from "./keeper.js";
 
 const logger = log("config");
 
 /** A loop of waiting watches; each answer confirms the revision. */
-export class StoreWatcher {
+export class DocumentWatcher {
     readonly #loop: StoreLoop;
     #version = 0;
 
-    constructor(private readonly store: Store, private readonly keeper: Keeper, private readonly clock: Clock) {
+    constructor(
+        private readonly store: Store,
+        private readonly keeper: CurrentConfiguration,
+        private readonly clock: Clock,
+    ) {
         this.#loop = new StoreLoop({
             step: signal => this.#watchOnce(signal),
             failed: err => logger.trouble("The watch of the configuration failed.", err, { revision: keeper.revision }),
@@ -48,7 +52,7 @@
         if (stored !== undefined) {
             const document = decodeDocument(stored.value);
             this.#version = stored.version;
-            this.keeper.adopt(document);
+            this.keeper.apply(document);
         }
         this.keeper.confirm(this.keeper.revision, askedAt);
     }
--- a/src/control/membership.ts
+++ b/src/distribution/hallheartbeats.ts
@@ -1,21 +1,21 @@
 /** Configuration and membership: who watches the store, who is told, and how fresh this daemon's document is. */
 import type { Document } from "../config/document.js";
+import type { Message } from "../datagram/message.js";
 import type { Address } from "../ids/address.js";
 import type { HallName } from "../ids/hallname.js";
 import type { HostName } from "../ids/hostname.js";
 import type { RandomSource } from "../policy/randomsource.js";
 import type { Clock } from "../time/clock.js";
 import { Ticker } from "../time/ticker.js";
-import { Beater } from "./beater.js";
-import type { Election } from "./election.js";
+import type { ConfigurationPuller } from "./configurationpuller.js";
+import type { CurrentConfiguration } from "./currentconfiguration.js";
+import type { DocumentWatcher } from "./documentwatcher.js";
 import { hallMembers } from "./hallmembers.js";
-import type { HostWatcher } from "./hostwatcher.js";
-import type { Keeper } from "./keeper.js";
-import type { Message } from "./message.js";
+import { HeartbeatSender } from "./heartbeatsender.js";
+import type { LeavingHosts } from "./leavinghosts.js";
 import { otherHalls } from "./otherhalls.js";
-import type { Puller } from "./puller.js";
 import { rank } from "./rank.js";
-import type { StoreWatcher } from "./storewatcher.js";
+import type { WatcherElection } from "./watcherelection.js";
 
 const TICK_MS = 50;
 const HOSTS_EVERY_MS = 1000;
@@ -29,26 +29,26 @@
     readonly host: HostName;
     readonly clock: Clock;
     readonly random: RandomSource;
-    readonly keeper: Keeper;
-    readonly puller: Puller;
-    readonly election: Election;
-    readonly storeWatcher: StoreWatcher;
-    readonly hostWatcher: HostWatcher;
+    readonly keeper: CurrentConfiguration;
+    readonly puller: ConfigurationPuller;
+    readonly election: WatcherElection;
+    readonly storeWatcher: DocumentWatcher;
+    readonly hostWatcher: LeavingHosts;
     readonly send: (to: Address, message: Message) => boolean;
     /** Hears whether this daemon's own host is on the platform's list of those that leave. */
     readonly onHostLeaving: (leaving: boolean) => void;
 };
 
 /** Owns the timers of control. */
-export class Membership {
-    readonly #beater: Beater;
+export class HallHeartbeats {
+    readonly #beater: HeartbeatSender;
     readonly #tickers = [
         new Ticker(TICK_MS, () => this.#tick()),
         new Ticker(HOSTS_EVERY_MS, () => void this.#askHosts()),
     ];
 
     constructor(private readonly parts: MembershipParts) {
-        this.#beater = new Beater(() => this.#audience(), to => parts.send(to, this.#beat()));
+        this.#beater = new HeartbeatSender(() => this.#audience(), to => parts.send(to, this.#beat()));
         parts.keeper.onChange(document => this.#follow(document));
     }
 
@@ -62,10 +62,10 @@
     }
 
     /** Takes in a beat. */
-    hear(beat: Extract<Message, { type: "beat"; }>): void {
+    receive(beat: Extract<Message, { type: "beat"; }>): void {
         const { clock, keeper, election, puller, host } = this.parts;
         const now = clock();
-        election.beat(beat.from, beat.watching, now);
+        election.recordHeartbeat(beat.from, beat.watching, now);
         keeper.confirm(beat.revision, now - beat.ageMs);
         void puller.pull(beat.revision, beat.from).then(() => keeper.confirm(beat.revision, now - beat.ageMs));
         if (beat.watching && !this.parts.storeWatcher.watching) {
@@ -87,18 +87,18 @@
         if (!storeWatcher.watching) {
             return;
         }
-        const before = hostWatcher.leaving.join();
-        await hostWatcher.ask();
-        onHostLeaving(hostWatcher.leaving.includes(host));
-        if (hostWatcher.leaving.join() !== before) {
-            this.#beater.hurry();
+        const before = hostWatcher.names.join();
+        await hostWatcher.refresh();
+        onHostLeaving(hostWatcher.names.includes(host));
+        if (hostWatcher.names.join() !== before) {
+            this.#beater.sendSoon();
         }
     }
 
     #follow(document: Document): void {
         const { election, hall } = this.parts;
-        election.members(rank(hallMembers(document, hall), hall));
-        this.#beater.hurry();
+        election.setMembers(rank(hallMembers(document, hall), hall));
+        this.#beater.sendSoon();
     }
 
     #audience(): Address[] {
@@ -115,7 +115,7 @@
             revision: keeper.revision,
             ageMs: Math.min(NEVER_MS, Math.max(0, Math.round(keeper.ageMs(clock())))),
             watching: storeWatcher.watching,
-            leaving: hostWatcher.leaving.slice(0, 64),
+            leaving: hostWatcher.names.slice(0, 64),
         };
     }
 }
--- a/src/control/beater.ts
+++ b/src/distribution/heartbeatsender.ts
@@ -9,7 +9,7 @@
 type SendBeat = (to: Address) => boolean;
 
 /** Holds who is still to be told in this round. */
-export class Beater {
+export class HeartbeatSender {
     #pending: Address[] = [];
     #roundAt = -Infinity;
     #urgent = false;
@@ -17,7 +17,7 @@
     constructor(private readonly members: () => Address[], private readonly send: SendBeat) {}
 
     /** Starts a new round that goes as fast as the budget allows. */
-    hurry(): void {
+    sendSoon(): void {
         this.#pending = this.members();
         this.#urgent = true;
     }
--- a/src/control/hostwatcher.ts
+++ b/src/distribution/leavinghosts.ts
@@ -3,18 +3,18 @@
 import type { Store } from "../store/store.js";
 
 /** Holds the last answer; an old one is better than none, since a host on the list only leaves. */
-export class HostWatcher {
+export class LeavingHosts {
     #leaving: HostName[] = [];
     #asking = false;
 
     constructor(private readonly store: Store) {}
 
-    get leaving(): readonly HostName[] {
+    get names(): readonly HostName[] {
         return this.#leaving;
     }
 
     /** Asks once, unless an answer is still awaited. */
-    async ask(): Promise<void> {
+    async refresh(): Promise<void> {
         if (this.#asking) {
             return;
         }
--- a/src/control/election.ts
+++ b/src/distribution/watcherelection.ts
@@ -16,7 +16,7 @@
 const STAGGER_MS = 200;
 
 /** Decides for one daemon; `startedAt` and all times are on its clock. */
-export class Election {
+export class WatcherElection {
     readonly #heard = new Map<Address, number>();
     #ranked: readonly Address[] = [];
     #enoughAt: number;
@@ -26,14 +26,14 @@
     }
 
     /** Takes in the hall's members in rank. */
-    members(ranked: readonly Address[]): void {
+    setMembers(ranked: readonly Address[]): void {
         this.#ranked = ranked;
         const known = new Set(ranked);
         [...this.#heard.keys()].filter(gate => !known.has(gate)).forEach(gate => this.#heard.delete(gate));
     }
 
     /** Takes in that a member said that it watches, or no longer does. */
-    beat(from: Address, watching: boolean, now: number): void {
+    recordHeartbeat(from: Address, watching: boolean, now: number): void {
         if (watching) {
             this.#heard.set(from, now);
         }
--- a/src/control/pinger.test.ts
+++ b/src/failuredetection/failuredetector.test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Upstream } from "../config/upstream.js";
+import type { Message } from "../datagram/message.js";
 import { Cancel } from "../http/cancel.js";
 import type { Address } from "../ids/address.js";
 import { UpstreamTable } from "../ingress/upstreamtable.js";
-import type { Message } from "./message.js";
-import { Pinger } from "./pinger.js";
+import { FailureDetector } from "./failuredetector.js";
 
 const upstream = (name: string, port: number): Upstream =>
     ({ name, service: "s", gate: `127.0.0.1:${port}`, slots: 4, draining: false }) as Upstream;
@@ -19,7 +19,7 @@
     const upstreams = new UpstreamTable(() => ({ hop: undefined as never, near: true, local: false }));
     upstreams.apply([upstream("a", 1), upstream("b", 2)]);
     const all = upstreams.ofService("s" as never);
-    const pinger: Pinger = new Pinger({
+    const pinger: FailureDetector = new FailureDetector({
         self: "127.0.0.1:9" as Address,
         clock: () => now,
         upstreams,
--- a/src/control/pinger.ts
+++ b/src/failuredetection/failuredetector.ts
@@ -3,13 +3,13 @@
  *
  * Owns the timer and the pings; when to ask and when to suspect is decided by policy/failure/silence.ts.
  */
+import type { Message } from "../datagram/message.js";
 import type { Address } from "../ids/address.js";
 import type { UpstreamTable } from "../ingress/upstreamtable.js";
 import type { UpstreamView } from "../ingress/upstreamview.js";
 import { availableOf } from "../policy/placement/availableof.js";
 import type { Clock } from "../time/clock.js";
 import { Ticker } from "../time/ticker.js";
-import type { Message } from "./message.js";
 
 /** A third of the time after which a ping counts as unanswered. */
 const TICK_MS = 50;
@@ -25,7 +25,7 @@
 };
 
 /** Looks at all upstreams but those beside this daemon. */
-export class Pinger {
+export class FailureDetector {
     readonly #answersPings = new Set<Address>();
     readonly #ticker = new Ticker(TICK_MS, () => this.#tick());
     #introducedAt = 0;
--- a/src/daemon/measuring.ts
+++ b/src/health/probebudget.ts
@@ -1,21 +1,21 @@
 /** The budget of questions to the upstreams beside this daemon, and where to ask. */
-import type { Keeper } from "../control/keeper.js";
+import type { Settings } from "../daemon/settings.js";
+import type { CurrentConfiguration } from "../distribution/currentconfiguration.js";
 import type { ServiceName } from "../ids/servicename.js";
 import type { Metrics } from "../metrics/metrics.js";
 import { TokenBucket } from "../policy/tokenbucket.js";
 import type { Clock } from "../time/clock.js";
-import type { Settings } from "./settings.js";
 
 /** A question of an upstream's pace and its answer, about. */
 const ASK_BYTES = 200;
 
 /** A hard budget: a rush can't raise it. */
-export class Measuring {
+export class ProbeBudget {
     readonly #asks: TokenBucket;
 
     constructor(
         private readonly control: Settings["control"],
-        private readonly keeper: Keeper,
+        private readonly keeper: CurrentConfiguration,
         private readonly metrics: Metrics,
         private readonly clock: Clock,
     ) {
--- a/src/ingress/plan.ts
+++ b/src/ingress/plan.ts
@@ -1,8 +1,8 @@
 /** What is to be done with a request, before any upstream is chosen. */
-import type { Ruling } from "../config/ruling.js";
+import type { MatchedRule } from "../config/matchedrule.js";
 
 /** Times are on the daemon's clock, in milliseconds; `depth` counts the calls between services above this request. */
-export type Plan = Ruling & {
+export type Plan = MatchedRule & {
     readonly type: "plan";
     readonly startedAt: number;
     readonly deadline: number;
--- a/src/ingress/planner.ts
+++ b/src/ingress/planner.ts
@@ -1,7 +1,7 @@
 /** Finds out what is to be done with a caller's request before any upstream is chosen: its rule, its deadline, its depth. */
 import type { IncomingMessage } from "node:http";
+import type { MatchedRule } from "../config/matchedrule.js";
 import type { RequestTarget } from "../config/requesttarget.js";
-import type { Ruling } from "../config/ruling.js";
 import type { Dialect } from "../dialect/dialect.js";
 import type { CallContexts } from "../gate/callcontexts.js";
 import { maxDepth } from "../policy/admission/maxdepth.js";
@@ -21,7 +21,7 @@
     /** The revision of the configuration; 0 while none is known. */
     readonly revision: () => number;
     /** What the configuration says of a request; undefined when no rule matches. */
-    readonly find: (target: RequestTarget, draw: number) => Ruling | undefined;
+    readonly find: (target: RequestTarget, draw: number) => MatchedRule | undefined;
 };
 
 type Parent = NonNullable<ReturnType<CallContexts["find"]>>;
@@ -61,7 +61,7 @@
         return contexts.find(token) ?? contexts.ofRequest(dialect.parentOf(req.headers));
     }
 
-    #deadline(req: IncomingMessage, { rule }: Ruling, parent: Parent | undefined, startedAt: number): number {
+    #deadline(req: IncomingMessage, { rule }: MatchedRule, parent: Parent | undefined, startedAt: number): number {
         const { callerTimeLimit } = this.parts.dialect;
         const given = callerTimeLimit === undefined ? undefined : req.headers[callerTimeLimit];
         const callerLimitMs = timeLimitOf(given);
--- a/src/control/reporter.ts
+++ b/src/loadreports/loadreporter.ts
@@ -1,10 +1,10 @@
 /** Tells recent senders when an upstream's speed has changed much, since reports else ride on answers only. */
+import type { Message } from "../datagram/message.js";
 import type { Gate } from "../gate/gate.js";
 import type { Address } from "../ids/address.js";
 import { isWorthReporting } from "../policy/placement/isworthreporting.js";
 import type { LoadReport } from "../policy/placement/loadreport.js";
 import type { Clock } from "../time/clock.js";
-import type { Message } from "./message.js";
 
 const LOOK_EVERY_MS = 10;
 const RECENT_MS = 1000;
@@ -19,7 +19,7 @@
 };
 
 /** Holds who sent work lately, a bounded number, and what they were told. */
-export class Reporter {
+export class LoadReporter {
     readonly #senders = new Map<Address, number>();
     readonly #told = new Map<Gate, LoadReport>();
     #lookedAt = 0;
@@ -27,7 +27,7 @@
     constructor(private readonly parts: ReporterParts) {}
 
     /** Takes in that something has changed at a gate; looks at most every few milliseconds. */
-    look(): void {
+    check(): void {
         const now = this.parts.clock();
         if (now - this.#lookedAt < LOOK_EVERY_MS) {
             return;
@@ -39,7 +39,7 @@
     }
 
     /** Takes in that a peer sends work here. */
-    heardFrom(sender: Address): void {
+    recordSender(sender: Address): void {
         this.#senders.delete(sender);
         this.#senders.set(sender, this.parts.clock());
         if (this.#senders.size > MAX_SENDERS) {
--- a/src/roster/gossip.ts
+++ b/src/membership/gossip.ts
@@ -4,7 +4,7 @@
  * Each says now and then, to a bounded number of peers, who it is and which revision it has. Whoever is behind asks:
  * for the sender's record, for those of others when it knows few, and for the configuration.
  */
-import type { Message } from "../control/message.js";
+import type { Message } from "../datagram/message.js";
 import type { Address } from "../ids/address.js";
 import { log } from "../log/log.js";
 import { sample } from "../policy/placement/sample.js";
@@ -12,7 +12,7 @@
 import type { Clock } from "../time/clock.js";
 import { Ticker } from "../time/ticker.js";
 import type { Member } from "./member.js";
-import type { Roster } from "./roster.js";
+import type { MemberList } from "./memberlist.js";
 
 const logger = log("roster");
 
@@ -27,7 +27,7 @@
 /** What gossip needs of its daemon; `ask` gets the records that a peer has, its own first. */
 type GossipParts = {
     readonly self: Address;
-    readonly roster: Roster;
+    readonly roster: MemberList;
     readonly member: () => Member;
     readonly revision: () => number;
     readonly pull: (revision: number, from: Address) => Promise<void>;
@@ -57,24 +57,24 @@
     }
 
     /** Tells all peers of a change of this daemon's own record, those that are known: the store tells the rest. */
-    tellMember(): void {
+    announceRecord(): void {
         const { roster, send, self, member } = this.parts;
         const own = member();
         roster.members.forEach(peer => send(peer.gate, { type: "member", from: self, member: own }));
     }
 
     /** Tells all peers that this daemon goes. */
-    tellGoing(): void {
+    announceStop(): void {
         const { roster, send, self } = this.parts;
         roster.members.forEach(peer => send(peer.gate, { type: "going", from: self }));
     }
 
-    hear(message: Extract<Message, { type: "hello" | "member" | "going"; }>): void {
+    receive(message: Extract<Message, { type: "hello" | "member" | "going"; }>): void {
         const { roster, clock } = this.parts;
         const now = clock();
         switch (message.type) {
             case "member":
-                roster.take(message.member, "itself", now);
+                roster.record(message.member, "itself", now);
                 return;
             case "going":
                 roster.remove(message.from);
@@ -87,7 +87,7 @@
     #hearHello(hello: Hello, now: number): void {
         const { roster, revision, pull } = this.parts;
         const { from, incarnation, version } = hello;
-        roster.heard(from, now);
+        roster.recordAlive(from, now);
         if (!roster.knows(from, incarnation, version)) {
             void this.#learn(from);
         }
@@ -115,9 +115,9 @@
             const [own, ...others] = await this.parts.ask(peer);
             const now = this.parts.clock();
             if (own !== undefined) {
-                this.parts.roster.take(own, "itself", now);
+                this.parts.roster.record(own, "itself", now);
             }
-            others.forEach(member => this.parts.roster.take(member, "peer", now));
+            others.forEach(member => this.parts.roster.record(member, "peer", now));
         }
         catch (err) {
             logger.trouble("The peer did not tell whom it knows.", err, { peer });
@@ -129,7 +129,7 @@
 
     #sweep(): void {
         const { roster, clock } = this.parts;
-        roster.sweep(clock()).forEach(gate => {
+        roster.removeGone(clock()).forEach(gate => {
             this.#answeredAt.delete(gate);
             logger.belief("A peer is given up: its record is gone and it is silent.", { peer: gate });
         });
--- a/src/roster/announced.ts
+++ b/src/membership/localupstreams.ts
@@ -12,11 +12,11 @@
 type Entry = { announcement: Announcement; heardAt: number; };
 
 /** Pure; all times are milliseconds on the daemon's clock. */
-export class Announced {
+export class LocalUpstreams {
     readonly #entries = new Map<UpstreamName, Entry>();
     readonly #ended = new Set<UpstreamName>();
 
-    get upstreams(): HostedUpstream[] {
+    get all(): HostedUpstream[] {
         return [...this.#entries].map(([name, { announcement }]) => ({
             name,
             service: announcement.service,
@@ -27,7 +27,7 @@
     }
 
     /** Takes in an announcement; false when it changes nothing. */
-    hear(name: UpstreamName, announcement: Announcement, now: number): boolean {
+    record(name: UpstreamName, announcement: Announcement, now: number): boolean {
         if (this.#ended.has(name)) {
             return false;
         }
@@ -48,13 +48,13 @@
     }
 
     /** Takes in that an upstream is about to end, or has ended; false when that is no news. */
-    leave(name: UpstreamName): boolean {
+    remove(name: UpstreamName): boolean {
         this.#end(name);
         return this.#entries.delete(name);
     }
 
     /** Ends upstreams that have been silent for too long; they may come back with a later announcement. */
-    sweep(now: number): UpstreamName[] {
+    removeSilent(now: number): UpstreamName[] {
         const silent = [...this.#entries].filter(([, { heardAt }]) => now - heardAt >= SILENT_MS).map(([name]) => name);
         silent.forEach(name => this.#entries.delete(name));
         return silent;
@@ -64,7 +64,7 @@
     #replace(address: Address): void {
         for (const [name, { announcement }] of this.#entries) {
             if (announcement.address === address) {
-                this.leave(name);
+                this.remove(name);
             }
         }
     }
--- a/src/roster/roster.ts
+++ b/src/membership/memberlist.ts
@@ -17,7 +17,7 @@
 type Entry = { member: Member; heardAt: number; lapsedAt: number | undefined; };
 
 /** Pure; all times are milliseconds on the daemon's clock. */
-export class Roster {
+export class MemberList {
     readonly #entries = new Map<Address, Entry>();
     readonly #listeners: (() => void)[] = [];
 
@@ -48,7 +48,7 @@
     }
 
     /** Takes in what is said of a daemon; false when it is no news. */
-    take(member: Member, source: MemberSource, now: number): boolean {
+    record(member: Member, source: MemberSource, now: number): boolean {
         if (member.gate === this.self) {
             return false;
         }
@@ -76,7 +76,7 @@
     }
 
     /** Takes in a sign of life. */
-    heard(gate: Address, now: number): void {
+    recordAlive(gate: Address, now: number): void {
         const entry = this.#entries.get(gate);
         if (entry !== undefined) {
             entry.heardAt = now;
@@ -84,7 +84,7 @@
     }
 
     /** Takes in that the store has no record of the daemon any more. */
-    lapse(gate: Address, now: number): void {
+    recordLapse(gate: Address, now: number): void {
         const entry = this.#entries.get(gate);
         if (entry !== undefined) {
             entry.lapsedAt ??= now;
@@ -104,7 +104,7 @@
     }
 
     /** Gives up members that were silent for too long after their records went; returns them. */
-    sweep(now: number): Address[] {
+    removeGone(now: number): Address[] {
         const gone = [...this.#entries].filter(([, entry]) => judgeMember(entry, now) === "gone").map(([gate]) => gate);
         gone.forEach(gate => this.#entries.delete(gate));
         if (gone.length > 0) {
--- a/src/daemon/rosterparts.ts
+++ b/src/membership/membership.ts
@@ -1,31 +1,31 @@
 /** The parts of a daemon by which it knows the others, where upstreams announce themselves. */
 import type { Upstream } from "../config/upstream.js";
-import type { Keeper } from "../control/keeper.js";
-import type { Message } from "../control/message.js";
-import type { Puller } from "../control/puller.js";
-import type { StoreWatcher } from "../control/storewatcher.js";
+import type { Settings } from "../daemon/settings.js";
+import type { Message } from "../datagram/message.js";
 import type { Dialect } from "../dialect/dialect.js";
+import type { ConfigurationPuller } from "../distribution/configurationpuller.js";
+import type { CurrentConfiguration } from "../distribution/currentconfiguration.js";
+import type { DocumentWatcher } from "../distribution/documentwatcher.js";
+import type { ProbeBudget } from "../health/probebudget.js";
 import type { Address } from "../ids/address.js";
 import type { Incarnation } from "../ids/incarnation.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
 import type { PeerClient } from "../peer/peerclient.js";
 import type { RandomSource } from "../policy/randomsource.js";
-import { Announced } from "../roster/announced.js";
-import type { Announcement } from "../roster/announcement.js";
-import { AnnouncementServer } from "../roster/announcementserver.js";
-import { Discovery } from "../roster/discovery.js";
-import { Gossip } from "../roster/gossip.js";
-import type { Member } from "../roster/member.js";
-import { Registrar } from "../roster/registrar.js";
-import type { Registry } from "../roster/registry.js";
-import { RegistryWatcher } from "../roster/registrywatcher.js";
-import { Roster } from "../roster/roster.js";
-import { upstreamsOf } from "../roster/upstreamsof.js";
 import type { Clock } from "../time/clock.js";
 import { sleep } from "../time/sleep.js";
 import { Ticker } from "../time/ticker.js";
-import type { Measuring } from "./measuring.js";
-import type { Settings } from "./settings.js";
+import type { Announcement } from "./announcement.js";
+import { AnnouncementServer } from "./announcementserver.js";
+import { Gossip } from "./gossip.js";
+import { LocalUpstreams } from "./localupstreams.js";
+import type { Member } from "./member.js";
+import { MemberList } from "./memberlist.js";
+import { RecordPublisher } from "./recordpublisher.js";
+import type { Registry } from "./registry.js";
+import { RegistryWatcher } from "./registrywatcher.js";
+import { UpstreamDiscovery } from "./upstreamdiscovery.js";
+import { upstreamsOf } from "./upstreamsof.js";
 
 const SWEEP_EVERY_MS = 1000;
 /** For so long after a start the upstream is looked for, and no record without one is published. */
@@ -39,10 +39,10 @@
     readonly settings: Settings;
     readonly registry: Registry;
     readonly dialect: Dialect;
-    readonly measuring: Measuring;
-    readonly storeWatcher: StoreWatcher;
-    readonly keeper: Keeper;
-    readonly puller: Puller;
+    readonly measuring: ProbeBudget;
+    readonly storeWatcher: DocumentWatcher;
+    readonly keeper: CurrentConfiguration;
+    readonly puller: ConfigurationPuller;
     readonly peer: PeerClient;
     readonly clock: Clock;
     readonly random: RandomSource;
@@ -52,11 +52,11 @@
 };
 
 /** Owns this daemon's own record. */
-export class RosterParts {
+export class Membership {
     readonly gossip: Gossip;
-    readonly #announced = new Announced();
-    readonly #roster: Roster;
-    readonly #registrar: Registrar;
+    readonly #announced = new LocalUpstreams();
+    readonly #roster: MemberList;
+    readonly #registrar: RecordPublisher;
     readonly #watcher: RegistryWatcher;
     readonly #announcements: AnnouncementServer;
     readonly #sweep = new Ticker(SWEEP_EVERY_MS, () => this.#endSilent());
@@ -67,9 +67,9 @@
     constructor(private readonly needs: RosterNeeds) {
         const { self, registry, clock, random, send, keeper, puller, peer } = needs;
         const member = (): Member => this.member;
-        this.#roster = new Roster(self);
+        this.#roster = new MemberList(self);
         this.#roster.onChange(() => needs.onChange());
-        this.#registrar = new Registrar({
+        this.#registrar = new RecordPublisher({
             registry,
             member,
             onTrouble: () => this.#storeFailed = true,
@@ -80,7 +80,7 @@
             registry,
             roster: this.#roster,
             clock,
-            onOwnGone: () => this.#registrar.publish(),
+            onOwnGone: () => this.#registrar.publishSoon(),
         });
         this.gossip = new Gossip({
             self,
@@ -103,7 +103,7 @@
     get member(): Member {
         const { self: gate, incarnation, settings } = this.needs;
         const { host, hall, region } = settings;
-        const upstreams = this.#going ? [] : this.#announced.upstreams;
+        const upstreams = this.#going ? [] : this.#announced.all;
         return { gate, host, hall, region, incarnation, version: this.#version, upstreams };
     }
 
@@ -114,7 +114,7 @@
 
     /** All upstreams that there are, those beside this daemon too. */
     get upstreams(): Upstream[] {
-        return [...upstreamsOf({ ...this.member, upstreams: this.#announced.upstreams }), ...this.#roster.upstreams];
+        return [...upstreamsOf({ ...this.member, upstreams: this.#announced.all }), ...this.#roster.upstreams];
     }
 
     async start(): Promise<void> {
@@ -130,16 +130,16 @@
     }
 
     /** Tells peers and the store that this daemon serves no upstream any more; the daemon itself goes on. */
-    async go(): Promise<void> {
+    async startLeaving(): Promise<void> {
         this.#going = true;
         this.#version += 1;
-        this.gossip.tellMember();
+        this.gossip.announceRecord();
         await this.#registrar.stop();
     }
 
     stop(): void {
         this.#sweep.stop();
-        this.gossip.tellGoing();
+        this.gossip.announceStop();
         this.gossip.stop();
         this.#watcher.stop();
         this.needs.storeWatcher.set(false);
@@ -153,11 +153,16 @@
         if (address === undefined || service === undefined) {
             return;
         }
-        const discovery = new Discovery({ address, service, dialect, path: () => measuring.healthPath(service) });
+        const discovery = new UpstreamDiscovery({
+            address,
+            service,
+            dialect,
+            path: () => measuring.healthPath(service),
+        });
         const until = clock() + DISCOVER_FOR_MS;
-        while (this.#announced.upstreams.length === 0 && !this.#going && clock() < until) {
+        while (this.#announced.all.length === 0 && !this.#going && clock() < until) {
             const found = await discovery.find();
-            if (found !== undefined && this.#announced.upstreams.length === 0) {
+            if (found !== undefined && this.#announced.all.length === 0) {
                 this.#hear(found.name, found.announcement);
                 return;
             }
@@ -166,19 +171,19 @@
     }
 
     #hear(name: UpstreamName, announcement: Announcement): void {
-        if (this.#announced.hear(name, announcement, this.needs.clock())) {
+        if (this.#announced.record(name, announcement, this.needs.clock())) {
             this.#changed();
         }
     }
 
     #leave(name: UpstreamName): void {
-        if (this.#announced.leave(name)) {
+        if (this.#announced.remove(name)) {
             this.#changed();
         }
     }
 
     #endSilent(): void {
-        if (this.#announced.sweep(this.needs.clock()).length > 0) {
+        if (this.#announced.removeSilent(this.needs.clock()).length > 0) {
             this.#changed();
         }
     }
@@ -187,8 +192,8 @@
     #changed(): void {
         this.#version += 1;
         this.needs.onChange();
-        this.gossip.tellMember();
-        this.#registrar.publish();
+        this.gossip.announceRecord();
+        this.#registrar.publishSoon();
     }
 
     /** Watches that were waiting when the store failed may wait for ever. */
--- a/src/roster/registrar.ts
+++ b/src/membership/recordpublisher.ts
@@ -17,7 +17,7 @@
 };
 
 /** One loop: publishes what has changed, renews what has not. */
-export class Registrar {
+export class RecordPublisher {
     readonly #loop: StoreLoop;
     /** The version of the record that the store has; undefined when it must be written. */
     #published: number | undefined;
@@ -35,7 +35,7 @@
     }
 
     /** Publishes as soon as may be: the record has changed, or is gone. */
-    publish(): void {
+    publishSoon(): void {
         this.#published = undefined;
         this.#loop.wake();
     }
--- a/src/roster/registrywatcher.ts
+++ b/src/membership/registrywatcher.ts
@@ -4,9 +4,9 @@
 import { HistoryError } from "../store/historyerror.js";
 import { StoreLoop } from "../store/storeloop.js";
 import type { Clock } from "../time/clock.js";
+import type { MemberList } from "./memberlist.js";
 import type { Registry } from "./registry.js";
 import type { RegistryEvent } from "./registryevent.js";
-import type { Roster } from "./roster.js";
 
 const logger = log("roster");
 
@@ -17,7 +17,7 @@
 type WatcherParts = {
     readonly self: Address;
     readonly registry: Registry;
-    readonly roster: Roster;
+    readonly roster: MemberList;
     readonly clock: Clock;
     readonly onOwnGone: () => void;
 };
@@ -76,21 +76,23 @@
         const { members, at } = await this.parts.registry.list();
         const now = clock();
         const listed = new Set(members.map(member => member.gate));
-        members.forEach(member => roster.take(member, "store", now));
-        roster.members.filter(member => !listed.has(member.gate)).forEach(member => roster.lapse(member.gate, now));
+        members.forEach(member => roster.record(member, "store", now));
+        roster.members.filter(member => !listed.has(member.gate)).forEach(member =>
+            roster.recordLapse(member.gate, now)
+        );
         this.#at = at;
     }
 
     #take(event: RegistryEvent): void {
         const { roster, clock, self, onOwnGone } = this.parts;
         if (event.type === "written") {
-            roster.take(event.member, "store", clock());
+            roster.record(event.member, "store", clock());
             return;
         }
         if (event.gate === self) {
             onOwnGone();
             return;
         }
-        roster.lapse(event.gate, clock());
+        roster.recordLapse(event.gate, clock());
     }
 }
--- a/src/roster/discovery.ts
+++ b/src/membership/upstreamdiscovery.ts
@@ -25,7 +25,7 @@
 };
 
 /** An upstream that is not well, or is leaving, is not found. */
-export class Discovery {
+export class UpstreamDiscovery {
     constructor(private readonly parts: DiscoveryParts) {}
 
     /** Asks once; undefined when no upstream answers that takes work. */
--- a/src/operator/fromresult.ts
+++ b/src/operator/fromresult.ts
@@ -1,6 +1,6 @@
 /** From what became of a change to the schema's answer. */
 import { create } from "@bufbuild/protobuf";
-import type { ChangeResult } from "../control/changeresult.js";
+import type { ChangeResult } from "../distribution/changeresult.js";
 import {
     type ApplyChangesResponse,
     ApplyChangesResponseSchema,
--- a/src/operator/operatorface.ts
+++ b/src/operator/operatorapi.ts
@@ -1,9 +1,9 @@
 /** What operators can ask of a daemon, in the domain's own words. */
 import type { Document } from "../config/document.js";
-import type { ChangeRequest } from "../control/changerequest.js";
-import type { ChangeResult } from "../control/changeresult.js";
-import type { Keeper } from "../control/keeper.js";
-import type { Publisher } from "../control/publisher.js";
+import type { ChangePublisher } from "../distribution/changepublisher.js";
+import type { ChangeRequest } from "../distribution/changerequest.js";
+import type { ChangeResult } from "../distribution/changeresult.js";
+import type { CurrentConfiguration } from "../distribution/currentconfiguration.js";
 import type { ChangeId } from "../ids/changeid.js";
 import type { UpstreamTable } from "../ingress/upstreamtable.js";
 import type { PeerClient } from "../peer/peerclient.js";
@@ -15,14 +15,14 @@
 /** What the face needs of its daemon. */
 type OperatorParts = {
     readonly clock: Clock;
-    readonly keeper: Keeper;
-    readonly publisher: Publisher;
+    readonly keeper: CurrentConfiguration;
+    readonly publisher: ChangePublisher;
     readonly upstreams: UpstreamTable;
     readonly peer: PeerClient;
 };
 
 /** Knows nothing of how the calls come in. */
-export class OperatorFace {
+export class OperatorApi {
     constructor(private readonly parts: OperatorParts) {}
 
     get document(): Document {
--- a/src/operator/operatorcalls.ts
+++ b/src/operator/operatorcalls.ts
@@ -1,12 +1,12 @@
 /** The operators' calls over HTTP. */
 import { connectNodeAdapter } from "@connectrpc/connect-node";
 import type { IncomingMessage, ServerResponse } from "node:http";
-import type { OperatorFace } from "./operatorface.js";
+import type { OperatorApi } from "./operatorapi.js";
 import { operatorRoutes } from "./operatorroutes.js";
 
 const MAX_MESSAGE_BYTES = 4 * 1024 * 1024;
 
 /** Serves the calls of the schema; takes an HTTP request that is one. */
-export function operatorCalls(face: OperatorFace): (req: IncomingMessage, res: ServerResponse) => void {
+export function operatorCalls(face: OperatorApi): (req: IncomingMessage, res: ServerResponse) => void {
     return connectNodeAdapter({ routes: operatorRoutes(face), readMaxBytes: MAX_MESSAGE_BYTES });
 }
--- a/src/operator/operatorroutes.ts
+++ b/src/operator/operatorroutes.ts
@@ -16,7 +16,7 @@
 import { ChangeId } from "../ids/changeid.js";
 import { fromChange } from "./fromchange.js";
 import { fromResult } from "./fromresult.js";
-import type { OperatorFace } from "./operatorface.js";
+import type { OperatorApi } from "./operatorapi.js";
 import { protoKind } from "./protokind.js";
 import { protoPriority } from "./protopriority.js";
 import type { StatusLine } from "./statusline.js";
@@ -34,7 +34,7 @@
     }
 };
 
-const apply = async (face: OperatorFace, req: ApplyChangesRequest): Promise<ApplyChangesResponse> => {
+const apply = async (face: OperatorApi, req: ApplyChangesRequest): Promise<ApplyChangesResponse> => {
     try {
         const id = parseAt("change_id", () => parse(ChangeId, req.changeId));
         const changes = req.changes.map((change, at) => parseAt(`changes.${at}`, () => fromChange(change)));
@@ -50,7 +50,7 @@
 };
 
 const resolve = async (
-    face: OperatorFace,
+    face: OperatorApi,
     changeId: string,
 ): Promise<{ outcome: ChangeOutcome; revision: bigint; }> => {
     try {
@@ -78,7 +78,7 @@
         refused: BigInt(gate?.refused ?? 0),
     });
 
-const explainUrl = (face: OperatorFace, method: string, url: string): ReturnType<OperatorFace["explain"]> => {
+const explainUrl = (face: OperatorApi, method: string, url: string): ReturnType<OperatorApi["explain"]> => {
     if (!URL.canParse(url)) {
         throw new ConnectError(`url: must be a whole URL; got ${JSON.stringify(url)}`, Code.InvalidArgument);
     }
@@ -86,7 +86,7 @@
 };
 
 /** Registers the calls. */
-export function operatorRoutes(face: OperatorFace): (router: ConnectRouter) => void {
+export function operatorRoutes(face: OperatorApi): (router: ConnectRouter) => void {
     return router =>
         router.service(OperatorService, {
             getConfiguration: () => ({ configuration: toConfiguration(face.document), fresh: face.fresh }),
--- a/src/operator/operatorserver.ts
+++ b/src/operator/operatorserver.ts
@@ -2,7 +2,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Metrics } from "../metrics/metrics.js";
 import { listen } from "../time/listen.js";
-import type { OperatorFace } from "./operatorface.js";
+import type { OperatorApi } from "./operatorapi.js";
 
 type Calls = (req: IncomingMessage, res: ServerResponse) => void;
 
@@ -14,7 +14,7 @@
     #calls: Promise<Calls> | undefined;
 
     constructor(
-        private readonly face: OperatorFace,
+        private readonly face: OperatorApi,
         private readonly metrics: Metrics,
         private readonly configured: () => boolean,
     ) {
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -3,8 +3,8 @@
 import { timingSafeEqual } from "node:crypto";
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
+import type { MatchedRule } from "../config/matchedrule.js";
 import type { RequestTarget } from "../config/requesttarget.js";
-import type { Ruling } from "../config/ruling.js";
 import { headerName } from "../dialect/headername.js";
 import type { Gate } from "../gate/gate.js";
 import type { GateIdentity } from "../gate/gateidentity.js";
@@ -42,9 +42,9 @@
     /** Pulls a newer configuration before the gate decides. */
     readonly catchUp: (revision: number, from: string | undefined) => Promise<void>;
     /** What the rules here say of a request. */
-    readonly find: (target: RequestTarget) => Ruling | undefined;
+    readonly find: (target: RequestTarget) => MatchedRule | undefined;
     /** True when the sender's older rules let a request repeat that the newer ones do not. */
-    readonly isStale: (head: CallHead, ruling: Ruling | undefined) => boolean;
+    readonly isStale: (head: CallHead, ruling: MatchedRule | undefined) => boolean;
     /** Takes in that a peer sends work here, so that it is told of load. */
     readonly heardFrom: (address: string | undefined) => void;
 };
--- a/src/control/relief.ts
+++ b/src/transfer/worktransfer.ts
@@ -6,6 +6,7 @@
  */
 import { randomUUID } from "node:crypto";
 import type { Upstream } from "../config/upstream.js";
+import type { Message } from "../datagram/message.js";
 import type { Gate } from "../gate/gate.js";
 import type { Address } from "../ids/address.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
@@ -15,7 +16,6 @@
 import { isWorthMoving } from "../policy/transfer/isworthmoving.js";
 import { needPerSibling } from "../policy/transfer/needpersibling.js";
 import type { Clock } from "../time/clock.js";
-import type { Message } from "./message.js";
 
 const TICK_MS = 4;
 const ASK_EVERY_MS = 8;
@@ -35,14 +35,14 @@
 };
 
 /** Asks for, makes and uses offers. */
-export class Relief {
+export class WorkTransfer {
     readonly #askedAt = new Map<Gate, number>();
     #timer: NodeJS.Timeout | undefined;
 
     constructor(private readonly parts: ReliefParts) {}
 
     /** Takes in that something has changed at a gate; looks on by itself while something waits. */
-    look(): void {
+    check(): void {
         if (this.#timer === undefined && this.#anyWaiting()) {
             this.#timer = setTimeout(() => this.#tick(), TICK_MS);
         }
@@ -53,7 +53,7 @@
     }
 
     /** Makes offers to a gate in need. */
-    hearNeed(need: Extract<Message, { type: "need"; }>): void {
+    receiveNeed(need: Extract<Message, { type: "need"; }>): void {
         for (const gate of this.parts.gates()) {
             if (gate.upstream.service === need.service && gate.upstream.name !== need.upstream) {
                 this.#offer(gate, need);
@@ -62,7 +62,7 @@
     }
 
     /** Uses offers for what still waits. */
-    hearOffer(offer: Extract<Message, { type: "offer"; }>): void {
+    receiveOffer(offer: Extract<Message, { type: "offer"; }>): void {
         this.parts.gate(offer.upstream)?.handBack(offer.goTo, offer.offers);
     }
 
@@ -101,7 +101,7 @@
                 this.#ask(gate, now);
             }
         }
-        this.look();
+        this.check();
     }
 
     #ask(gate: Gate, now: number): void {
