--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -9,19 +9,19 @@
 import { table } from "../src/cli/table.js";
 import { Document } from "../src/config/document.js";
 import { makePatch } from "../src/config/makepatch.js";
-import { matchRequest } from "../src/config/matchrequest.js";
 import { parse } from "../src/config/parse.js";
 import { Message } from "../src/datagram/message.js";
 import { CurrentConfiguration } from "../src/distribution/currentconfiguration.js";
 import { hallMembers } from "../src/distribution/hallmembers.js";
 import { rank } from "../src/distribution/rank.js";
-import { RemoteHop } from "../src/hop/remotehop.js";
 import type { Address } from "../src/ids/address.js";
 import type { HallName } from "../src/ids/hallname.js";
 import type { RequestId } from "../src/ids/requestid.js";
 import { UpstreamView } from "../src/ingress/upstreamview.js";
 import { Ledger } from "../src/ledger/ledger.js";
+import { RemoteHop } from "../src/peer/remotehop.js";
 import { ExpectedTime } from "../src/policy/placement/expectedtime.js";
+import { matchRequest } from "../src/policy/routing/matchrequest.js";
 import { makeDocument } from "./makedocument.js";
 import { measureSlope } from "./measureslope.js";
 import { pathMesh } from "./pathmesh.js";
@@ -64,10 +64,10 @@
 
 const random = (): number => Math.random();
 const hall = "hall-1" as HallName;
-const makeKeeper = (count: number): CurrentConfiguration => {
-    const keeper = new CurrentConfiguration();
-    keeper.apply(parse(Document, makeDocument(count)));
-    return keeper;
+const makeConfiguration = (count: number): CurrentConfiguration => {
+    const configuration = new CurrentConfiguration();
+    configuration.apply(parse(Document, makeDocument(count)));
+    return configuration;
 };
 const makeViews = (count: number): UpstreamView[] =>
     makeDocument(count).upstreams.map(upstream => {
@@ -105,7 +105,12 @@
 const seal = (body: Buffer): Buffer => createHmac("sha256", "key").update(body).digest();
 
 const slopes: Slope[] = [
-    await measureSlope("document in memory, by upstream", "bytes", COUNTS, count => bytesKept(() => makeKeeper(count))),
+    await measureSlope(
+        "document in memory, by upstream",
+        "bytes",
+        COUNTS,
+        count => bytesKept(() => makeConfiguration(count)),
+    ),
     await measureSlope(
         "document as JSON, by upstream",
         "bytes",
--- a/src/daemon/bootstrap.ts
+++ b/src/daemon/bootstrap.ts
@@ -9,12 +9,12 @@
 
 const logger = log("config");
 
-const readStore = async (store: Store, keeper: CurrentConfiguration, clock: Clock): Promise<void> => {
+const readStore = async (store: Store, configuration: CurrentConfiguration, clock: Clock): Promise<void> => {
     const askedAt = clock();
     try {
         const { value } = await store.read();
-        keeper.apply(decodeDocument(value));
-        keeper.confirm(keeper.revision, askedAt);
+        configuration.apply(decodeDocument(value));
+        configuration.confirm(configuration.revision, askedAt);
     }
     catch (err) {
         logger.trouble("The store gave no configuration.", err);
@@ -25,10 +25,10 @@
 export async function bootstrap(
     store: Store,
     seeds: readonly Address[],
-    keeper: CurrentConfiguration,
+    configuration: CurrentConfiguration,
     puller: ConfigurationPuller,
     clock: Clock,
 ): Promise<void> {
     const asked = seeds.map(async seed => await puller.pull(Infinity, seed));
-    await Promise.all([readStore(store, keeper, clock), ...asked]);
+    await Promise.all([readStore(store, configuration, clock), ...asked]);
 }
--- /dev/null
+++ b/src/daemon/configurationgroup.ts
@@ -0,0 +1,38 @@
+/** The configuration in force at this daemon, and the ways by which it gets there. */
+import { ChangePublisher } from "../distribution/changepublisher.js";
+import { ConfigurationPuller } from "../distribution/configurationpuller.js";
+import { CurrentConfiguration } from "../distribution/currentconfiguration.js";
+import { DocumentWatcher } from "../distribution/documentwatcher.js";
+import { sleep } from "../time/sleep.js";
+import { bootstrap } from "./bootstrap.js";
+import type { DaemonContext } from "./daemoncontext.js";
+import { RuleMatcher } from "./rulematcher.js";
+
+/** Before the second try of a change, and as much longer before each later one, in milliseconds; chosen, not measured. */
+const RETRY_PAUSE_MS = 100;
+
+/** Owns the document; nothing here keeps a timer but the watch, which membership starts. */
+export class ConfigurationGroup {
+    readonly current = new CurrentConfiguration();
+    readonly rules: RuleMatcher;
+    readonly puller: ConfigurationPuller;
+    readonly watcher: DocumentWatcher;
+    readonly publisher: ChangePublisher;
+
+    constructor(private readonly context: DaemonContext) {
+        const { environment, clock, peer, metrics } = context;
+        const { current } = this;
+        this.rules = new RuleMatcher(current, clock);
+        this.puller = new ConfigurationPuller(current, peer, metrics);
+        this.watcher = new DocumentWatcher(environment.store, current, clock);
+        this.publisher = new ChangePublisher(environment.store, current, attempt => sleep(RETRY_PAUSE_MS * attempt));
+        current.onChange(document => metrics.revision.set(document.revision));
+        metrics.showAge(() => current.ageMs(clock()));
+    }
+
+    /** Resolves when the store and the seeds have answered or failed. */
+    load(): Promise<void> {
+        const { environment, settings, clock } = this.context;
+        return bootstrap(environment.store, settings.seeds, this.current, this.puller, clock);
+    }
+}
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -1,124 +1,156 @@
-/** One daemon's life: starts its parts, and stops them by plan. */
+/**
+ * One daemon's life: makes its parts, starts them, and stops them by plan.
+ *
+ * The parts are made in five groups, each from those before it: configuration, gates, membership, request path, operators.
+ */
 import { log } from "../log/log.js";
 import { Metrics } from "../metrics/metrics.js";
-import { processClock } from "../time/processclock.js";
 import { sleep } from "../time/sleep.js";
-import { Assembly } from "./assembly.js";
-import { bootstrap } from "./bootstrap.js";
+import { ConfigurationGroup } from "./configurationgroup.js";
+import { DaemonContext } from "./daemoncontext.js";
+import { DatagramRouter } from "./datagramrouter.js";
 import type { Environment } from "./environment.js";
-import { ReadinessServer } from "./readinessserver.js";
+import { GateGroup } from "./gategroup.js";
+import { MembershipGroup } from "./membershipgroup.js";
+import { OperatorGroup } from "./operatorgroup.js";
+import { RequestPathGroup } from "./requestpathgroup.js";
 import type { Settings } from "./settings.js";
 import { waitIdle } from "./waitidle.js";
 
 const logger = log("daemon");
 
-/** How long peers may still ask what became of requests that they sent. */
+/** How long peers may still ask what became of requests that they sent; a revocation waits for 300 ms at the most. */
 const PEER_GRACE_MS = 500;
-/** Until the peers have heard that the gates here take no more work. */
+/** Until the peers have received that the gates here take no more requests: a datagram's way, several times. */
 const SPREAD_MS = 100;
 
 /** `start` and `stop` are called once each. */
 export class Daemon {
-    private readonly parts: Assembly;
-    private readonly readiness: ReadinessServer;
+    readonly #context: DaemonContext;
+    readonly #configuration: ConfigurationGroup;
+    readonly #gates: GateGroup;
+    readonly #membership: MembershipGroup;
+    readonly #path: RequestPathGroup;
+    readonly #operators: OperatorGroup;
+    readonly #router: DatagramRouter;
 
-    constructor(settings: Settings, surroundings: (settings: Settings, metrics: Metrics) => Environment) {
+    constructor(settings: Settings, environment: (settings: Settings, metrics: Metrics) => Environment) {
         const metrics = new Metrics();
-        this.parts = new Assembly(settings, surroundings(settings, metrics), metrics);
-        this.readiness = new ReadinessServer(() => this.parts.operator.ready);
+        const context = new DaemonContext(settings, environment(settings, metrics), metrics);
+        this.#context = context;
+        this.#configuration = new ConfigurationGroup(context);
+        this.#gates = new GateGroup(context, this.#configuration);
+        this.#membership = new MembershipGroup(context, this.#configuration, this.#gates);
+        this.#path = new RequestPathGroup(context, this.#configuration, this.#gates, this.#membership);
+        this.#operators = new OperatorGroup(context, this.#configuration, this.#path);
+        this.#router = new DatagramRouter({
+            self: context.self,
+            clock: context.clock,
+            send: context.send,
+            identity: this.#gates.identity,
+            gates: this.#gates.gates,
+            upstreams: this.#path.table,
+            heartbeats: this.#membership.heartbeats,
+            gossip: this.#membership.announced?.gossip,
+            failureDetector: this.#path.sharing.failureDetector,
+            transfer: this.#path.sharing.transfer,
+        });
+        this.#membership.onChange(() => this.#path.apply(this.#membership.upstreams));
     }
 
     /** Listens once a configuration is had or none can be; rejects when an address can't be had. */
     async start(): Promise<void> {
-        const { settings, keeper, puller, surroundings, roster } = this.parts;
-        const known = bootstrap(surroundings.store, settings.seeds, keeper, puller, processClock);
-        if (roster === undefined) {
-            await known;
-        }
-        await this.parts.datagrams.bind(settings.peer);
-        await this.parts.peerServer.listen(settings.peer);
-        await this.parts.operator.listen(settings.operator);
-        await this.parts.ingress.listen(settings.ingress);
-        if (settings.readiness !== undefined) {
-            await this.readiness.listen(settings.readiness);
+        const { settings, datagrams } = this.#context;
+        const loaded = this.#configuration.load();
+        if (this.#membership.announced === undefined) {
+            await loaded;
         }
-        await (roster ?? this.parts.membership).start();
-        this.parts.sharing.start();
-        this.parts.health.start();
+        await datagrams.bind(settings.peer, message => this.#router.receive(message));
+        await this.#path.peerServer.listen(settings.peer);
+        await this.#operators.listen();
+        await this.#path.ingress.listen(settings.ingress);
+        await this.#operators.listenForReadiness();
+        await this.#membership.start();
+        this.#path.sharing.start();
+        this.#gates.health.start();
         logger.belief("The daemon is up.", {
             ready: true,
             host: settings.host,
             hall: settings.hall,
             ingress: settings.ingress,
             operator: settings.operator,
-            revision: keeper.revision,
+            revision: this.#configuration.current.revision,
             codeCache: process.env["WINGLOCK_CODE_CACHE"],
         });
     }
 
     /** Stops by plan: callers sent elsewhere, peers told, what runs is finished; after the time limit the rest is cut. */
     async stop(hurry: AbortSignal): Promise<void> {
-        const { lingerMs, limitMs } = this.parts.settings.stop;
-        logger.belief("The daemon stops.", { host: this.parts.settings.host, inFlight: this.#inFlight() });
-        this.parts.operator.unready();
-        this.parts.ingress.startClosing();
+        const { settings, clock } = this.#context;
+        const { lingerMs, limitMs } = settings.stop;
+        logger.belief("The daemon stops.", { host: settings.host, inFlight: this.#inFlight() });
+        this.#operators.server.unready();
+        this.#path.ingress.startClosing();
         await sleep(lingerMs, hurry);
-        const endAt = processClock() + limitMs;
-        this.#leave();
+        const endAt = clock() + limitMs;
+        this.#startLeaving();
         await sleep(SPREAD_MS, hurry);
-        await waitIdle(() => this.parts.gates.busy(), endAt - processClock(), hurry);
-        await this.parts.ingress.close();
-        const left = await waitIdle(() => this.#inFlight(), endAt - processClock(), hurry);
+        await waitIdle(() => this.#gates.gates.busy(), endAt - clock(), hurry);
+        await this.#path.ingress.close();
+        const left = await waitIdle(() => this.#inFlight(), endAt - clock(), hurry);
         if (left > 0) {
-            logger.trouble("Requests were cut off by the stop.", "the time for a stop is up", { left });
+            logger.trouble("Requests were cut off by the stop.", "the time for a stop is over", { left });
             console.error(`winglock:daemon ${left} requests were cut off by the stop.`);
         }
-        this.parts.ingress.destroy();
+        this.#path.ingress.destroy();
         await this.#closePeers(hurry);
         this.#endControl();
     }
 
     /**
-     * Takes no more work for the upstreams here, and says so. While callers are still on their way elsewhere the gates
-     * serve on: the upstreams are well. What runs there may call others through this ingress until it has ended.
+     * Takes no more requests for the upstreams here, and says so. While callers are still on their way elsewhere the gates
+     * serve on: the upstreams work. What runs there may call others through this ingress until it has ended.
      */
-    #leave(): void {
-        this.parts.sharing.stop();
-        void this.parts.roster?.startLeaving();
-        this.parts.gates.setClosed("stopping", true);
-        this.#tellLeaving();
-        this.parts.peerServer.wind();
+    #startLeaving(): void {
+        this.#path.sharing.stop();
+        void this.#membership.announced?.startLeaving();
+        this.#gates.gates.setClosed("stopping", true);
+        this.#announceStop();
+        this.#path.peerServer.startClosing();
     }
 
     /** While it lasts, a peer that sent into a closing connection can still ask what became of the request. */
     async #closePeers(hurry: AbortSignal): Promise<void> {
-        this.parts.peerServer.closeIdle();
+        const { peerServer } = this.#path;
+        peerServer.closeIdle();
         await sleep(PEER_GRACE_MS, hurry);
         await waitIdle(() => this.#inFlight(), PEER_GRACE_MS, hurry);
-        const closed = this.parts.peerServer.close();
-        this.parts.peerServer.destroy();
+        const closed = peerServer.close();
+        peerServer.destroy();
         await closed;
     }
 
     #inFlight(): number {
-        return this.parts.gates.busy() + this.parts.ingress.inFlight + this.parts.peerServer.inFlight;
+        const { ingress, peerServer } = this.#path;
+        return this.#gates.gates.busy() + ingress.inFlight + peerServer.inFlight;
     }
 
     #endControl(): void {
-        this.parts.membership.stop();
-        this.parts.roster?.stop();
-        this.readiness.close();
-        this.parts.health.stop();
-        this.parts.datagrams.close();
-        void this.parts.surroundings.store.close();
-        void this.parts.peer.close();
-        this.parts.operator.destroy();
+        const { environment, datagrams, peer } = this.#context;
+        this.#membership.stop();
+        this.#gates.health.stop();
+        datagrams.close();
+        void environment.store.close();
+        void peer.close();
+        this.#operators.stop();
     }
 
-    #tellLeaving(): void {
-        const upstreams = [...this.parts.gates.all].map(gate => gate.upstream.name);
-        for (const peer of this.parts.sharing.reporter.senders()) {
-            this.parts.datagrams.send(peer, { type: "leave", from: this.parts.self, upstreams });
+    /** Tells those who sent requests here lately. */
+    #announceStop(): void {
+        const { self, datagrams } = this.#context;
+        const upstreams = [...this.#gates.gates.all].map(gate => gate.upstream.name);
+        for (const peer of this.#path.sharing.reporter.senders()) {
+            datagrams.send(peer, { type: "leave", from: self, upstreams });
         }
     }
 }
--- /dev/null
+++ b/src/daemon/daemoncontext.ts
@@ -0,0 +1,44 @@
+/** What all parts of one daemon share. */
+import { randomBytes } from "node:crypto";
+import { Datagrams } from "../datagram/datagrams.js";
+import type { Message } from "../datagram/message.js";
+import type { Address } from "../ids/address.js";
+import type { Incarnation } from "../ids/incarnation.js";
+import { splitAddress } from "../ids/splitaddress.js";
+import type { Metrics } from "../metrics/metrics.js";
+import { PeerClient } from "../peer/peerclient.js";
+import type { PeerOptions } from "../peer/peeroptions.js";
+import type { RandomSource } from "../policy/randomsource.js";
+import { processClock } from "../time/processclock.js";
+import type { Environment } from "./environment.js";
+import type { Settings } from "./settings.js";
+
+/** Enough that no two lives of any daemon have the same id. */
+const INCARNATION_BYTES = 9;
+
+/** The daemon's identity, time and randomness, and its ways to talk to peers. */
+export class DaemonContext {
+    readonly clock = processClock;
+    readonly random: RandomSource = () => Math.random();
+    readonly incarnation = randomBytes(INCARNATION_BYTES).toString("base64url") as Incarnation;
+    /** Where peers reach this daemon. */
+    readonly self: Address;
+    /** Where connections go out from. */
+    readonly localIp: string;
+    readonly peerOptions: PeerOptions;
+    readonly peer: PeerClient;
+    readonly datagrams: Datagrams;
+
+    constructor(readonly settings: Settings, readonly environment: Environment, readonly metrics: Metrics) {
+        const { peer, advertise, peerKey: key, control } = settings;
+        const { clock } = this;
+        this.self = advertise ?? peer;
+        this.localIp = splitAddress(peer).ip;
+        this.peerOptions = { localIp: this.localIp, key, clock };
+        this.peer = new PeerClient(this.peerOptions);
+        this.datagrams = new Datagrams({ key, clock, bytesPerSecond: control.bytesPerSecond, metrics });
+    }
+
+    /** Sends a datagram; false when the budget forbids it. */
+    readonly send = (to: Address, message: Message): boolean => this.datagrams.send(to, message);
+}
--- a/src/daemon/datagramrouter.ts
+++ b/src/daemon/datagramrouter.ts
@@ -11,33 +11,33 @@
 import type { GateSet } from "./gateset.js";
 
 /** The tasks, and how to answer. */
-type InboxParts = {
+type RouterParts = {
     readonly self: Address;
     readonly clock: Clock;
     readonly identity: GateIdentity;
     readonly gates: GateSet;
     readonly upstreams: UpstreamTable;
-    readonly membership: HallHeartbeats;
-    readonly pinger: FailureDetector;
-    readonly relief: WorkTransfer;
+    readonly heartbeats: HallHeartbeats;
+    readonly failureDetector: FailureDetector;
+    readonly transfer: WorkTransfer;
     /** Undefined where the document says which upstreams there are. */
-    readonly gossip: () => Gossip | undefined;
+    readonly gossip: Gossip | undefined;
     readonly send: (to: Address, message: Message) => boolean;
 };
 
 /** Knows every type of message. */
 export class DatagramRouter {
-    constructor(private readonly parts: InboxParts) {}
+    constructor(private readonly parts: RouterParts) {}
 
     receive(message: Message): void {
-        const { clock, upstreams, membership, pinger, relief } = this.parts;
+        const { clock, upstreams, heartbeats, failureDetector, transfer } = this.parts;
         switch (message.type) {
             case "beat":
-                return membership.receive(message);
+                return heartbeats.receive(message);
             case "ping":
                 return this.#answer(message.from, message.sentAt);
             case "pong":
-                return pinger.receivePong(message);
+                return failureDetector.receivePong(message);
             case "load":
                 return message.loads.forEach(({ upstream, report }) =>
                     upstreams.find(upstream)?.recordReport(report, clock())
@@ -47,11 +47,11 @@
             case "hello":
             case "member":
             case "going":
-                return this.parts.gossip()?.receive(message);
+                return this.parts.gossip?.receive(message);
             case "need":
-                return relief.receiveNeed(message);
+                return transfer.receiveNeed(message);
             case "offer":
-                return relief.receiveOffer(message);
+                return transfer.receiveOffer(message);
         }
     }
 
--- /dev/null
+++ b/src/daemon/gategroup.ts
@@ -0,0 +1,50 @@
+/** The gates of the upstreams beside this daemon, and what they share. */
+import { CallContexts } from "../gate/callcontexts.js";
+import { Gate } from "../gate/gate.js";
+import { GateIdentity } from "../gate/gateidentity.js";
+import { HealthCheck } from "../health/healthcheck.js";
+import { ProbeBudget } from "../health/probebudget.js";
+import { Ledger } from "../ledger/ledger.js";
+import type { ConfigurationGroup } from "./configurationgroup.js";
+import type { DaemonContext } from "./daemoncontext.js";
+import { GateSet } from "./gateset.js";
+
+/** Owns the ledger and the contexts of what runs here. */
+export class GateGroup {
+    readonly contexts = new CallContexts();
+    readonly identity: GateIdentity;
+    readonly ledger: Ledger;
+    readonly probes: ProbeBudget;
+    readonly gates: GateSet;
+    readonly health: HealthCheck;
+    #onChange: () => void = () => {};
+
+    constructor(context: DaemonContext, { current }: ConfigurationGroup) {
+        const { settings, environment, metrics, clock, self, localIp } = context;
+        const { control, limits, policy } = settings;
+        this.identity = new GateIdentity(context.incarnation, () => current.revision);
+        this.ledger = new Ledger(limits.ledgerEntries);
+        this.probes = new ProbeBudget(control, current, metrics, clock);
+        const shared = {
+            clock,
+            localIp,
+            ledger: this.ledger,
+            contexts: this.contexts,
+            identity: this.identity,
+            dialect: environment.dialect,
+            limit: policy.limit,
+            onChange: () => this.#onChange(),
+            mayAsk: () => this.probes.mayAsk(),
+            healthPath: (service: Gate["upstream"]["service"]) => this.probes.healthPath(service),
+        };
+        this.gates = new GateSet(self, upstream => new Gate(upstream, shared));
+        const perSecond = control.healthPerSecond;
+        const health = { path: shared.healthPath, perSecond };
+        this.health = new HealthCheck(health, () => this.gates.all, metrics);
+    }
+
+    /** Calls the listener when a request arrives at a gate, and when one ends there. */
+    onChange(listener: () => void): void {
+        this.#onChange = listener;
+    }
+}
--- a/src/daemon/gatestatus.ts
+++ b/src/daemon/gatestatus.ts
@@ -4,13 +4,13 @@
 import type { GateStatus } from "../peer/gatestatus.js";
 
 /** One line of `winglock status`. */
-export function gateStatus(gate: Gate, keeper: CurrentConfiguration, now: number): GateStatus {
+export function gateStatus(gate: Gate, configuration: CurrentConfiguration, now: number): GateStatus {
     const { running, waiting, limit } = gate.report();
     return {
         upstream: gate.upstream.name,
         state: gate.isClosed ? "leaving" : "up",
-        revision: keeper.revision,
-        fresh: keeper.fresh(now),
+        revision: configuration.revision,
+        fresh: configuration.fresh(now),
         running,
         waiting,
         limit,
--- a/src/daemon/hops.ts
+++ b/src/daemon/hops.ts
@@ -2,14 +2,14 @@
 import type { Upstream } from "../config/upstream.js";
 import type { Gate } from "../gate/gate.js";
 import type { GateIdentity } from "../gate/gateidentity.js";
+import { LocalHop } from "../gate/localhop.js";
 import type { Hop } from "../hop/hop.js";
-import { LocalHop } from "../hop/localhop.js";
-import { RemoteHop } from "../hop/remotehop.js";
 import type { Address } from "../ids/address.js";
 import type { HallName } from "../ids/hallname.js";
 import type { Ledger } from "../ledger/ledger.js";
 import type { PeerClient } from "../peer/peerclient.js";
 import type { PeerOptions } from "../peer/peeroptions.js";
+import { RemoteHop } from "../peer/remotehop.js";
 import type { GateSet } from "./gateset.js";
 
 /** What a way is made of. */
--- a/src/daemon/loadsharing.ts
+++ b/src/daemon/loadsharing.ts
@@ -1,48 +1,46 @@
-/** The tasks by which daemons tell each other of load and take work off each other. */
+/** The tasks by which daemons report load to each other, find out who is silent, and take over what waits elsewhere. */
 import { FailureDetector } from "../failuredetection/failuredetector.js";
 import type { UpstreamTable } from "../ingress/upstreamtable.js";
 import { LoadReporter } from "../loadreports/loadreporter.js";
 import { WorkTransfer } from "../transfer/worktransfer.js";
 import type { Settings } from "./settings.js";
 
-type ReliefParts = ConstructorParameters<typeof WorkTransfer>[0];
-
 /** What these tasks need of the rest of the daemon. */
-type LoadSharingParts = ReliefParts & {
+type LoadSharingParts = ConstructorParameters<typeof WorkTransfer>[0] & {
     readonly upstreams: UpstreamTable;
     readonly policy: Settings["policy"];
 };
 
-/** Owns their timers. */
+/** Starts and stops them. */
 export class LoadSharing {
-    readonly pinger: FailureDetector;
+    readonly failureDetector: FailureDetector;
     readonly reporter: LoadReporter;
-    readonly relief: WorkTransfer;
+    readonly transfer: WorkTransfer;
 
     constructor(private readonly parts: LoadSharingParts) {
-        this.pinger = new FailureDetector(parts);
+        this.failureDetector = new FailureDetector(parts);
         this.reporter = new LoadReporter(parts);
-        this.relief = new WorkTransfer(parts);
+        this.transfer = new WorkTransfer(parts);
     }
 
     start(): void {
-        this.pinger.start();
+        this.failureDetector.start();
     }
 
     stop(): void {
-        this.pinger.stop();
-        this.relief.stop();
+        this.failureDetector.stop();
+        this.transfer.stop();
     }
 
-    /** Takes in that something has changed at a gate; the frugal profile sends nothing that no one has asked for. */
-    lookAtGates(): void {
+    /** To be called when something has changed at a gate. The frugal profile sends nothing that no one has asked for. */
+    checkGates(): void {
         const { profile, relief } = this.parts.policy;
         if (profile === "frugal") {
             return;
         }
         this.reporter.check();
         if (relief) {
-            this.relief.check();
+            this.transfer.check();
         }
     }
 }
--- /dev/null
+++ b/src/daemon/membershipgroup.ts
@@ -0,0 +1,75 @@
+/** How this daemon knows the others, in the way that its environment asks for; docs/DESIGN.md says why there are two. */
+import type { Upstream } from "../config/upstream.js";
+import { HallHeartbeats } from "../distribution/hallheartbeats.js";
+import { LeavingHosts } from "../distribution/leavinghosts.js";
+import { WatcherElection } from "../distribution/watcherelection.js";
+import { Membership } from "../membership/membership.js";
+import type { Member } from "../wire/member.js";
+import type { ConfigurationGroup } from "./configurationgroup.js";
+import type { DaemonContext } from "./daemoncontext.js";
+import type { GateGroup } from "./gategroup.js";
+
+/** By heartbeats where the document names the upstreams, by announcements and gossip where there is a registry. */
+export class MembershipGroup {
+    readonly heartbeats: HallHeartbeats;
+    readonly announced: Membership | undefined;
+
+    constructor(context: DaemonContext, private readonly configuration: ConfigurationGroup, gates: GateGroup) {
+        const { settings, environment, clock, random, self, send } = context;
+        const { current, puller, watcher } = configuration;
+        this.heartbeats = new HallHeartbeats({
+            self,
+            clock,
+            random,
+            send,
+            hall: settings.hall,
+            host: settings.host,
+            configuration: current,
+            puller,
+            election: new WatcherElection(self, clock()),
+            watcher,
+            leavingHosts: new LeavingHosts(environment.store),
+            onHostLeaving: leaving => gates.gates.setClosed("host-leaving", leaving),
+        });
+        this.announced = environment.registry && new Membership({
+            self,
+            incarnation: context.incarnation,
+            peer: context.peer,
+            settings,
+            registry: environment.registry,
+            dialect: environment.dialect,
+            healthPath: service => gates.probes.healthPath(service),
+            watcher,
+            configuration: current,
+            puller,
+            clock,
+            random,
+            send,
+        });
+    }
+
+    /** The upstreams of the document, and those that have announced themselves. */
+    get upstreams(): readonly Upstream[] {
+        return [...this.configuration.current.document.upstreams, ...this.announced?.upstreams ?? []];
+    }
+
+    /** This daemon and those that it knows; none where the document says which there are. */
+    get members(): Member[] {
+        return this.announced?.members ?? [];
+    }
+
+    /** Calls the listener when the upstreams have changed. */
+    onChange(listener: () => void): void {
+        this.configuration.current.onChange(listener);
+        this.announced?.onChange(listener);
+    }
+
+    async start(): Promise<void> {
+        await (this.announced ?? this.heartbeats).start();
+    }
+
+    stop(): void {
+        this.heartbeats.stop();
+        this.announced?.stop();
+    }
+}
--- /dev/null
+++ b/src/daemon/operatorgroup.ts
@@ -0,0 +1,40 @@
+/** The listeners for operators, and for whoever asks whether callers should be sent here. */
+import { OperatorApi } from "../operator/operatorapi.js";
+import { OperatorServer } from "../operator/operatorserver.js";
+import type { ConfigurationGroup } from "./configurationgroup.js";
+import type { DaemonContext } from "./daemoncontext.js";
+import { ReadinessServer } from "./readinessserver.js";
+import type { RequestPathGroup } from "./requestpathgroup.js";
+
+/** Owns both. */
+export class OperatorGroup {
+    readonly server: OperatorServer;
+    readonly #readiness: ReadinessServer;
+
+    constructor(
+        private readonly context: DaemonContext,
+        { current, publisher }: ConfigurationGroup,
+        { table }: RequestPathGroup,
+    ) {
+        const { clock, peer, metrics } = context;
+        const api = new OperatorApi({ clock, peer, publisher, configuration: current, upstreams: table });
+        this.server = new OperatorServer(api, metrics, () => current.revision > 0);
+        this.#readiness = new ReadinessServer(() => this.server.ready);
+    }
+
+    async listen(): Promise<void> {
+        await this.server.listen(this.context.settings.operator);
+    }
+
+    async listenForReadiness(): Promise<void> {
+        const { readiness } = this.context.settings;
+        if (readiness !== undefined) {
+            await this.#readiness.listen(readiness);
+        }
+    }
+
+    stop(): void {
+        this.#readiness.close();
+        this.server.destroy();
+    }
+}
--- /dev/null
+++ b/src/daemon/requestpathgroup.ts
@@ -0,0 +1,121 @@
+/** The way of a request through this daemon: from its callers, to its peers, and from its peers. */
+import type { Upstream } from "../config/upstream.js";
+import type { Address } from "../ids/address.js";
+import { Ingress } from "../ingress/ingress.js";
+import { Planner } from "../ingress/planner.js";
+import { UpstreamTable } from "../ingress/upstreamtable.js";
+import { PeerServer } from "../peer/peerserver.js";
+import { ServiceRetries } from "../policy/retry/serviceretries.js";
+import type { Member } from "../wire/member.js";
+import type { ConfigurationGroup } from "./configurationgroup.js";
+import type { DaemonContext } from "./daemoncontext.js";
+import { DaemonPeerService } from "./daemonpeerservice.js";
+import type { GateGroup } from "./gategroup.js";
+import { Hops } from "./hops.js";
+import { LoadSharing } from "./loadsharing.js";
+import { makePlacement } from "./makeplacement.js";
+import type { MembershipGroup } from "./membershipgroup.js";
+
+/** Owns the listeners for callers and peers, and the connections to peers. */
+export class RequestPathGroup {
+    readonly table: UpstreamTable;
+    readonly sharing: LoadSharing;
+    readonly peerServer: PeerServer;
+    readonly ingress: Ingress;
+    readonly #hops: Hops;
+    #requests = 0;
+
+    constructor(
+        private readonly context: DaemonContext,
+        private readonly configuration: ConfigurationGroup,
+        private readonly gates: GateGroup,
+        private readonly membership: MembershipGroup,
+    ) {
+        const { settings, self, clock, random, send, peer, peerOptions: options } = context;
+        const { identity, ledger } = gates;
+        this.#hops = new Hops({ self, hall: settings.hall, gates: gates.gates, identity, ledger, peer, options });
+        this.table = new UpstreamTable(upstream => this.#hops.open(upstream));
+        this.sharing = new LoadSharing({
+            self,
+            clock,
+            random,
+            send,
+            gates: () => gates.gates.all,
+            gate: name => gates.gates.find(name),
+            siblings: () => membership.upstreams,
+            upstreams: this.table,
+            policy: settings.policy,
+        });
+        this.peerServer = this.#makePeerServer();
+        this.ingress = this.#makeIngress();
+        gates.onChange(() => this.sharing.checkGates());
+        configuration.current.onChange(document => this.ingress.allow(document.limits ?? {}));
+    }
+
+    /** Follows the upstreams that there are. */
+    apply(upstreams: readonly Upstream[]): void {
+        this.gates.gates.apply(upstreams);
+        this.table.apply(upstreams);
+        this.#hops.apply(upstreams);
+    }
+
+    readonly #catchUp = (revision: number, from: string | undefined): Promise<void> =>
+        this.configuration.puller.pullSoon(revision, from as Address | undefined);
+
+    #makePeerServer(): PeerServer {
+        const { context, configuration, gates } = this;
+        const { clock, settings } = context;
+        const { rules, current } = configuration;
+        const { identity, ledger } = gates;
+        const members = (): Member[] => this.membership.members;
+        return new PeerServer({
+            key: settings.peerKey,
+            clock,
+            identity,
+            service: new DaemonPeerService({
+                identity,
+                ledger,
+                clock,
+                members,
+                configuration: current,
+                gates: gates.gates,
+            }),
+            gate: name => gates.gates.find(name),
+            catchUp: this.#catchUp,
+            find: target => rules.find(target),
+            isStale: (head, rule) => rules.isStale(head, rule),
+            onSender: sender => this.sharing.reporter.recordSender(sender as Address),
+        });
+    }
+
+    #makeIngress(): Ingress {
+        const { settings, environment, metrics, clock, random, self, incarnation } = this.context;
+        const { current, rules } = this.configuration;
+        const { dialect } = environment;
+        const { policy } = settings;
+        const retries = new ServiceRetries(policy.retryBurst);
+        const revision = (): number => current.revision;
+        const planner = new Planner({
+            dialect,
+            random,
+            revision,
+            contexts: this.gates.contexts,
+            find: (target, draw) => rules.find(target, draw),
+        });
+        return new Ingress(settings.limits, { planner, callerService: settings.callerService }, {
+            clock,
+            random,
+            metrics,
+            dialect,
+            revision,
+            placement: makePlacement(policy),
+            upstreams: this.table,
+            retries: service => retries.of(service),
+            hedge: policy.hedge,
+            newId: () => `${incarnation}.${this.#requests++}`,
+            from: self,
+            catchUp: this.#catchUp,
+            replan: (out, plan) => rules.replan(out, plan),
+        });
+    }
+}
--- a/src/daemon/rulematcher.ts
+++ b/src/daemon/rulematcher.ts
@@ -1,17 +1,23 @@
 /** What the configuration in force says of requests that are under way. */
-import type { MatchedRule } from "../config/matchedrule.js";
-import { matchRequest } from "../config/matchrequest.js";
-import type { RequestTarget } from "../config/requesttarget.js";
 import type { CurrentConfiguration } from "../distribution/currentconfiguration.js";
 import type { Outgoing } from "../ingress/outgoing.js";
 import type { Plan } from "../ingress/plan.js";
 import { isStaleKind } from "../policy/retry/isstalekind.js";
+import type { MatchedRule } from "../policy/routing/matchedrule.js";
+import { matchRequest } from "../policy/routing/matchrequest.js";
+import type { RequestTarget } from "../policy/routing/requesttarget.js";
 import type { Clock } from "../time/clock.js";
 import type { CallHead } from "../wire/callhead.js";
 
-/** Looks rules up again when one side has newer ones than the other. */
+/** Asks for the document anew each time, so that each request is decided by the newest. */
 export class RuleMatcher {
-    constructor(private readonly keeper: CurrentConfiguration, private readonly clock: Clock) {}
+    constructor(private readonly configuration: CurrentConfiguration, private readonly clock: Clock) {}
+
+    /** What the rules here say of a request; undefined when none matches. `draw` chooses the part of a split. */
+    find(target: RequestTarget, draw = 0): MatchedRule | undefined {
+        const { document } = this.configuration;
+        return matchRequest(document, target, this.configuration.fresh(this.clock()), draw);
+    }
 
     /** The plan by the rules as they are now; the plan itself when none matches. */
     replan(out: Outgoing, plan: Plan): Plan {
@@ -20,12 +26,7 @@
     }
 
     /** True when the sender's older rules let a request repeat that the rules here do not. */
-    isStale(head: CallHead, ruling: MatchedRule | undefined): boolean {
-        return isStaleKind(head, ruling?.kind, this.keeper.revision);
-    }
-
-    /** What the rules here say of a request; undefined when none matches. `draw` chooses the part of a split. */
-    find(target: RequestTarget, draw = 0): MatchedRule | undefined {
-        return matchRequest(this.keeper.document, target, this.keeper.fresh(this.clock()), draw);
+    isStale(head: CallHead, rule: MatchedRule | undefined): boolean {
+        return isStaleKind(head, rule?.kind, this.configuration.revision);
     }
 }
--- a/src/datagram/datagrams.ts
+++ b/src/datagram/datagrams.ts
@@ -4,16 +4,21 @@
 import { createSocket, type Socket } from "node:dgram";
 import type { Address } from "../ids/address.js";
 import { splitAddress } from "../ids/splitaddress.js";
+import { log } from "../log/log.js";
 import type { Metrics } from "../metrics/metrics.js";
 import { TokenBucket } from "../policy/tokenbucket.js";
 import type { Clock } from "../time/clock.js";
 import { Message } from "./message.js";
 
+const logger = log("peer");
+
+/** Of a SHA-256 code: enough for a key that changes with each deployment. */
 const SEAL_BYTES = 8;
 /** IPv4 and UDP headers, counted as sent. */
 const HEADER_BYTES = 28;
+/** Fits an Ethernet frame unfragmented. */
 const MAX_BYTES = 1400;
-/** The rest of the budget is for the store, for pulling the configuration, and for health. */
+/** Of the budget; the rest is for the store, for pulling the configuration, and for health. */
 const DATAGRAM_SHARE = 0.75;
 
 /** `bytesPerSecond` is never passed in any second; what does not fit is not sent. */
@@ -24,7 +29,7 @@
     readonly metrics: Metrics;
 };
 
-/** Kept for answers to pings: a daemon that is busy must not look dead. */
+/** Of the part for sending, kept for answers to pings: a daemon that is busy must not look dead. */
 const ANSWER_SHARE = 0.4;
 
 const SPENT_FOR = {
@@ -46,18 +51,19 @@
     readonly #bucket: TokenBucket;
     readonly #answers: TokenBucket;
 
-    constructor(private readonly options: DatagramOptions, private readonly receive: (message: Message) => void) {
+    constructor(private readonly options: DatagramOptions) {
         const half = options.bytesPerSecond * DATAGRAM_SHARE / 2;
         const answers = half * ANSWER_SHARE;
         this.#bucket = new TokenBucket(half - answers, half - answers, options.clock());
         this.#answers = new TokenBucket(answers, answers, options.clock());
         this.#socket = createSocket("udp4");
-        this.#socket.on("message", data => this.#take(data));
-        this.#socket.on("error", () => {});
+        this.#socket.on("error", err => logger.trouble("The socket for datagrams failed.", err));
     }
 
-    bind(address: Address): Promise<void> {
+    /** Listens; `receive` is called with each message that is sealed and can be read. */
+    bind(address: Address, receive: (message: Message) => void): Promise<void> {
         const { ip, port } = splitAddress(address);
+        this.#socket.on("message", data => this.#open(data, receive));
         return new Promise((resolve, reject) => {
             this.#socket.once("error", reject);
             this.#socket.bind(port, ip, () => {
@@ -85,23 +91,23 @@
         this.#socket.close();
     }
 
-    #take(data: Buffer): void {
-        const message = this.#open(data);
+    /** A datagram with a wrong seal is dropped without a word: anyone may send one. */
+    #open(data: Buffer, receive: (message: Message) => void): void {
+        const seal = data.subarray(0, SEAL_BYTES);
+        const body = data.subarray(SEAL_BYTES);
+        const message = body.length > 0 && timingSafeEqual(seal, this.#seal(body)) ? this.#read(body) : undefined;
         if (message !== undefined) {
-            this.receive(message);
+            receive(message);
         }
     }
 
-    #open(data: Buffer): Message | undefined {
-        const seal = data.subarray(0, SEAL_BYTES);
-        const body = data.subarray(SEAL_BYTES);
-        if (body.length === 0 || !timingSafeEqual(seal, this.#seal(body))) {
-            return undefined;
-        }
+    /** A peer of another version may send what is not known here. */
+    #read(body: Buffer): Message | undefined {
         try {
-            return Message.safeParse(unpack(body)).data;
+            return Message.parse(unpack(body));
         }
-        catch {
+        catch (err) {
+            logger.trouble("A datagram of a peer can't be read.", err);
             return undefined;
         }
     }
--- a/src/datagram/message.ts
+++ b/src/datagram/message.ts
@@ -5,8 +5,8 @@
 import { Incarnation } from "../ids/incarnation.js";
 import { ServiceName } from "../ids/servicename.js";
 import { UpstreamName } from "../ids/upstreamname.js";
-import { Member } from "../membership/member.js";
 import { loadReportSchema } from "../wire/loadreportschema.js";
+import { Member } from "../wire/member.js";
 
 const MAX_ITEMS = 64;
 
--- a/src/distribution/changepublisher.ts
+++ b/src/distribution/changepublisher.ts
@@ -36,7 +36,7 @@
 export class ChangePublisher {
     constructor(
         private readonly store: Store,
-        private readonly keeper: CurrentConfiguration,
+        private readonly configuration: CurrentConfiguration,
         private readonly pause: Pause,
     ) {}
 
@@ -79,7 +79,7 @@
     async #attempt(request: ChangeRequest, writing: () => void): Promise<ChangeResult | undefined> {
         const { value, version } = await this.store.read();
         const document = decodeDocument(value);
-        this.keeper.apply(document);
+        this.configuration.apply(document);
         const known = isKnown(document, request.id);
         if (known !== undefined) {
             return { type: "accepted", revision: known, difference: [] };
@@ -110,7 +110,7 @@
         if (!await this.store.write(value, version)) {
             return undefined;
         }
-        this.keeper.apply(changed);
+        this.configuration.apply(changed);
         return { type: "accepted", revision: changed.revision, difference };
     }
 }
--- a/src/distribution/configurationpuller.ts
+++ b/src/distribution/configurationpuller.ts
@@ -17,14 +17,14 @@
     #pulling: Promise<void> | undefined;
 
     constructor(
-        private readonly keeper: CurrentConfiguration,
+        private readonly configuration: CurrentConfiguration,
         private readonly peer: PeerClient,
         private readonly metrics: Metrics,
     ) {}
 
     /** Resolves when the peer was asked, whatever came of it; does nothing when `revision` is not newer. */
     async pull(revision: number, from: Address): Promise<void> {
-        if (revision <= this.keeper.revision) {
+        if (revision <= this.configuration.revision) {
             return;
         }
         this.#pulling ??= this.#ask(from).finally(() => this.#pulling = undefined);
@@ -33,17 +33,17 @@
 
     /** The same, but a request waits for it: resolves after a quarter of a second at the latest. */
     async pullSoon(revision: number, from: Address | undefined): Promise<void> {
-        if (revision > this.keeper.revision && from !== undefined) {
+        if (revision > this.configuration.revision && from !== undefined) {
             await Promise.race([this.pull(revision, from), sleep(SOON_MS)]);
         }
     }
 
     async #ask(from: Address): Promise<void> {
         try {
-            const update = await this.peer.update(from, this.keeper.revision);
+            const update = await this.peer.update(from, this.configuration.revision);
             if (update !== undefined) {
                 this.metrics.spent("pull", JSON.stringify(update).length);
-                this.keeper.applyUpdate(parse(Update, update));
+                this.configuration.applyUpdate(parse(Update, update));
             }
         }
         catch (err) {
--- a/src/distribution/documentwatcher.ts
+++ b/src/distribution/documentwatcher.ts
@@ -15,12 +15,13 @@
 
     constructor(
         private readonly store: Store,
-        private readonly keeper: CurrentConfiguration,
+        private readonly configuration: CurrentConfiguration,
         private readonly clock: Clock,
     ) {
         this.#loop = new StoreLoop({
             step: signal => this.#watchOnce(signal),
-            failed: err => logger.trouble("The watch of the configuration failed.", err, { revision: keeper.revision }),
+            failed: err =>
+                logger.trouble("The watch of the configuration failed.", err, { revision: configuration.revision }),
             pauseMs: 0,
         });
     }
@@ -52,8 +53,8 @@
         if (stored !== undefined) {
             const document = decodeDocument(stored.value);
             this.#version = stored.version;
-            this.keeper.apply(document);
+            this.configuration.apply(document);
         }
-        this.keeper.confirm(this.keeper.revision, askedAt);
+        this.configuration.confirm(this.configuration.revision, askedAt);
     }
 }
--- a/src/distribution/hallheartbeats.ts
+++ b/src/distribution/hallheartbeats.ts
@@ -1,4 +1,9 @@
-/** Configuration and membership: who watches the store, who is told, and how fresh this daemon's document is. */
+/**
+ * Heartbeats of those daemons of a hall that watch the store: they carry the revision, and how long ago the store confirmed it.
+ *
+ * Owns the timers; who watches is decided by watcherelection.ts, who is told when by heartbeatsender.ts. A daemon that receives a
+ * higher revision pulls it from the sender.
+ */
 import type { Document } from "../config/document.js";
 import type { Message } from "../datagram/message.js";
 import type { Address } from "../ids/address.js";
@@ -17,39 +22,41 @@
 import { rank } from "./rank.js";
 import type { WatcherElection } from "./watcherelection.js";
 
+/** How often heartbeats that are due are sent: a round of 2 s in 40 parts. */
 const TICK_MS = 50;
+/** How often a watcher reads the platform's list of hosts, which lags by more than that; docs/CAPACITY.md reckons with it. */
 const HOSTS_EVERY_MS = 1000;
 /** An age is sent as a number, and this stands for never. */
 const NEVER_MS = 1e9;
 
-/** The tasks that membership is made of. */
-type MembershipParts = {
+/** The tasks that heartbeats go between. */
+type HeartbeatParts = {
     readonly self: Address;
     readonly hall: HallName;
     readonly host: HostName;
     readonly clock: Clock;
     readonly random: RandomSource;
-    readonly keeper: CurrentConfiguration;
+    readonly configuration: CurrentConfiguration;
     readonly puller: ConfigurationPuller;
     readonly election: WatcherElection;
-    readonly storeWatcher: DocumentWatcher;
-    readonly hostWatcher: LeavingHosts;
+    readonly watcher: DocumentWatcher;
+    readonly leavingHosts: LeavingHosts;
     readonly send: (to: Address, message: Message) => boolean;
-    /** Hears whether this daemon's own host is on the platform's list of those that leave. */
+    /** Told whether this daemon's own host is on the platform's list of those that leave. */
     readonly onHostLeaving: (leaving: boolean) => void;
 };
 
-/** Owns the timers of control. */
+/** Started once, stopped once. */
 export class HallHeartbeats {
-    readonly #beater: HeartbeatSender;
+    readonly #sender: HeartbeatSender;
     readonly #tickers = [
         new Ticker(TICK_MS, () => this.#tick()),
         new Ticker(HOSTS_EVERY_MS, () => void this.#askHosts()),
     ];
 
-    constructor(private readonly parts: MembershipParts) {
-        this.#beater = new HeartbeatSender(() => this.#audience(), to => parts.send(to, this.#beat()));
-        parts.keeper.onChange(document => this.#follow(document));
+    constructor(private readonly parts: HeartbeatParts) {
+        this.#sender = new HeartbeatSender(() => this.#audience(), to => parts.send(to, this.#beat()));
+        parts.configuration.onChange(document => this.#follow(document));
     }
 
     start(): void {
@@ -58,64 +65,67 @@
 
     stop(): void {
         this.#tickers.forEach(ticker => ticker.stop());
-        this.parts.storeWatcher.set(false);
+        this.parts.watcher.set(false);
     }
 
-    /** Takes in a beat. */
+    /** Applies a heartbeat that was received. */
     receive(beat: Extract<Message, { type: "beat"; }>): void {
-        const { clock, keeper, election, puller, host } = this.parts;
+        const { clock, configuration, election, puller, host } = this.parts;
         const now = clock();
         election.recordHeartbeat(beat.from, beat.watching, now);
-        keeper.confirm(beat.revision, now - beat.ageMs);
-        void puller.pull(beat.revision, beat.from).then(() => keeper.confirm(beat.revision, now - beat.ageMs));
-        if (beat.watching && !this.parts.storeWatcher.watching) {
+        configuration.confirm(beat.revision, now - beat.ageMs);
+        void puller.pull(beat.revision, beat.from).then(() => configuration.confirm(beat.revision, now - beat.ageMs));
+        if (beat.watching && !this.parts.watcher.watching) {
             this.parts.onHostLeaving(beat.leaving.includes(host));
         }
     }
 
     #tick(): void {
-        const { clock, election, storeWatcher } = this.parts;
+        const { clock, election, watcher } = this.parts;
         const now = clock();
-        storeWatcher.set(election.shouldWatch(now));
-        if (storeWatcher.watching) {
-            this.#beater.tick(now);
+        watcher.set(election.shouldWatch(now));
+        if (watcher.watching) {
+            this.#sender.tick(now);
         }
     }
 
     async #askHosts(): Promise<void> {
-        const { storeWatcher, hostWatcher, host, onHostLeaving } = this.parts;
-        if (!storeWatcher.watching) {
+        const { watcher, leavingHosts, host, onHostLeaving } = this.parts;
+        if (!watcher.watching) {
             return;
         }
-        const before = hostWatcher.names.join();
-        await hostWatcher.refresh();
-        onHostLeaving(hostWatcher.names.includes(host));
-        if (hostWatcher.names.join() !== before) {
-            this.#beater.sendSoon();
+        const before = leavingHosts.names.join();
+        await leavingHosts.refresh();
+        onHostLeaving(leavingHosts.names.includes(host));
+        if (leavingHosts.names.join() !== before) {
+            this.#sender.sendSoon();
         }
     }
 
     #follow(document: Document): void {
         const { election, hall } = this.parts;
         election.setMembers(rank(hallMembers(document, hall), hall));
-        this.#beater.sendSoon();
+        this.#sender.sendSoon();
     }
 
     #audience(): Address[] {
-        const { keeper, hall, random, self } = this.parts;
-        const gates = [...hallMembers(keeper.document, hall), ...otherHalls(keeper.document, hall, random)];
+        const { configuration, hall, random, self } = this.parts;
+        const gates = [
+            ...hallMembers(configuration.document, hall),
+            ...otherHalls(configuration.document, hall, random),
+        ];
         return gates.filter(gate => gate !== self);
     }
 
     #beat(): Message {
-        const { self, keeper, clock, storeWatcher, hostWatcher } = this.parts;
+        const { self, configuration, clock, watcher, leavingHosts } = this.parts;
         return {
             type: "beat",
             from: self,
-            revision: keeper.revision,
-            ageMs: Math.min(NEVER_MS, Math.max(0, Math.round(keeper.ageMs(clock())))),
-            watching: storeWatcher.watching,
-            leaving: hostWatcher.names.slice(0, 64),
+            revision: configuration.revision,
+            ageMs: Math.min(NEVER_MS, Math.max(0, Math.round(configuration.ageMs(clock())))),
+            watching: watcher.watching,
+            leaving: leavingHosts.names.slice(0, 64),
         };
     }
 }
--- a/src/hop/localhop.ts
+++ b/src/gate/localhop.ts
@@ -1,14 +1,14 @@
 /** The way to a gate in the same process. */
-import type { Gate } from "../gate/gate.js";
-import type { GateIdentity } from "../gate/gateidentity.js";
+import type { GateAnswer } from "../hop/gateanswer.js";
+import type { GateCall } from "../hop/gatecall.js";
+import { Hop } from "../hop/hop.js";
+import { HopError } from "../hop/hoperror.js";
 import type { Ledger } from "../ledger/ledger.js";
 import type { RevokeResult } from "../ledger/revokeresult.js";
 import type { Clock } from "../time/clock.js";
 import type { CallHead } from "../wire/callhead.js";
-import type { GateAnswer } from "./gateanswer.js";
-import type { GateCall } from "./gatecall.js";
-import { Hop } from "./hop.js";
-import { HopError } from "./hoperror.js";
+import type { Gate } from "./gate.js";
+import type { GateIdentity } from "./gateidentity.js";
 
 /** Calls the gate directly, with its own clock and life; a gate is replaced when its settings change. */
 export class LocalHop extends Hop {
--- a/src/health/probebudget.ts
+++ b/src/health/probebudget.ts
@@ -15,7 +15,7 @@
 
     constructor(
         private readonly control: Settings["control"],
-        private readonly keeper: CurrentConfiguration,
+        private readonly configuration: CurrentConfiguration,
         private readonly metrics: Metrics,
         private readonly clock: Clock,
     ) {
@@ -34,7 +34,7 @@
 
     /** The operators' path for the service, or else the daemon's own. */
     healthPath(service: ServiceName): string {
-        const settings = this.keeper.document.services.find(item => item.name === service);
+        const settings = this.configuration.document.services.find(item => item.name === service);
         return settings?.healthPath ?? this.control.healthPath;
     }
 }
--- a/src/ingress/ingress.ts
+++ b/src/ingress/ingress.ts
@@ -159,7 +159,8 @@
     ): void {
         const elapsedMs = this.parts.clock() - plan.startedAt;
         this.#recordFailure(req, outcome, status);
-        this.parts.metrics.finished(plan, outcome, elapsedMs);
+        const { priority, tenant: team } = plan.rule;
+        this.parts.metrics.finished({ service: plan.service.name, priority, team }, outcome, elapsedMs);
         requestLog.ended(plan, { outcome, status, revision: this.parts.revision(), attempts, elapsedMs });
     }
 
--- a/src/ingress/plan.ts
+++ b/src/ingress/plan.ts
@@ -1,5 +1,5 @@
 /** What is to be done with a request, before any upstream is chosen. */
-import type { MatchedRule } from "../config/matchedrule.js";
+import type { MatchedRule } from "../policy/routing/matchedrule.js";
 
 /** Times are on the daemon's clock, in milliseconds; `depth` counts the calls between services above this request. */
 export type Plan = MatchedRule & {
--- a/src/ingress/planner.ts
+++ b/src/ingress/planner.ts
@@ -1,13 +1,13 @@
 /** Finds out what is to be done with a caller's request before any upstream is chosen: its rule, its deadline, its depth. */
 import type { IncomingMessage } from "node:http";
-import type { MatchedRule } from "../config/matchedrule.js";
-import type { RequestTarget } from "../config/requesttarget.js";
 import type { Dialect } from "../dialect/dialect.js";
 import type { CallContexts } from "../gate/callcontexts.js";
 import { maxDepth } from "../policy/admission/maxdepth.js";
 import { requestDeadline } from "../policy/admission/requestdeadline.js";
 import { retrySoonMs } from "../policy/admission/retrysoon.js";
 import type { RandomSource } from "../policy/randomsource.js";
+import type { MatchedRule } from "../policy/routing/matchedrule.js";
+import type { RequestTarget } from "../policy/routing/requesttarget.js";
 import type { Plan } from "./plan.js";
 import type { RequestLog } from "./requestlog.js";
 import type { RequestRefusal } from "./requestrefusal.js";
--- a/src/link/link.test.ts
+++ b/src/link/link.test.ts
@@ -19,7 +19,7 @@
 const note = { incarnation: "abcdefghijkl", gateTime: 1, revision: 2 } as ServedAnswer["note"];
 
 type Serve = (call: ServedCall, cancel: Cancel) => Promise<ServedAnswer>;
-type Ends = { readonly pool: LinkPool; readonly sockets: Socket[]; winding: boolean; };
+type Ends = { readonly pool: LinkPool; readonly sockets: Socket[]; isClosing: boolean; };
 
 /** Runs a body between a pool and a listener of its own. */
 const between = async (serve: Serve, body: (ends: Ends) => Promise<void>): Promise<void> => {
@@ -30,13 +30,13 @@
             key: Buffer.from(KEY),
             serve,
             refuseBad: () => ({ note, status: 0, headers: {}, body: undefined }),
-            winding: () => ends.winding,
+            isClosing: () => ends.isClosing,
         });
     });
     server.listen(0, "127.0.0.1");
     await once(server, "listening");
     const address = `127.0.0.1:${(server.address() as AddressInfo).port}` as Address;
-    const ends: Ends = { pool: new LinkPool(address, { localIp: "127.0.0.1", key: KEY }), sockets, winding: false };
+    const ends: Ends = { pool: new LinkPool(address, { localIp: "127.0.0.1", key: KEY }), sockets, isClosing: false };
     try {
         await body(ends);
     }
@@ -204,10 +204,10 @@
 test("link: a server that winds up ends the connection after the answer", async () => {
     await between(echo, async ends => {
         await send(ends.pool, call());
-        ends.winding = true;
+        ends.isClosing = true;
         const { last } = await send(ends.pool, call());
         assert.equal(last, true);
-        ends.winding = false;
+        ends.isClosing = false;
         assert.equal((await send(ends.pool, call())).last, false);
         assert.equal(ends.sockets.length, 2);
     });
--- a/src/link/linksession.ts
+++ b/src/link/linksession.ts
@@ -26,7 +26,7 @@
     /** The refusal of a call that can't be read. */
     readonly refuseBad: () => ServedAnswer;
     /** True when each answer is to be its connection's last. */
-    readonly winding: () => boolean;
+    readonly isClosing: () => boolean;
 };
 
 /** Ends the connection for whatever is not of the protocol. */
@@ -122,7 +122,7 @@
 
     async #answer({ body, ...answer }: ServedAnswer, whole: boolean): Promise<void> {
         const gathered = whole && body instanceof Readable ? await gatherBody(body) : body;
-        const last = this.parts.winding();
+        const last = this.parts.isClosing();
         if (this.socket.destroyed) {
             return;
         }
--- a/src/membership/announcementserver.ts
+++ b/src/membership/announcementserver.ts
@@ -14,10 +14,10 @@
 const PATH = /^\/v1\/upstreams\/([^/?]+)$/;
 const MAX_BYTES = 16 * 1024;
 
-/** Hears what upstreams say; an answer of 200 means that it is in force. */
+/** Told what upstreams announce; an answer of 200 means that it is applied. */
 type AnnouncementParts = {
-    readonly announced: (name: UpstreamName, announcement: Announcement) => void;
-    readonly left: (name: UpstreamName) => void;
+    readonly onAnnounced: (name: UpstreamName, announcement: Announcement) => void;
+    readonly onLeft: (name: UpstreamName) => void;
 };
 
 const readText = async (req: IncomingMessage): Promise<string> => {
@@ -71,10 +71,10 @@
     #take(method: string | undefined, name: UpstreamName, text: string): void {
         switch (method) {
             case "POST":
-                this.parts.announced(name, parse(Announcement, JSON.parse(text)));
+                this.parts.onAnnounced(name, parse(Announcement, JSON.parse(text)));
                 return;
             case "DELETE":
-                this.parts.left(name);
+                this.parts.onLeft(name);
                 return;
             default:
                 throw new SyntaxError(`method ${method} is not known`);
--- /dev/null
+++ b/src/membership/findupstream.ts
@@ -0,0 +1,82 @@
+/**
+ * Finds the upstream beside a daemon that has just started.
+ *
+ * An upstream announces itself every second or two; a daemon that was restarted need not wait for that, since the upstream's health
+ * endpoint reports its name and slots at once.
+ */
+import { Client } from "undici";
+import type { Dialect } from "../dialect/dialect.js";
+import { httpStatus } from "../http/httpstatus.js";
+import type { Address } from "../ids/address.js";
+import type { ServiceName } from "../ids/servicename.js";
+import { UpstreamName } from "../ids/upstreamname.js";
+import { log } from "../log/log.js";
+import type { Clock } from "../time/clock.js";
+import { sleep } from "../time/sleep.js";
+import type { Announcement } from "./announcement.js";
+
+const logger = log("roster");
+
+/** For so long after a start the upstream is looked for: it announces itself within that time otherwise. Milliseconds. */
+const LOOK_FOR_MS = 2000;
+const LOOK_EVERY_MS = 200;
+/** An upstream on the same host answers within milliseconds, unless it is busy. */
+const TIMEOUT_MS = 250;
+/** Older than any announcement of the upstream itself. */
+const BEFORE_ALL = -1;
+
+/** Where the upstream is, what it serves, and where it reports its health; `isWanted` is false once one has announced itself. */
+type FindParts = {
+    readonly address: Address;
+    readonly service: ServiceName;
+    readonly dialect: Dialect;
+    readonly path: () => string;
+    readonly isWanted: () => boolean;
+    readonly clock: Clock;
+};
+
+type Found = { readonly name: UpstreamName; readonly announcement: Announcement; };
+
+/** Resolves with the upstream, or with undefined when it is not wanted any more, or none was found in time. */
+export async function findUpstream(parts: FindParts): Promise<Found | undefined> {
+    const until = parts.clock() + LOOK_FOR_MS;
+    let lastError: unknown = "it is not ready";
+    while (parts.isWanted() && parts.clock() < until) {
+        const found = await askUpstream(parts, err => lastError = err);
+        if (found !== undefined) {
+            return found;
+        }
+        await sleep(LOOK_EVERY_MS);
+    }
+    if (parts.isWanted()) {
+        logger.trouble("No upstream was found beside this daemon.", lastError, { upstream: parts.address });
+    }
+    return undefined;
+}
+
+/** Asks once; undefined when no upstream answers that works and takes requests. */
+const askUpstream = async (
+    { address, service, dialect, path }: FindParts,
+    onError: (err: unknown) => void,
+): Promise<Found | undefined> => {
+    const client = new Client(`http://${address}`);
+    try {
+        const signal = AbortSignal.timeout(TIMEOUT_MS);
+        const { statusCode, headers, body } = await client.request({ method: "GET", path: path(), signal });
+        await body.dump();
+        const name = UpstreamName.safeParse(dialect.upstreamName(headers)).data;
+        const slots = dialect.load(headers)?.slots;
+        if (statusCode !== httpStatus.ok || name === undefined || slots === undefined || slots < 1) {
+            return undefined;
+        }
+        const announcement = { service, address, slots, state: "ready", coldMs: 0, sequence: BEFORE_ALL } as const;
+        return { name, announcement };
+    }
+    catch (err) {
+        onError(err);
+        return undefined;
+    }
+    finally {
+        void client.destroy();
+    }
+};
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -11,7 +11,7 @@
 import type { RandomSource } from "../policy/randomsource.js";
 import type { Clock } from "../time/clock.js";
 import { Ticker } from "../time/ticker.js";
-import type { Member } from "./member.js";
+import type { Member } from "../wire/member.js";
 import type { MemberList } from "./memberlist.js";
 
 const logger = log("roster");
@@ -27,7 +27,7 @@
 /** What gossip needs of its daemon; `ask` gets the records that a peer has, its own first. */
 type GossipParts = {
     readonly self: Address;
-    readonly roster: MemberList;
+    readonly members: MemberList;
     readonly member: () => Member;
     readonly revision: () => number;
     readonly pull: (revision: number, from: Address) => Promise<void>;
@@ -58,26 +58,26 @@
 
     /** Tells all peers of a change of this daemon's own record, those that are known: the store tells the rest. */
     announceRecord(): void {
-        const { roster, send, self, member } = this.parts;
+        const { members, send, self, member } = this.parts;
         const own = member();
-        roster.members.forEach(peer => send(peer.gate, { type: "member", from: self, member: own }));
+        members.members.forEach(peer => send(peer.gate, { type: "member", from: self, member: own }));
     }
 
     /** Tells all peers that this daemon goes. */
     announceStop(): void {
-        const { roster, send, self } = this.parts;
-        roster.members.forEach(peer => send(peer.gate, { type: "going", from: self }));
+        const { members, send, self } = this.parts;
+        members.members.forEach(peer => send(peer.gate, { type: "going", from: self }));
     }
 
     receive(message: Extract<Message, { type: "hello" | "member" | "going"; }>): void {
-        const { roster, clock } = this.parts;
+        const { members, clock } = this.parts;
         const now = clock();
         switch (message.type) {
             case "member":
-                roster.record(message.member, "itself", now);
+                members.record(message.member, "itself", now);
                 return;
             case "going":
-                roster.remove(message.from);
+                members.remove(message.from);
                 return;
             case "hello":
                 this.#hearHello(message, now);
@@ -85,10 +85,10 @@
     }
 
     #hearHello(hello: Hello, now: number): void {
-        const { roster, revision, pull } = this.parts;
+        const { members, revision, pull } = this.parts;
         const { from, incarnation, version } = hello;
-        roster.recordAlive(from, now);
-        if (!roster.knows(from, incarnation, version)) {
+        members.recordAlive(from, now);
+        if (!members.knows(from, incarnation, version)) {
             void this.#learn(from);
         }
         if (hello.revision > revision()) {
@@ -115,9 +115,9 @@
             const [own, ...others] = await this.parts.ask(peer);
             const now = this.parts.clock();
             if (own !== undefined) {
-                this.parts.roster.record(own, "itself", now);
+                this.parts.members.record(own, "itself", now);
             }
-            others.forEach(member => this.parts.roster.record(member, "peer", now));
+            others.forEach(member => this.parts.members.record(member, "peer", now));
         }
         catch (err) {
             logger.trouble("The peer did not tell whom it knows.", err, { peer });
@@ -128,24 +128,24 @@
     }
 
     #sweep(): void {
-        const { roster, clock } = this.parts;
-        roster.removeGone(clock()).forEach(gate => {
+        const { members, clock } = this.parts;
+        members.removeGone(clock()).forEach(gate => {
             this.#answeredAt.delete(gate);
             logger.belief("A peer is given up: its record is gone and it is silent.", { peer: gate });
         });
-        roster.doubtful(clock()).forEach(gate => this.#greet(gate));
+        members.doubtful(clock()).forEach(gate => this.#greet(gate));
     }
 
     #greetSome(): void {
-        const { roster, random } = this.parts;
-        sample(roster.members, MAX_PEERS, random).forEach(member => this.#greet(member.gate));
+        const { members, random } = this.parts;
+        sample(members.members, MAX_PEERS, random).forEach(member => this.#greet(member.gate));
     }
 
     #greet(to: Address): void {
-        const { self, member, revision, send, roster, clock } = this.parts;
+        const { self, member, revision, send, members, clock } = this.parts;
         const { incarnation, version } = member();
-        const peer = roster.find(to);
-        const doubted = peer === undefined || roster.doubtful(clock()).includes(to);
+        const peer = members.find(to);
+        const doubted = peer === undefined || members.doubtful(clock()).includes(to);
         send(to, { type: "hello", from: self, incarnation, version, revision: revision(), knowsYou: !doubted });
     }
 }
--- a/src/membership/localupstreams.ts
+++ b/src/membership/localupstreams.ts
@@ -1,8 +1,8 @@
 /** The upstreams beside this daemon, by their own announcements. */
 import type { Address } from "../ids/address.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
+import type { HostedUpstream } from "../wire/hostedupstream.js";
 import type { Announcement } from "./announcement.js";
-import type { HostedUpstream } from "./hostedupstream.js";
 
 /** An upstream that has said nothing for so long has ended without a word. */
 const SILENT_MS = 7000;
--- a/src/membership/memberlist.test.ts
+++ b/src/membership/memberlist.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import type { Address } from "../ids/address.js";
 import type { Incarnation } from "../ids/incarnation.js";
-import type { Member } from "./member.js";
+import type { Member } from "../wire/member.js";
 import { MemberList } from "./memberlist.js";
 
 const PEER = "10.0.0.2:7620" as Address;
--- a/src/membership/memberlist.ts
+++ b/src/membership/memberlist.ts
@@ -11,7 +11,7 @@
 import { isNews } from "../policy/membership/isnews.js";
 import { judgeMember } from "../policy/membership/judgemember.js";
 import type { MemberSource } from "../policy/membership/membersource.js";
-import type { Member } from "./member.js";
+import type { Member } from "../wire/member.js";
 import { upstreamsOf } from "./upstreamsof.js";
 
 type Entry = { member: Member; heardAt: number; lapsedAt: number | undefined; };
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,92 +1,105 @@
-/** The parts of a daemon by which it knows the others, where upstreams announce themselves. */
+/**
+ * How daemons know each other where upstreams announce themselves.
+ *
+ * Owns this daemon's own record (the upstreams beside it) and the list of the others. The record goes to the registry and, by
+ * gossip, to peers; others' records come the same two ways.
+ */
 import type { Upstream } from "../config/upstream.js";
-import type { Settings } from "../daemon/settings.js";
 import type { Message } from "../datagram/message.js";
 import type { Dialect } from "../dialect/dialect.js";
 import type { ConfigurationPuller } from "../distribution/configurationpuller.js";
 import type { CurrentConfiguration } from "../distribution/currentconfiguration.js";
 import type { DocumentWatcher } from "../distribution/documentwatcher.js";
-import type { ProbeBudget } from "../health/probebudget.js";
 import type { Address } from "../ids/address.js";
+import type { HallName } from "../ids/hallname.js";
+import type { HostName } from "../ids/hostname.js";
 import type { Incarnation } from "../ids/incarnation.js";
+import type { RegionName } from "../ids/regionname.js";
+import type { ServiceName } from "../ids/servicename.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
 import type { PeerClient } from "../peer/peerclient.js";
 import type { RandomSource } from "../policy/randomsource.js";
 import type { Clock } from "../time/clock.js";
-import { sleep } from "../time/sleep.js";
 import { Ticker } from "../time/ticker.js";
+import type { Member } from "../wire/member.js";
 import type { Announcement } from "./announcement.js";
 import { AnnouncementServer } from "./announcementserver.js";
+import { findUpstream } from "./findupstream.js";
 import { Gossip } from "./gossip.js";
 import { LocalUpstreams } from "./localupstreams.js";
-import type { Member } from "./member.js";
 import { MemberList } from "./memberlist.js";
 import { RecordPublisher } from "./recordpublisher.js";
 import type { Registry } from "./registry.js";
 import { RegistryWatcher } from "./registrywatcher.js";
-import { UpstreamDiscovery } from "./upstreamdiscovery.js";
 import { upstreamsOf } from "./upstreamsof.js";
 
+/** How often upstreams that have fallen silent are looked for, in milliseconds: a fraction of the silence that ends one. */
 const SWEEP_EVERY_MS = 1000;
-/** For so long after a start the upstream is looked for, and no record without one is published. */
-const DISCOVER_FOR_MS = 2000;
-const DISCOVER_EVERY_MS = 200;
 
-/** What these parts need of the rest of the daemon. */
-type RosterNeeds = {
+/** Where this daemon is, and where the upstream beside it announces itself or is to be found. */
+type MembershipSettings = {
+    readonly host: HostName;
+    readonly hall: HallName;
+    readonly region: RegionName;
+    readonly announce?: Address;
+    readonly upstream?: Address;
+    readonly callerService?: ServiceName;
+};
+
+/** What membership needs of the rest of the daemon. */
+type MembershipParts = {
     readonly self: Address;
     readonly incarnation: Incarnation;
-    readonly settings: Settings;
+    readonly settings: MembershipSettings;
     readonly registry: Registry;
     readonly dialect: Dialect;
-    readonly measuring: ProbeBudget;
-    readonly storeWatcher: DocumentWatcher;
-    readonly keeper: CurrentConfiguration;
+    readonly healthPath: (service: ServiceName) => string;
+    readonly watcher: DocumentWatcher;
+    readonly configuration: CurrentConfiguration;
     readonly puller: ConfigurationPuller;
     readonly peer: PeerClient;
     readonly clock: Clock;
     readonly random: RandomSource;
     readonly send: (to: Address, message: Message) => boolean;
-    /** Hears of each change of the upstreams that there are. */
-    readonly onChange: () => void;
 };
 
-/** Owns this daemon's own record. */
+/** Started once, stopped once; `startLeaving` comes before the stop. */
 export class Membership {
     readonly gossip: Gossip;
-    readonly #announced = new LocalUpstreams();
-    readonly #roster: MemberList;
-    readonly #registrar: RecordPublisher;
+    readonly #local = new LocalUpstreams();
+    readonly #others: MemberList;
+    readonly #publisher: RecordPublisher;
     readonly #watcher: RegistryWatcher;
     readonly #announcements: AnnouncementServer;
-    readonly #sweep = new Ticker(SWEEP_EVERY_MS, () => this.#endSilent());
+    readonly #sweep = new Ticker(SWEEP_EVERY_MS, () => this.#removeSilent());
+    #listener: () => void = () => {};
     #version = 0;
-    #going = false;
+    #isLeaving = false;
     #storeFailed = false;
 
-    constructor(private readonly needs: RosterNeeds) {
-        const { self, registry, clock, random, send, keeper, puller, peer } = needs;
+    constructor(private readonly parts: MembershipParts) {
+        const { self, registry, clock, random, send, configuration, puller, peer } = parts;
         const member = (): Member => this.member;
-        this.#roster = new MemberList(self);
-        this.#roster.onChange(() => needs.onChange());
-        this.#registrar = new RecordPublisher({
+        this.#others = new MemberList(self);
+        this.#others.onChange(() => this.#listener());
+        this.#publisher = new RecordPublisher({
             registry,
             member,
             onTrouble: () => this.#storeFailed = true,
-            onSuccess: () => this.#storeAnswers(),
+            onSuccess: () => this.#storeAnswered(),
         });
         this.#watcher = new RegistryWatcher({
             self,
             registry,
-            roster: this.#roster,
+            members: this.#others,
             clock,
-            onOwnGone: () => this.#registrar.publishSoon(),
+            onOwnGone: () => this.#publisher.publishSoon(),
         });
         this.gossip = new Gossip({
             self,
-            roster: this.#roster,
+            members: this.#others,
             member,
-            revision: () => keeper.revision,
+            revision: () => configuration.revision,
             pull: (revision, from) => puller.pull(revision, from),
             ask: address => peer.members(address),
             send,
@@ -94,47 +107,52 @@
             random,
         });
         this.#announcements = new AnnouncementServer({
-            announced: (name, announcement) => this.#hear(name, announcement),
-            left: name => this.#leave(name),
+            onAnnounced: (name, announcement) => this.#record(name, announcement),
+            onLeft: name => this.#remove(name),
         });
     }
 
     /** This daemon's own record. */
     get member(): Member {
-        const { self: gate, incarnation, settings } = this.needs;
+        const { self: gate, incarnation, settings } = this.parts;
         const { host, hall, region } = settings;
-        const upstreams = this.#going ? [] : this.#announced.all;
+        const upstreams = this.#isLeaving ? [] : this.#local.all;
         return { gate, host, hall, region, incarnation, version: this.#version, upstreams };
     }
 
     /** This daemon first, then all that it knows. */
     get members(): Member[] {
-        return [this.member, ...this.#roster.members];
+        return [this.member, ...this.#others.members];
     }
 
     /** All upstreams that there are, those beside this daemon too. */
     get upstreams(): Upstream[] {
-        return [...upstreamsOf({ ...this.member, upstreams: this.#announced.all }), ...this.#roster.upstreams];
+        return [...upstreamsOf({ ...this.member, upstreams: this.#local.all }), ...this.#others.upstreams];
+    }
+
+    /** Calls the listener at each change of the upstreams that there are. */
+    onChange(listener: () => void): void {
+        this.#listener = listener;
     }
 
     async start(): Promise<void> {
-        const { announce } = this.needs.settings;
+        const { announce } = this.parts.settings;
         if (announce !== undefined) {
             await this.#announcements.listen(announce);
         }
-        void this.#discover().then(() => this.#registrar.start());
+        void this.#findUpstream().then(() => this.#publisher.start());
         this.#watcher.start();
-        this.needs.storeWatcher.set(true);
+        this.parts.watcher.set(true);
         this.gossip.start();
         this.#sweep.start();
     }
 
     /** Tells peers and the store that this daemon serves no upstream any more; the daemon itself goes on. */
     async startLeaving(): Promise<void> {
-        this.#going = true;
+        this.#isLeaving = true;
         this.#version += 1;
         this.gossip.announceRecord();
-        await this.#registrar.stop();
+        await this.#publisher.stop();
     }
 
     stop(): void {
@@ -142,66 +160,63 @@
         this.gossip.announceStop();
         this.gossip.stop();
         this.#watcher.stop();
-        this.needs.storeWatcher.set(false);
+        this.parts.watcher.set(false);
         this.#announcements.close();
     }
 
-    /** Resolves when an upstream is known, or none was found for a while. */
-    async #discover(): Promise<void> {
-        const { settings, dialect, measuring, clock } = this.needs;
+    /** Resolves when an upstream is known, or none was found for a while: no record without one is published before. */
+    async #findUpstream(): Promise<void> {
+        const { settings, dialect, healthPath, clock } = this.parts;
         const { upstream: address, callerService: service } = settings;
         if (address === undefined || service === undefined) {
             return;
         }
-        const discovery = new UpstreamDiscovery({
+        const isWanted = (): boolean => this.#local.all.length === 0 && !this.#isLeaving;
+        const found = await findUpstream({
             address,
             service,
             dialect,
-            path: () => measuring.healthPath(service),
+            path: () => healthPath(service),
+            isWanted,
+            clock,
         });
-        const until = clock() + DISCOVER_FOR_MS;
-        while (this.#announced.all.length === 0 && !this.#going && clock() < until) {
-            const found = await discovery.find();
-            if (found !== undefined && this.#announced.all.length === 0) {
-                this.#hear(found.name, found.announcement);
-                return;
-            }
-            await sleep(DISCOVER_EVERY_MS);
+        if (found !== undefined && isWanted()) {
+            this.#record(found.name, found.announcement);
         }
     }
 
-    #hear(name: UpstreamName, announcement: Announcement): void {
-        if (this.#announced.record(name, announcement, this.needs.clock())) {
+    #record(name: UpstreamName, announcement: Announcement): void {
+        if (this.#local.record(name, announcement, this.parts.clock())) {
             this.#changed();
         }
     }
 
-    #leave(name: UpstreamName): void {
-        if (this.#announced.remove(name)) {
+    #remove(name: UpstreamName): void {
+        if (this.#local.remove(name)) {
             this.#changed();
         }
     }
 
-    #endSilent(): void {
-        if (this.#announced.removeSilent(this.needs.clock()).length > 0) {
+    #removeSilent(): void {
+        if (this.#local.removeSilent(this.parts.clock()).length > 0) {
             this.#changed();
         }
     }
 
-    /** In force at this daemon before the upstream has its answer. */
+    /** Applied at this daemon before the upstream has its answer. */
     #changed(): void {
         this.#version += 1;
-        this.needs.onChange();
+        this.#listener();
         this.gossip.announceRecord();
-        this.#registrar.publishSoon();
+        this.#publisher.publishSoon();
     }
 
     /** Watches that were waiting when the store failed may wait for ever. */
-    #storeAnswers(): void {
+    #storeAnswered(): void {
         if (this.#storeFailed) {
             this.#storeFailed = false;
             this.#watcher.renew();
-            this.needs.storeWatcher.renew();
+            this.parts.watcher.renew();
         }
     }
 }
--- a/src/membership/recordpublisher.ts
+++ b/src/membership/recordpublisher.ts
@@ -1,7 +1,7 @@
 /** Keeps this daemon's record in the registry. */
 import { log } from "../log/log.js";
 import { StoreLoop } from "../store/storeloop.js";
-import type { Member } from "./member.js";
+import type { Member } from "../wire/member.js";
 import type { Registry } from "./registry.js";
 
 const logger = log("roster");
--- a/src/membership/registry.ts
+++ b/src/membership/registry.ts
@@ -1,5 +1,5 @@
 /** Where daemons find each other: the platform's store, as far as membership uses it. */
-import type { Member } from "./member.js";
+import type { Member } from "../wire/member.js";
 import type { RegistryEvent } from "./registryevent.js";
 
 /** All calls throw a StoreError. */
--- a/src/membership/registryevent.ts
+++ b/src/membership/registryevent.ts
@@ -1,6 +1,6 @@
 /** A change of the registry. */
 import type { Address } from "../ids/address.js";
-import type { Member } from "./member.js";
+import type { Member } from "../wire/member.js";
 
 /** A record was written, or is gone. */
 export type RegistryEvent =
--- a/src/membership/registrywatcher.ts
+++ b/src/membership/registrywatcher.ts
@@ -17,7 +17,7 @@
 type WatcherParts = {
     readonly self: Address;
     readonly registry: Registry;
-    readonly roster: MemberList;
+    readonly members: MemberList;
     readonly clock: Clock;
     readonly onOwnGone: () => void;
 };
@@ -59,7 +59,7 @@
     async #watch(after: number, signal: AbortSignal): Promise<boolean> {
         try {
             const { events, at } = await this.parts.registry.watch(after, signal);
-            events.forEach(event => this.#take(event));
+            events.forEach(event => this.#apply(event));
             this.#at = at;
             return true;
         }
@@ -72,27 +72,25 @@
     }
 
     async #readAll(): Promise<void> {
-        const { roster, clock } = this.parts;
+        const { members: known, clock } = this.parts;
         const { members, at } = await this.parts.registry.list();
         const now = clock();
         const listed = new Set(members.map(member => member.gate));
-        members.forEach(member => roster.record(member, "store", now));
-        roster.members.filter(member => !listed.has(member.gate)).forEach(member =>
-            roster.recordLapse(member.gate, now)
-        );
+        members.forEach(member => known.record(member, "store", now));
+        known.members.filter(member => !listed.has(member.gate)).forEach(member => known.recordLapse(member.gate, now));
         this.#at = at;
     }
 
-    #take(event: RegistryEvent): void {
-        const { roster, clock, self, onOwnGone } = this.parts;
+    #apply(event: RegistryEvent): void {
+        const { members, clock, self, onOwnGone } = this.parts;
         if (event.type === "written") {
-            roster.record(event.member, "store", clock());
+            members.record(event.member, "store", clock());
             return;
         }
         if (event.gate === self) {
             onOwnGone();
             return;
         }
-        roster.recordLapse(event.gate, clock());
+        members.recordLapse(event.gate, clock());
     }
 }
--- a/src/metrics/metrics.ts
+++ b/src/metrics/metrics.ts
@@ -1,11 +1,15 @@
 /** What the daemon counts, for /metrics. */
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
+import type { Priority } from "../config/priority.js";
 import type { ServiceName } from "../ids/servicename.js";
-import type { Plan } from "../ingress/plan.js";
+import type { TeamName } from "../ids/teamname.js";
 
 const MS_PER_SECOND = 1000;
 const BUCKETS = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10];
 
+/** Whose request has ended. */
+type Finished = { readonly service: ServiceName; readonly priority: Priority; readonly team: TeamName; };
+
 /** What the daemon spends for control. */
 type Spending = "beat" | "load" | "ping" | "relief" | "store" | "pull" | "health";
 
@@ -51,12 +55,12 @@
         });
     }
 
-    /** Takes in the end of a caller's request. */
-    finished(plan: Plan, outcome: string, elapsedMs: number): void {
+    /** Records the end of a caller's request; the label is `tenant`, by which dashboards know teams. */
+    finished({ service, priority, team }: Finished, outcome: string, elapsedMs: number): void {
         this.#requests.observe({
-            service: plan.service.name,
-            class: plan.rule.priority,
-            tenant: plan.rule.tenant,
+            service,
+            class: priority,
+            tenant: team,
             outcome,
         }, elapsedMs / MS_PER_SECOND);
     }
@@ -65,7 +69,7 @@
         this.#retries.inc({ service, reason });
     }
 
-    /** Takes in what was sent for control. */
+    /** Records what was sent for control. */
     spent(kind: Spending, bytes: number): void {
         this.#messages.inc({ kind });
         this.#bytes.inc({ kind }, bytes);
--- a/src/operator/explain.ts
+++ b/src/operator/explain.ts
@@ -1,11 +1,11 @@
 /** Explains a request without sending it. */
 import type { Document } from "../config/document.js";
-import { matchRule } from "../config/matchrule.js";
 import type { Rule } from "../config/rule.js";
 import type { UpstreamTable } from "../ingress/upstreamtable.js";
 import type { UpstreamView } from "../ingress/upstreamview.js";
 import { ExpectedTime } from "../policy/placement/expectedtime.js";
 import { decideKind } from "../policy/retry/decidekind.js";
+import { matchRule } from "../policy/routing/matchrule.js";
 import type { Explanation } from "./explanation.js";
 
 const expected = new ExpectedTime();
--- a/src/operator/operatorapi.ts
+++ b/src/operator/operatorapi.ts
@@ -15,7 +15,7 @@
 /** What the face needs of its daemon. */
 type OperatorParts = {
     readonly clock: Clock;
-    readonly keeper: CurrentConfiguration;
+    readonly configuration: CurrentConfiguration;
     readonly publisher: ChangePublisher;
     readonly upstreams: UpstreamTable;
     readonly peer: PeerClient;
@@ -26,11 +26,11 @@
     constructor(private readonly parts: OperatorParts) {}
 
     get document(): Document {
-        return this.parts.keeper.document;
+        return this.parts.configuration.document;
     }
 
     get fresh(): boolean {
-        return this.parts.keeper.fresh(this.parts.clock());
+        return this.parts.configuration.fresh(this.parts.clock());
     }
 
     apply(request: ChangeRequest): Promise<ChangeResult> {
--- a/src/peer/peerclient.ts
+++ b/src/peer/peerclient.ts
@@ -8,7 +8,7 @@
 import { httpStatus } from "../http/httpstatus.js";
 import type { Address } from "../ids/address.js";
 import type { RevokeResult } from "../ledger/revokeresult.js";
-import { Member } from "../membership/member.js";
+import { Member } from "../wire/member.js";
 import type { GateStatus } from "./gatestatus.js";
 import type { PeerOptions } from "./peeroptions.js";
 import type { peerRouter } from "./peerrouter.js";
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -3,8 +3,6 @@
 import { timingSafeEqual } from "node:crypto";
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
-import type { MatchedRule } from "../config/matchedrule.js";
-import type { RequestTarget } from "../config/requesttarget.js";
 import { headerName } from "../dialect/headername.js";
 import type { Gate } from "../gate/gate.js";
 import type { GateIdentity } from "../gate/gateidentity.js";
@@ -18,6 +16,8 @@
 import type { ServedCall } from "../link/servedcall.js";
 import { splitProtocol } from "../link/splitprotocol.js";
 import { log } from "../log/log.js";
+import type { MatchedRule } from "../policy/routing/matchedrule.js";
+import type { RequestTarget } from "../policy/routing/requesttarget.js";
 import type { Clock } from "../time/clock.js";
 import { listen } from "../time/listen.js";
 import type { AnswerNote } from "../wire/answernote.js";
@@ -45,8 +45,8 @@
     readonly find: (target: RequestTarget) => MatchedRule | undefined;
     /** True when the sender's older rules let a request repeat that the newer ones do not. */
     readonly isStale: (head: CallHead, ruling: MatchedRule | undefined) => boolean;
-    /** Takes in that a peer sends work here, so that it is told of load. */
-    readonly heardFrom: (address: string | undefined) => void;
+    /** Told who sends requests here, so that load is reported there. */
+    readonly onSender: (address: string | undefined) => void;
 };
 
 /** Tells requests from daemons' other calls, and turns them into calls of the gate. */
@@ -56,7 +56,7 @@
     readonly #sessions = new Set<LinkSession>();
     readonly #trpc: (req: IncomingMessage, res: ServerResponse) => void;
     #calls = 0;
-    #winding = false;
+    #isClosing = false;
 
     constructor(private readonly parts: PeerServerParts) {
         this.#key = Buffer.from(parts.key);
@@ -85,8 +85,8 @@
     }
 
     /** From now on each answer ends its connection. */
-    wind(): void {
-        this.#winding = true;
+    startClosing(): void {
+        this.#isClosing = true;
     }
 
     /** Ends idle connections and goes on listening. */
@@ -111,7 +111,7 @@
             key: this.#key,
             serve: (call, cancel) => this.#serve(call, cancel),
             refuseBad: () => this.#refuseBad(socket),
-            winding: () => this.#winding,
+            isClosing: () => this.#isClosing,
         });
         socket.setTimeout(KEEP_ALIVE_MS, () => session.endIfIdle());
         this.#sessions.add(session);
@@ -122,7 +122,7 @@
     #handle(req: IncomingMessage, res: ServerResponse): void {
         this.#calls += 1;
         res.on("close", () => this.#calls -= 1);
-        res.shouldKeepAlive = res.shouldKeepAlive && !this.#winding;
+        res.shouldKeepAlive = res.shouldKeepAlive && !this.#isClosing;
         if (!this.#isPeer(req)) {
             res.writeHead(httpStatus.forbidden).end();
             return;
@@ -138,7 +138,7 @@
     async #serve(call: ServedCall, cancel: Cancel): Promise<ServedAnswer> {
         const { head } = call;
         try {
-            this.parts.heardFrom(head.from);
+            this.parts.onSender(head.from);
             await this.parts.catchUp(head.revision, head.from);
             const { note, ...answer } = await this.#answer(call, cancel);
             return { ...answer, note: note ?? this.#note({}) };
--- a/src/peer/peerservice.ts
+++ b/src/peer/peerservice.ts
@@ -2,7 +2,7 @@
 import type { Update } from "../config/update.js";
 import type { Incarnation } from "../ids/incarnation.js";
 import type { RevokeResult } from "../ledger/revokeresult.js";
-import type { Member } from "../membership/member.js";
+import type { Member } from "../wire/member.js";
 import type { GateStatus } from "./gatestatus.js";
 import type { RevokeInput } from "./revokeinput.js";
 
--- a/src/hop/remotehop.ts
+++ b/src/peer/remotehop.ts
@@ -1,4 +1,9 @@
 /** The way to the gate of another host: one request a connection at a time, no retries. */
+import type { GateAnswer } from "../hop/gateanswer.js";
+import type { GateCall } from "../hop/gatecall.js";
+import { GateClock } from "../hop/gateclock.js";
+import { Hop } from "../hop/hop.js";
+import { HopError } from "../hop/hoperror.js";
 import { guardBody } from "../http/guardbody.js";
 import type { Address } from "../ids/address.js";
 import type { RevokeResult } from "../ledger/revokeresult.js";
@@ -6,17 +11,12 @@
 import { LinkError } from "../link/linkerror.js";
 import { LinkPool } from "../link/linkpool.js";
 import { log } from "../log/log.js";
-import type { PeerClient } from "../peer/peerclient.js";
-import type { PeerOptions } from "../peer/peeroptions.js";
 import { decodeReason } from "../policy/retry/decodereason.js";
 import type { Reason } from "../policy/retry/reason.js";
 import type { AnswerNote } from "../wire/answernote.js";
 import type { CallHead } from "../wire/callhead.js";
-import type { GateAnswer } from "./gateanswer.js";
-import type { GateCall } from "./gatecall.js";
-import { GateClock } from "./gateclock.js";
-import { Hop } from "./hop.js";
-import { HopError } from "./hoperror.js";
+import type { PeerClient } from "./peerclient.js";
+import type { PeerOptions } from "./peeroptions.js";
 
 const logger = log("peer");
 
--- a/src/config/drawservice.ts
+++ b/src/policy/routing/drawservice.ts
@@ -1,6 +1,6 @@
 /** Chooses among the parts of a rule's split. */
-import type { ServiceName } from "../ids/servicename.js";
-import type { Rule } from "./rule.js";
+import type { Rule } from "../../config/rule.js";
+import type { ServiceName } from "../../ids/servicename.js";
 
 /** `draw` is from 0 up to 1, drawn once for a request; a rule without a split has one service. */
 export function drawService(rule: Rule, draw: number): ServiceName {
--- a/src/config/matchedrule.ts
+++ b/src/policy/routing/matchedrule.ts
@@ -1,7 +1,7 @@
 /** What the configuration says of a request. */
-import type { Kind } from "./kind.js";
-import type { Rule } from "./rule.js";
-import type { Service } from "./service.js";
+import type { Kind } from "../../config/kind.js";
+import type { Rule } from "../../config/rule.js";
+import type { Service } from "../../config/service.js";
 
 /** The rule that matches, its service, and the kind that results. */
 export type MatchedRule = {
--- a/src/config/matchrequest.test.ts
+++ b/src/policy/routing/matchrequest.test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { emptyDocument } from "./emptydocument.js";
+import { emptyDocument } from "../../config/emptydocument.js";
+import { parse } from "../../config/parse.js";
+import { Rule } from "../../config/rule.js";
+import { Service } from "../../config/service.js";
 import { matchRequest } from "./matchrequest.js";
-import { parse } from "./parse.js";
-import { Rule } from "./rule.js";
-import { Service } from "./service.js";
 
 test("rules: the most exact one is taken, and its order does not matter", () => {
     const rules = [
--- a/src/config/matchrequest.ts
+++ b/src/policy/routing/matchrequest.ts
@@ -1,6 +1,6 @@
 /** Finds what the configuration says of a request. */
-import { decideKind } from "../policy/retry/decidekind.js";
-import type { Document } from "./document.js";
+import type { Document } from "../../config/document.js";
+import { decideKind } from "../retry/decidekind.js";
 import { drawService } from "./drawservice.js";
 import type { MatchedRule } from "./matchedrule.js";
 import { matchRule } from "./matchrule.js";
--- a/src/config/matchrule.ts
+++ b/src/policy/routing/matchrule.ts
@@ -1,6 +1,6 @@
 /** Finds the rule for a request. */
+import type { Rule } from "../../config/rule.js";
 import type { RequestTarget } from "./requesttarget.js";
-import type { Rule } from "./rule.js";
 
 const withoutPort = (host: string): string => host.replace(/:\d+$/, "").toLowerCase();
 
