--- a/src/cli/operatorclient.ts
+++ b/src/cli/operatorclient.ts
@@ -5,6 +5,7 @@
 import { CliError } from "./clierror.js";
 import { exitCode } from "./exitcode.js";
 
+/** Longer than a change takes that a daemon tries eight times; milliseconds. */
 const TIMEOUT_MS = 15_000;
 
 /** Codes after which another daemon may do better; a change carries an id, so asking again is safe. */
--- a/src/cli/readstory.ts
+++ b/src/cli/readstory.ts
@@ -6,6 +6,7 @@
         return JSON.parse(line.slice(line.indexOf("{"))) as unknown;
     }
     catch {
+        // Files of logs hold lines of others too: what is no JSON is none of the request's.
         return undefined;
     }
 };
--- a/src/cli/watchcommand.ts
+++ b/src/cli/watchcommand.ts
@@ -6,6 +6,7 @@
 import { output } from "./output.js";
 import { statusTable } from "./statustable.js";
 
+/** Milliseconds. */
 const MS_PER_SECOND = 1000;
 
 /** Shows the status again and again. */
--- a/src/cli/whycommand.ts
+++ b/src/cli/whycommand.ts
@@ -7,6 +7,7 @@
 import { readStory } from "./readstory.js";
 import { tellStory } from "./tellstory.js";
 
+/** Its file descriptor. */
 const STANDARD_INPUT = 0;
 
 const read = (file: string | number): string => {
--- a/src/config/callerlimits.ts
+++ b/src/config/callerlimits.ts
@@ -1,9 +1,13 @@
 /** What an operator allows callers. */
 import { z } from "zod";
 
+/** Bytes. */
 const KIB = 1024;
+/** As much as the daemon's own settings allow, in bytes. */
 const MAX_HEADER_BYTES = 1024 * KIB;
+/** As much as the daemon's own settings allow, in bytes. */
 const MAX_BODY_BYTES = 1024 * KIB * KIB;
+/** An hour: as much as the daemon's own settings allow, in milliseconds. */
 const MAX_MS = 3_600_000;
 
 const CallerLimits = z.strictObject({
--- a/src/config/parse.ts
+++ b/src/config/parse.ts
@@ -3,6 +3,7 @@
 import { ConfigError } from "./configerror.js";
 import type { Issue } from "./issue.js";
 
+/** Characters of a wrong value in an error: enough to find it. */
 const MAX_SHOWN = 80;
 
 const valueAt = (input: unknown, path: readonly PropertyKey[]): unknown =>
--- a/src/config/rule.ts
+++ b/src/config/rule.ts
@@ -9,11 +9,17 @@
 import { priorityOfRank } from "./priorityofrank.js";
 import { Share } from "./share.js";
 
+/** Milliseconds, where the rule does not say; chosen, not measured. */
 const DEFAULT_TIME_LIMIT_MS = 10_000;
+/** Ten minutes, in milliseconds: bounds how long the ledger remembers a request. */
 const MAX_TIME_LIMIT_MS = 600_000;
+/** Characters of a host or a path prefix. */
 const MAX_PATH = 1024;
+/** More than there are methods in use. */
 const MAX_METHODS = 16;
+/** Parts of a split; bounds the document. */
 const MAX_SHARES = 64;
+/** Attempts of a request; more would only add load. */
 const MAX_TRIES = 16;
 
 const Method = z.string().regex(/^[A-Z][A-Z-]{0,31}$/, "must be an HTTP method in capitals");
--- a/src/config/share.ts
+++ b/src/config/share.ts
@@ -2,6 +2,7 @@
 import { z } from "zod";
 import { ServiceName } from "../ids/servicename.js";
 
+/** Keeps the sum of all weights exact. */
 const MAX_WEIGHT = 1_000_000;
 
 const Share = z.strictObject({ service: ServiceName, weight: z.int().min(0).max(MAX_WEIGHT) });
--- a/src/config/upstream.ts
+++ b/src/config/upstream.ts
@@ -9,6 +9,7 @@
 import { defaultConnections } from "./defaultconnections.js";
 import { Slots } from "./slots.js";
 
+/** As many as slots at the most. */
 const MAX_CONNECTIONS = 10_000;
 
 const Upstream = z.strictObject({
--- a/src/daemon/configurationgroup.ts
+++ b/src/daemon/configurationgroup.ts
@@ -1,4 +1,4 @@
-/** The configuration in force at this daemon, and the ways by which it gets there. */
+/** The configuration that this daemon applies, and the ways by which it gets there. */
 import { ChangePublisher } from "../distribution/changepublisher.js";
 import { ConfigurationPuller } from "../distribution/configurationpuller.js";
 import { CurrentConfiguration } from "../distribution/currentconfiguration.js";
--- a/src/daemon/serve.ts
+++ b/src/daemon/serve.ts
@@ -9,7 +9,9 @@
 import { Settings } from "./settings.js";
 import { SettingsFile } from "./settingsfile.js";
 
+/** Exit code: an address can't be had. */
 const EXIT_FAILED = 1;
+/** Exit code: the settings can't be used. */
 const EXIT_SETTINGS = 2;
 const STOP_SIGNALS = ["SIGTERM", "SIGINT"] as const;
 
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -7,8 +7,11 @@
 import { ServiceName } from "../ids/servicename.js";
 import { LogLevel } from "../log/loglevel.js";
 
+/** Bytes. */
 const KIB = 1024;
+/** Bytes. */
 const MIB = 1024 * KIB;
+/** Characters: a key that is guessed in a second is none. */
 const MIN_KEY = 16;
 
 const Ms = z.int().min(1).max(3_600_000);
--- a/src/daemon/settingsfile.ts
+++ b/src/daemon/settingsfile.ts
@@ -9,9 +9,9 @@
 
 const logger = log("daemon");
 
-/** The file may change without a word. */
+/** The file may change without a signal; milliseconds. */
 const LOOK_EVERY_MS = 5000;
-/** What a reload can change; the rest is in force from the next start on. */
+/** What a reload can change; the rest applies from the next start on. */
 const RELOADED: ReadonlySet<string> = new Set(["log"]);
 
 /** Settings that can't be used change nothing. */
@@ -37,7 +37,7 @@
             }
         }
         catch (err) {
-            logger.trouble("The settings can't be used; those in force stay.", err, { file: this.file });
+            logger.trouble("The settings can't be used; those of before stay.", err, { file: this.file });
         }
     }
 
--- a/src/datagram/datagrams.ts
+++ b/src/datagram/datagrams.ts
@@ -82,16 +82,22 @@
             return false;
         }
         const { ip, port } = splitAddress(to);
-        this.#socket.send([this.#seal(body), body], port, ip, () => {});
+        this.#socket.send([this.#seal(body), body], port, ip, err => this.#onSent(to, err));
         this.options.metrics.spent(SPENT_FOR[message.type], bytes);
         return true;
     }
 
+    #onSent(to: Address, err: Error | null): void {
+        if (err !== null) {
+            logger.trouble("A datagram could not be sent.", err, { peer: to });
+        }
+    }
+
     close(): void {
         this.#socket.close();
     }
 
-    /** A datagram with a wrong seal is dropped without a word: anyone may send one. */
+    /** A datagram with a wrong seal is dropped without a log line: anyone may send one. */
     #open(data: Buffer, receive: (message: Message) => void): void {
         const seal = data.subarray(0, SEAL_BYTES);
         const body = data.subarray(SEAL_BYTES);
--- a/src/datagram/message.ts
+++ b/src/datagram/message.ts
@@ -8,6 +8,7 @@
 import { loadReportSchema } from "../wire/loadreportschema.js";
 import { Member } from "../wire/member.js";
 
+/** In one datagram: bounds its size, and what a broken peer can ask for. */
 const MAX_ITEMS = 64;
 
 const UpstreamLoad = z.object({ upstream: UpstreamName, report: loadReportSchema });
--- a/src/dialect/dialect.ts
+++ b/src/dialect/dialect.ts
@@ -1,13 +1,13 @@
-/** How callers and upstreams spell what concerns winglock: names of header fields, and how their values are read. */
+/** The header fields of callers and upstreams that concern winglock: their names, and how their values are read. */
 import type { HttpHeaders } from "../http/httpheaders.js";
 import { readLoad } from "./readload.js";
 import type { UpstreamLoad } from "./upstreamload.js";
 
-/** Names are in lower case; what an upstream says is proof only where a method here says so. */
+/** Names are in lower case; what an upstream sends proves something only where a method here says so. */
 export abstract class Dialect {
-    /** On requests: the id of the try, which an upstream may send back. */
+    /** On requests: the id of the attempt, which an upstream may send back. */
     abstract readonly requestId: string;
-    /** True when callers give each try an id of their own, which goes on to the upstream. */
+    /** True when callers give each attempt an id of their own, which goes on to the upstream. */
     abstract readonly callersGiveIds: boolean;
     /** From callers: milliseconds that they will wait; undefined where they have no say. */
     abstract readonly callerTimeLimit: string | undefined;
@@ -19,7 +19,7 @@
     abstract readonly callerService: string;
     /** To upstreams, and back from them on their own calls: ties a call to its request. */
     abstract readonly context: string;
-    /** From upstreams: what they say of their load. */
+    /** From upstreams: what they report of their load. */
     abstract readonly upstreamLoad: string;
     /** From upstreams, on their health endpoints: their own names. */
     abstract readonly ownName: string;
@@ -32,7 +32,7 @@
         return typeof given === "string" ? given : own;
     }
 
-    /** What the upstream says of its load; undefined when it says nothing that can be read. */
+    /** What the upstream reports of its load; undefined when it reports nothing that can be read. */
     load(headers: HttpHeaders): UpstreamLoad | undefined {
         return readLoad(headers[this.upstreamLoad]);
     }
@@ -47,9 +47,9 @@
     abstract notRun(status: number, headers: HttpHeaders): "shed" | "leaving" | "misdirected" | undefined;
     /** True when the answer is the upstream's own to the request with this id. */
     abstract isOwnAnswer(status: number, headers: HttpHeaders, id: string): boolean;
-    /** The id of the request for which an upstream makes this call, as far as the call tells. */
+    /** The id of the request for which an upstream makes this call, as far as the call shows. */
     abstract parentOf(headers: HttpHeaders): string | undefined;
-    /** True when the upstream says that it is about to stop. */
+    /** True when the upstream reports that it is about to stop. */
     abstract isLeaving(headers: HttpHeaders): boolean;
     /** The value of `retry-after`. */
     abstract retryAfter(ms: number): string;
--- a/src/dialect/owndialect.ts
+++ b/src/dialect/owndialect.ts
@@ -4,6 +4,7 @@
 import { Dialect } from "./dialect.js";
 import { headerName } from "./headername.js";
 
+/** Milliseconds. */
 const MS_PER_SECOND = 1000;
 
 /** As docs/SETTINGS.md and headername.ts list them. */
--- a/src/dialect/readload.ts
+++ b/src/dialect/readload.ts
@@ -1,7 +1,9 @@
 /** Reads what an upstream says of its load: running, waiting, slots, and pace in hundredths, joined by commas. */
 import type { UpstreamLoad } from "./upstreamload.js";
 
+/** In hundredths: work takes as long as usual. */
 const USUAL_PACE = 100;
+/** The pace may be left out. */
 const MIN_FIGURES = 3;
 
 /** Undefined for anything else; no fourth figure means the usual pace. */
--- a/src/distribution/changepublisher.ts
+++ b/src/distribution/changepublisher.ts
@@ -21,10 +21,12 @@
 
 const logger = log("config");
 
+/** Of one change: with the pauses between them about three seconds; chosen, not measured. */
 const MAX_TRIES = 8;
+/** Of the document: what the store takes as one value. */
 const MAX_BYTES = 1024 * 1024;
 
-/** Waits between tries; given by the daemon so that decisions hold no timers. */
+/** Waits before another attempt; given by the daemon, so that this class holds no timers. */
 type Pause = (attempt: number) => Promise<void>;
 
 const storeIssue = (err: unknown): Issue => ({ code: "store", path: "", message: (err as Error).message });
@@ -40,7 +42,7 @@
         private readonly pause: Pause,
     ) {}
 
-    /** Makes the change, or tells why not; never throws for what the store or the operator does. */
+    /** Makes the change, or returns why not; never throws for what the store or the operator does. */
     async apply(request: ChangeRequest): Promise<ChangeResult> {
         let written = false;
         let last: unknown;
--- a/src/distribution/configurationpuller.ts
+++ b/src/distribution/configurationpuller.ts
@@ -10,6 +10,7 @@
 
 const logger = log("config");
 
+/** For which a request waits for a newer configuration, in milliseconds: a call to a peer, and a margin. */
 const SOON_MS = 250;
 
 /** One pull at a time; what is asked for meanwhile shares it. */
--- a/src/distribution/currentconfiguration.ts
+++ b/src/distribution/currentconfiguration.ts
@@ -1,4 +1,8 @@
-/** Holds the configuration that is in force at this daemon; it only ever moves forward. */
+/**
+ * The configuration that this daemon applies; its revision only ever rises.
+ *
+ * Owns the document, the time at which it was last known to be the newest, and the last patches for peers that are behind.
+ */
 import { applyPatch } from "../config/applypatch.js";
 import type { Document } from "../config/document.js";
 import { emptyDocument } from "../config/emptydocument.js";
@@ -9,13 +13,13 @@
 
 const logger = log("config");
 
-/** Patches kept for peers that are behind. */
+/** Patches kept for peers that are behind: two hours of changes at 720 a day. */
 const KEPT_PATCHES = 64;
 
-/** After so long without word from the store, nothing proves that the document is the newest. */
+/** Milliseconds: six rounds of heartbeats. After that, nothing proves that the document is the newest. */
 const FRESH_MS = 12_000;
 
-/** The document, when it was last known to be the newest, and the last patches. */
+/** Listeners are called after each change, in the order in which they came. */
 export class CurrentConfiguration {
     readonly #patches: Patch[] = [];
     readonly #listeners: ((document: Document) => void)[] = [];
@@ -43,14 +47,14 @@
         return this.ageMs(now) < FRESH_MS;
     }
 
-    /** Takes in that at time `at` the store's newest revision was `revision`. */
+    /** Records that at time `at` the store's newest revision was `revision`. */
     confirm(revision: number, at: number): void {
         if (revision <= this.revision) {
             this.#confirmedAt = Math.max(this.#confirmedAt, at);
         }
     }
 
-    /** Takes in a document; false when it is not newer. */
+    /** Applies a document; false when it is not newer. */
     apply(document: Document): boolean {
         if (document.revision <= this.revision) {
             return false;
@@ -59,13 +63,13 @@
             this.#patches.push(makePatch(this.#document, document));
             this.#patches.splice(0, this.#patches.length - KEPT_PATCHES);
         }
-        logger.belief("A revision is in force.", { revision: document.revision, before: this.revision });
+        logger.belief("A revision is applied.", { revision: document.revision, before: this.revision });
         this.#document = document;
         this.#listeners.forEach(listener => listener(document));
         return true;
     }
 
-    /** Takes in what a peer gave; false when nothing in it was newer. */
+    /** Applies what a peer gave; false when nothing in it was newer. */
     applyUpdate(update: Update): boolean {
         if (update.type === "full") {
             return this.apply(update.document);
--- a/src/distribution/heartbeatsender.ts
+++ b/src/distribution/heartbeatsender.ts
@@ -1,14 +1,15 @@
-/** Tells the hall of the revision: a round of small datagrams, spread over its time so that no second is loaded. */
+/** Sends a hall's heartbeats: a round of small datagrams, spread over its time so that no second is loaded. */
 import type { Address } from "../ids/address.js";
 
+/** Between two heartbeats to the same daemon, in milliseconds; docs/CAPACITY.md reckons with it. */
 const ROUND_MS = 2000;
-/** How often `tick` is called. */
+/** How often `tick` is called, in milliseconds. */
 const TICK_MS = 50;
 
-/** Sends one beat; false when the budget is spent. */
+/** Sends one heartbeat; false when the budget is spent. */
 type SendBeat = (to: Address) => boolean;
 
-/** Holds who is still to be told in this round. */
+/** Holds to whom this round has not been sent yet. */
 export class HeartbeatSender {
     #pending: Address[] = [];
     #roundAt = -Infinity;
--- a/src/distribution/leavinghosts.ts
+++ b/src/distribution/leavinghosts.ts
@@ -1,7 +1,10 @@
-/** Asks the platform which hosts are leaving, for the whole hall. */
+/** Which hosts are leaving, by the platform's list; a watcher reads it for its whole hall. */
 import type { HostName } from "../ids/hostname.js";
+import { log } from "../log/log.js";
 import type { Store } from "../store/store.js";
 
+const logger = log("config");
+
 /** Holds the last answer; an old one is better than none, since a host on the list only leaves. */
 export class LeavingHosts {
     #leaving: HostName[] = [];
@@ -23,8 +26,8 @@
             const hosts = await this.store.hosts();
             this.#leaving = hosts.filter(host => host.state === "leaving").map(host => host.name);
         }
-        catch {
-            // The list is a hint; the next round asks again.
+        catch (err) {
+            logger.trouble("The platform's list of hosts could not be read; it is read again in the next round.", err);
         }
         finally {
             this.#asking = false;
--- a/src/gate/upstreamrun.ts
+++ b/src/gate/upstreamrun.ts
@@ -99,7 +99,9 @@
         }
         const out = new PassThrough();
         body.on("error", err => out.destroy(err));
-        out.on("error", () => {});
+        out.on("error", () => {
+            // The upstream's answer is read to its end all the same.
+        });
         out.on("close", () => body.unpipe(out).resume());
         return body.pipe(out);
     }
--- a/src/health/healthcheck.ts
+++ b/src/health/healthcheck.ts
@@ -7,8 +7,11 @@
 
 const logger = log("health");
 
+/** Milliseconds. */
 const MS_PER_SECOND = 1000;
+/** Half of the time between two questions at the default of one a second, in milliseconds. */
 const TIMEOUT_MS = 500;
+/** Of a question and its answer, about. */
 const BYTES = 200;
 
 /** `perSecond` is the budget of questions; `path` is the endpoint of a service's upstreams. */
--- a/src/hop/gateclock.ts
+++ b/src/hop/gateclock.ts
@@ -17,7 +17,7 @@
         return this.#sight === undefined ? undefined : this.#sight.gateTime + now - this.#sight.seenAt;
     }
 
-    /** Takes in a sight; of two of the same life the one that reckons later is the closer. */
+    /** Records a sight; of two of the same life the one that reckons later is the closer. */
     observe(incarnation: Incarnation, gateTime: number, now: number): void {
         const same = this.#sight?.incarnation === incarnation;
         if (!same || gateTime > this.reckon(now)!) {
--- a/src/http/collect.ts
+++ b/src/http/collect.ts
@@ -1,5 +1,6 @@
 /** Receives an answer's body whole, up to a bound. */
 import { Readable } from "node:stream";
+import { guardBody } from "./guardbody.js";
 
 /** Either the whole body, or what has come of a body that passes the bound; the stream goes on after that. */
 type Collected = { readonly whole: boolean; readonly chunks: Buffer[]; readonly size: number; };
@@ -36,7 +37,7 @@
         };
         const onError = (err: Error): void => {
             stop();
-            body.on("error", () => {});
+            guardBody(body);
             reject(err);
         };
         const onClose = (): void => onError(new Error("the body closed before its end"));
--- a/src/ids/address.ts
+++ b/src/ids/address.ts
@@ -3,6 +3,7 @@
 import { z } from "zod";
 import { splitAddress } from "./splitaddress.js";
 
+/** The largest 16-bit number. */
 const MAX_PORT = 65535;
 
 const isAddress = (text: string): boolean => {
--- a/src/ids/requestid.ts
+++ b/src/ids/requestid.ts
@@ -1,8 +1,8 @@
-/** The id of one try of a request, unique over all daemons and their restarts. */
+/** The id of one attempt of a request, unique over all daemons and their restarts. */
 import { z } from "zod";
 
 const RequestId = z.string().min(1).max(64).brand("RequestId");
 type RequestId = z.infer<typeof RequestId>;
 
-/** The id of one try of a request, unique over all daemons and their restarts. */
+/** The id of one attempt of a request, unique over all daemons and their restarts. */
 export { RequestId };
--- a/src/ingress/outgoing.ts
+++ b/src/ingress/outgoing.ts
@@ -1,4 +1,4 @@
-/** The request as it goes to every try. */
+/** The request as every attempt sends it. */
 import type { HttpHeaders } from "../http/httpheaders.js";
 import type { readBody } from "./requestbody.js";
 
--- a/src/ingress/problems.ts
+++ b/src/ingress/problems.ts
@@ -20,6 +20,6 @@
     "no-upstream": { status: httpStatus.serviceUnavailable, title: "No upstream of the service takes work now." },
     "overloaded": { status: httpStatus.serviceUnavailable, title: "All upstreams of the service are busy." },
     "unreachable": { status: httpStatus.serviceUnavailable, title: "The upstream could not be reached." },
-    "deadline": { status: httpStatus.gatewayTimeout, title: "The request's time is up." },
+    "deadline": { status: httpStatus.gatewayTimeout, title: "The request's deadline has passed." },
     "answer-lost": { status: httpStatus.badGateway, title: "The upstream's answer was lost." },
 };
--- a/src/ingress/requestbody.ts
+++ b/src/ingress/requestbody.ts
@@ -4,7 +4,7 @@
 import { collect } from "../http/collect.js";
 import { BodyError } from "./bodyerror.js";
 
-/** `kept` is false for a body that is passed on as it comes, and then only one try can be made. */
+/** `kept` is false for a body that is passed on as it comes, and then only one attempt can be made. */
 type RequestBody = { readonly content: Buffer | Readable | undefined; readonly kept: boolean; };
 
 /** Bounds in bytes. */
--- a/src/ingress/requesthandler.ts
+++ b/src/ingress/requesthandler.ts
@@ -216,7 +216,7 @@
         return outcome;
     }
 
-    /** Passes on an answer that says that the request failed, when there is no more to try. */
+    /** Passes on an answer that says that the request failed, when no other attempt follows. */
     async #pass(answer: GateAnswer): Promise<Ending> {
         try {
             await this.#deliver(answer);
--- a/src/ledger/ledger.ts
+++ b/src/ledger/ledger.ts
@@ -10,6 +10,7 @@
 import type { EntryState } from "./entrystate.js";
 import type { RevokeResult } from "./revokeresult.js";
 
+/** Between two sweeps of what has expired, in milliseconds: each looks at every entry. */
 const SWEEP_MS = 1000;
 
 type Entry = { state: EntryState; readonly deadline: number; };
@@ -21,7 +22,7 @@
 
     constructor(readonly capacity: number) {}
 
-    /** Takes in a request that has arrived; must be asked before anything else is done with it. */
+    /** Records a request that has arrived; must be called before anything else is done with it. */
     admit(id: RequestId, deadline: number, now: number): AdmitResult {
         this.#sweep(now);
         const known = this.#entries.get(id);
--- a/src/link/framedbody.ts
+++ b/src/link/framedbody.ts
@@ -20,11 +20,13 @@
                 callback(err);
             },
         });
-        this.stream.on("error", () => {});
+        this.stream.on("error", () => {
+            // Whoever reads the body has a listener of its own.
+        });
     }
 
-    /** Takes in a frame; true when the body has ended with it. */
-    take({ type, payload }: Frame): boolean {
+    /** Adds a frame; true when the body has ended with it. */
+    add({ type, payload }: Frame): boolean {
         if (type === frameType.data) {
             if (!this.stream.push(payload)) {
                 this.socket.pause();
--- a/src/link/gatherbody.ts
+++ b/src/link/gatherbody.ts
@@ -10,7 +10,9 @@
 const passOn = (body: Readable, begun: readonly Buffer[]): Readable => {
     const out = new PassThrough();
     begun.forEach(chunk => out.write(chunk));
-    out.on("error", () => {});
+    out.on("error", () => {
+        // Whoever sends it on has a listener of its own.
+    });
     out.on("close", () => body.destroy());
     if (body.destroyed && !body.readableEnded) {
         return out.destroy(new Error(BROKEN));
@@ -33,6 +35,7 @@
         return chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
     }
     catch {
+        // The peer is told so, and logs it with the request's id.
         return "broken";
     }
 }
--- a/src/link/linkconnection.ts
+++ b/src/link/linkconnection.ts
@@ -2,6 +2,7 @@
 import type { Socket } from "node:net";
 import { Readable } from "node:stream";
 import type { GateCall } from "../hop/gatecall.js";
+import { log } from "../log/log.js";
 import type { Frame } from "./frame.js";
 import { FramedBody } from "./framedbody.js";
 import { FrameReader } from "./framereader.js";
@@ -14,6 +15,8 @@
 import type { WireAnswer } from "./wireanswer.js";
 import { writeFrame } from "./writeframe.js";
 
+const logger = log("peer");
+
 /** An answer whose body is whole, or comes as a stream that fails when it breaks off. */
 type LinkAnswer = Omit<WireAnswer, "body"> & { readonly body: Buffer | Readable | undefined; };
 
@@ -30,7 +33,9 @@
 
     constructor(private readonly socket: Socket, private readonly onFree: (connection: LinkConnection) => void) {
         socket.on("data", (chunk: Buffer) => this.#read(chunk));
-        socket.on("error", () => {});
+        socket.on("error", () => {
+            // `close` follows, and ends what waits for an answer.
+        });
         socket.on("close", () => this.#broke());
     }
 
@@ -68,30 +73,31 @@
 
     #read(chunk: Buffer): void {
         try {
-            this.#reader.read(chunk).forEach(frame => this.#take(frame));
+            this.#reader.read(chunk).forEach(frame => this.#receive(frame));
         }
-        catch {
+        catch (err) {
+            logger.trouble("A peer's answer can't be read; its connection is ended.", err);
             this.destroy();
         }
     }
 
-    #take(frame: Frame): void {
+    #receive(frame: Frame): void {
         if (frame.type === frameType.answer) {
-            this.#takeAnswer(unpackAnswer(frame.payload));
+            this.#receiveAnswer(unpackAnswer(frame.payload));
             return;
         }
         if (!isBodyFrame(frame)) {
             this.destroy();
             return;
         }
-        if (this.#body?.take(frame)) {
+        if (this.#body?.add(frame)) {
             this.#done();
         }
     }
 
-    #takeAnswer(answer: WireAnswer | undefined): void {
+    #receiveAnswer(answer: WireAnswer): void {
         const waiting = this.#waiting;
-        if (answer === undefined || waiting === undefined) {
+        if (waiting === undefined) {
             this.destroy();
             return;
         }
--- a/src/link/linkerror.ts
+++ b/src/link/linkerror.ts
@@ -5,7 +5,7 @@
 /** What may go wrong; policy/retry/reasons.ts says what each proves. */
 type LinkReason = Extract<
     Reason,
-    "unreachable" | "too-many-connections" | "called-off" | "peer-broke" | "not-a-frame" | "broken-body"
+    "unreachable" | "too-many-connections" | "called-off" | "peer-broke" | "not-a-frame" | "bad-call" | "broken-body"
 >;
 
 /** A request whose connection failed, or a body that broke off. */
--- a/src/link/linkpool.ts
+++ b/src/link/linkpool.ts
@@ -7,7 +7,9 @@
 import { LinkError } from "./linkerror.js";
 import { writeFrame } from "./writeframe.js";
 
+/** To one peer: more than its upstream's slots and queue that were seen; bounds descriptors. */
 const MAX_CONNECTIONS = 256;
+/** Several times the way between data halls, in milliseconds; chosen, not measured. */
 const CONNECT_TIMEOUT_MS = 500;
 /** Shorter than the peer keeps an idle connection. */
 const KEEP_IDLE_MS = 4000;
--- a/src/link/linksession.ts
+++ b/src/link/linksession.ts
@@ -3,6 +3,7 @@
 import type { Socket } from "node:net";
 import { Readable } from "node:stream";
 import { Cancel } from "../http/cancel.js";
+import { log } from "../log/log.js";
 import { emptyBuffer } from "./emptybuffer.js";
 import type { Frame } from "./frame.js";
 import { FramedBody } from "./framedbody.js";
@@ -19,12 +20,14 @@
 import type { WireCall } from "./wirecall.js";
 import { writeFrame } from "./writeframe.js";
 
+const logger = log("peer");
+
 /** What a session needs of its listener; `serve` never rejects. */
 type SessionParts = {
     readonly key: Buffer;
     readonly serve: (call: ServedCall, cancel: Cancel) => Promise<ServedAnswer>;
     /** The refusal of a call that can't be read. */
-    readonly refuseBad: () => ServedAnswer;
+    readonly refuseBad: (err: unknown) => ServedAnswer;
     /** True when each answer is to be its connection's last. */
     readonly isClosing: () => boolean;
 };
@@ -39,7 +42,9 @@
     constructor(private readonly socket: Socket, private readonly parts: SessionParts) {
         socket.setNoDelay(true);
         socket.on("data", (chunk: Buffer) => this.read(chunk));
-        socket.on("error", () => {});
+        socket.on("error", () => {
+            // `close` follows, and ends what is served.
+        });
         socket.on("end", () => socket.destroy());
         socket.on("close", () => this.#left());
     }
@@ -48,12 +53,13 @@
         return this.#serving !== undefined;
     }
 
-    /** Takes in bytes that have been read from the socket. */
+    /** Reads bytes that have come from the socket. */
     read(chunk: Buffer): void {
         try {
-            this.#reader.read(chunk).forEach(frame => this.#take(frame));
+            this.#reader.read(chunk).forEach(frame => this.#receive(frame));
         }
-        catch {
+        catch (err) {
+            logger.trouble("A peer's connection is ended: it sent what is no frame.", err);
             this.destroy();
         }
     }
@@ -69,20 +75,20 @@
         this.socket.destroy();
     }
 
-    #take(frame: Frame): void {
+    #receive(frame: Frame): void {
         if (!this.#greeted) {
             this.#greet(frame);
             return;
         }
         if (frame.type === frameType.call) {
-            this.#takeCall(unpackCall(frame.payload));
+            this.#receiveCall(frame.payload);
             return;
         }
         if (!isBodyFrame(frame)) {
             this.destroy();
             return;
         }
-        if (this.#body?.take(frame)) {
+        if (this.#body?.add(frame)) {
             this.#body = undefined;
         }
     }
@@ -99,15 +105,20 @@
         return given.length === key.length && timingSafeEqual(given, key);
     }
 
-    #takeCall(call: WireCall | undefined): void {
+    #receiveCall(payload: Buffer): void {
         if (this.busy) {
             this.destroy();
             return;
         }
-        if (call === undefined) {
-            void this.#answer(this.parts.refuseBad(), true);
-            return;
+        try {
+            this.#serve(unpackCall(payload));
         }
+        catch (err) {
+            void this.#answer(this.parts.refuseBad(err), true);
+        }
+    }
+
+    #serve(call: WireCall): void {
         const cancel = this.#serving = new Cancel();
         const body = call.body === "follows" ? this.#openBody() : call.body;
         void this.parts.serve({ ...call, body }, cancel).then(answer =>
@@ -116,7 +127,9 @@
     }
 
     #openBody(): Readable {
-        this.#body = new FramedBody(this.socket, () => {});
+        this.#body = new FramedBody(this.socket, () => {
+            // The rest of the body is read, and the connection serves on.
+        });
         return this.#body.stream;
     }
 
--- a/src/link/splitprotocol.ts
+++ b/src/link/splitprotocol.ts
@@ -7,6 +7,7 @@
 
 /** Calls one of the two when the first bytes have come; HTTP finds them unread. */
 export function splitProtocol(socket: Socket, onHttp: () => void, onLink: (first: Buffer) => void): void {
+    /** `close` follows; nothing has begun on this connection yet. */
     const onError = (): void => {};
     socket.on("error", onError);
     socket.setTimeout(SILENT_MS, () => socket.destroy());
--- a/src/loadreports/loadreporter.ts
+++ b/src/loadreports/loadreporter.ts
@@ -1,4 +1,8 @@
-/** Tells recent senders when an upstream's speed has changed much, since reports else ride on answers only. */
+/**
+ * Reports a change of load to those who sent requests here lately, since reports else ride on answers only.
+ *
+ * Owns the list of senders; which change is worth a report is decided by policy/placement/isworthreporting.ts.
+ */
 import type { Message } from "../datagram/message.js";
 import type { Gate } from "../gate/gate.js";
 import type { Address } from "../ids/address.js";
@@ -6,8 +10,11 @@
 import type { LoadReport } from "../policy/placement/loadreport.js";
 import type { Clock } from "../time/clock.js";
 
+/** At the most, in milliseconds: gates change with each request. */
 const LOOK_EVERY_MS = 10;
+/** Who sent a request within this time may send the next one here too; milliseconds, chosen. */
 const RECENT_MS = 1000;
+/** Remembered, the latest: bounds memory and datagrams. */
 const MAX_SENDERS = 64;
 
 /** What the reporter needs of its daemon. */
@@ -18,15 +25,15 @@
     readonly send: (to: Address, message: Message) => boolean;
 };
 
-/** Holds who sent work lately, a bounded number, and what they were told. */
+/** Holds a bounded number of senders, and what was reported last. */
 export class LoadReporter {
     readonly #senders = new Map<Address, number>();
-    readonly #told = new Map<Gate, LoadReport>();
+    readonly #reported = new Map<Gate, LoadReport>();
     #lookedAt = 0;
 
     constructor(private readonly parts: ReporterParts) {}
 
-    /** Takes in that something has changed at a gate; looks at most every few milliseconds. */
+    /** To be called when something has changed at a gate; looks at most every few milliseconds. */
     check(): void {
         const now = this.parts.clock();
         if (now - this.#lookedAt < LOOK_EVERY_MS) {
@@ -38,7 +45,7 @@
         }
     }
 
-    /** Takes in that a peer sends work here. */
+    /** Records that a peer sends requests here. */
     recordSender(sender: Address): void {
         this.#senders.delete(sender);
         this.#senders.set(sender, this.parts.clock());
@@ -54,14 +61,14 @@
 
     #compare(gate: Gate): void {
         const report = gate.report();
-        const told = this.#told.get(gate);
-        if (isWorthReporting(report, told)) {
-            this.#told.set(gate, report);
-            this.#tell(gate, report);
+        const reported = this.#reported.get(gate);
+        if (isWorthReporting(report, reported)) {
+            this.#reported.set(gate, report);
+            this.#report(gate, report);
         }
     }
 
-    #tell(gate: Gate, report: LoadReport): void {
+    #report(gate: Gate, report: LoadReport): void {
         const loads = [{ upstream: gate.upstream.name, report }];
         const now = this.parts.clock();
         for (const [sender, at] of this.#senders) {
--- a/src/log/linebudget.ts
+++ b/src/log/linebudget.ts
@@ -27,7 +27,7 @@
         return may;
     }
 
-    /** Takes in that a line was left out. */
+    /** Counts a line that was left out. */
     leaveOut(kind: LineKind): void {
         this.#leftOut.set(kind, (this.#leftOut.get(kind) ?? 0) + 1);
     }
--- a/src/log/logsink.ts
+++ b/src/log/logsink.ts
@@ -7,8 +7,11 @@
 import { Output } from "./output.js";
 import type { Part } from "./part.js";
 
+/** Until the settings are read; the same as their default. */
 const DEFAULT_LINES_PER_SECOND = 500;
+/** Milliseconds. */
 const SAY_LEFT_OUT_EVERY_MS = 1000;
+/** For which the end of the process waits for a slow reader, in milliseconds: far below a stop's own limit. */
 const END_MS = 300;
 
 /** Made once for a process. */
--- a/src/log/output.ts
+++ b/src/log/output.ts
@@ -9,7 +9,9 @@
 import type { Writable } from "node:stream";
 import { finished } from "node:stream/promises";
 
+/** Its file descriptor. */
 const STANDARD_OUTPUT = 1;
+/** Lines are at most so old when they are handed on, in milliseconds; ten wake-ups a second. */
 const BATCH_MS = 100;
 /** A reader that is slower than this many bytes behind loses lines. */
 const MAX_WAITING_BYTES = 1024 * 1024;
@@ -31,7 +33,7 @@
 
     constructor(private readonly onDrop: () => void) {}
 
-    /** Takes in a line, which ends with its newline. */
+    /** Adds a line, which ends with its newline. */
     write(line: string): void {
         if (this.#bytes + this.#writable().writableLength > MAX_WAITING_BYTES) {
             this.onDrop();
@@ -42,18 +44,25 @@
         this.#timer ??= setTimeout(() => this.#handOn(), BATCH_MS).unref();
     }
 
-    /** Resolves when all lines are written, the reader has gone, or the time is up. */
+    /** Resolves when all lines are written, the reader has gone, or `limitMs` milliseconds have passed. */
     async end(limitMs: number): Promise<void> {
         this.#handOn();
         const stream = this.#writable();
         stream.end();
-        await finished(stream, { signal: AbortSignal.timeout(limitMs) }).catch(() => {});
+        try {
+            await finished(stream, { signal: AbortSignal.timeout(limitMs) });
+        }
+        catch {
+            // The reader has gone or stands still: there is nowhere left to say so.
+        }
     }
 
     #writable(): Writable {
         if (this.#stream === undefined) {
             this.#stream = open();
-            this.#stream.on("error", () => {});
+            this.#stream.on("error", () => {
+                // The reader has gone: there is nowhere left to say so.
+            });
         }
         return this.#stream;
     }
--- a/src/membership/announcementserver.ts
+++ b/src/membership/announcementserver.ts
@@ -12,6 +12,7 @@
 const logger = log("roster");
 
 const PATH = /^\/v1\/upstreams\/([^/?]+)$/;
+/** Of an announcement: many times the largest. */
 const MAX_BYTES = 16 * 1024;
 
 /** Told what upstreams announce; an answer of 200 means that it is applied. */
--- a/src/membership/findupstream.ts
+++ b/src/membership/findupstream.ts
@@ -19,6 +19,7 @@
 
 /** For so long after a start the upstream is looked for: it announces itself within that time otherwise. Milliseconds. */
 const LOOK_FOR_MS = 2000;
+/** Milliseconds. */
 const LOOK_EVERY_MS = 200;
 /** An upstream on the same host answers within milliseconds, unless it is busy. */
 const TIMEOUT_MS = 250;
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -16,10 +16,13 @@
 
 const logger = log("roster");
 
+/** How often doubtful members are asked and silent ones given up, in milliseconds: six times within their grace. */
 const SWEEP_EVERY_MS = 500;
+/** Milliseconds; docs/CAPACITY.md reckons with it. */
 const HELLO_EVERY_MS = 3000;
+/** Greeted in each round, at random; docs/CAPACITY.md reckons with it. */
 const MAX_PEERS = 24;
-/** A peer that is behind is told so at most so often. */
+/** A peer that is behind is answered at most so often; milliseconds. */
 const ANSWER_EVERY_MS = 500;
 
 type Hello = Extract<Message, { type: "hello"; }>;
@@ -56,14 +59,14 @@
         this.#tickers.forEach(ticker => ticker.stop());
     }
 
-    /** Tells all peers of a change of this daemon's own record, those that are known: the store tells the rest. */
+    /** Announces a change of this daemon's own record, to all peers that are known; the rest learn it from the store. */
     announceRecord(): void {
         const { members, send, self, member } = this.parts;
         const own = member();
         members.members.forEach(peer => send(peer.gate, { type: "member", from: self, member: own }));
     }
 
-    /** Tells all peers that this daemon goes. */
+    /** Announces to all peers that this daemon stops. */
     announceStop(): void {
         const { members, send, self } = this.parts;
         members.members.forEach(peer => send(peer.gate, { type: "going", from: self }));
@@ -80,11 +83,11 @@
                 members.remove(message.from);
                 return;
             case "hello":
-                this.#hearHello(message, now);
+                this.#receiveHello(message, now);
         }
     }
 
-    #hearHello(hello: Hello, now: number): void {
+    #receiveHello(hello: Hello, now: number): void {
         const { members, revision, pull } = this.parts;
         const { from, incarnation, version } = hello;
         members.recordAlive(from, now);
@@ -120,7 +123,7 @@
             others.forEach(member => this.parts.members.record(member, "peer", now));
         }
         catch (err) {
-            logger.trouble("The peer did not tell whom it knows.", err, { peer });
+            logger.trouble("The peer did not return its members.", err, { peer });
         }
         finally {
             this.#asking.delete(peer);
--- a/src/membership/localupstreams.ts
+++ b/src/membership/localupstreams.ts
@@ -4,7 +4,7 @@
 import type { HostedUpstream } from "../wire/hostedupstream.js";
 import type { Announcement } from "./announcement.js";
 
-/** An upstream that has said nothing for so long has ended without a word. */
+/** An upstream that has announced nothing for so long has ended; milliseconds, three of its announcements and more. */
 const SILENT_MS = 7000;
 /** Names of upstreams that have ended, remembered so that a late announcement does not bring one back. */
 const MAX_ENDED = 256;
@@ -26,7 +26,7 @@
         }));
     }
 
-    /** Takes in an announcement; false when it changes nothing. */
+    /** Records an announcement; false when it changes nothing. */
     record(name: UpstreamName, announcement: Announcement, now: number): boolean {
         if (this.#ended.has(name)) {
             return false;
@@ -47,7 +47,7 @@
             || before.address !== announcement.address || before.service !== announcement.service;
     }
 
-    /** Takes in that an upstream is about to end, or has ended; false when that is no news. */
+    /** Removes an upstream that is about to end, or has ended; false when it was not known. */
     remove(name: UpstreamName): boolean {
         this.#end(name);
         return this.#entries.delete(name);
--- a/src/membership/memberlist.ts
+++ b/src/membership/memberlist.ts
@@ -1,9 +1,7 @@
 /**
  * Which daemons there are.
  *
- * A daemon's own word goes before all else. A record in the store comes next: it may be of an earlier life. What a
- * peer tells of a third daemon fills gaps only. A record that is gone from the store is a hint; the member goes when
- * the daemon itself has been silent since.
+ * Owns the list. Which source of a record goes before which, and when a member is given up, is decided by policy/membership.
  */
 import type { Upstream } from "../config/upstream.js";
 import type { Address } from "../ids/address.js";
@@ -47,7 +45,7 @@
         return member?.incarnation === incarnation && member.version >= version;
     }
 
-    /** Takes in what is said of a daemon; false when it is no news. */
+    /** Records what a source says of a daemon; false when it changes nothing. */
     record(member: Member, source: MemberSource, now: number): boolean {
         if (member.gate === this.self) {
             return false;
@@ -75,7 +73,7 @@
         return news;
     }
 
-    /** Takes in a sign of life. */
+    /** Records a sign of life. */
     recordAlive(gate: Address, now: number): void {
         const entry = this.#entries.get(gate);
         if (entry !== undefined) {
@@ -83,7 +81,7 @@
         }
     }
 
-    /** Takes in that the store has no record of the daemon any more. */
+    /** Records that the store has no record of the daemon any more. */
     recordLapse(gate: Address, now: number): void {
         const entry = this.#entries.get(gate);
         if (entry !== undefined) {
@@ -91,14 +89,14 @@
         }
     }
 
-    /** Takes in the daemon's own word that it goes. */
+    /** Removes a daemon that has announced its stop. */
     remove(gate: Address): void {
         if (this.#entries.delete(gate)) {
             this.#changed();
         }
     }
 
-    /** Members whose record is gone and that have not been heard since: a question settles it. */
+    /** Members whose record is gone and that have given no sign of life since: a question settles it. */
     doubtful(now: number): Address[] {
         return [...this.#entries].filter(([, entry]) => judgeMember(entry, now) !== "present").map(([gate]) => gate);
     }
--- a/src/membership/recordpublisher.ts
+++ b/src/membership/recordpublisher.ts
@@ -6,10 +6,11 @@
 
 const logger = log("roster");
 
+/** A quarter of the lease, in milliseconds. */
 const RENEW_EVERY_MS = 2000;
 
-/** What the registrar needs; `onTrouble` hears that the store has failed, `onSuccess` that it has answered. */
-type RegistrarParts = {
+/** What the publisher needs; `onTrouble` is called when the store has failed, `onSuccess` when it has answered. */
+type PublisherParts = {
     readonly registry: Registry;
     readonly member: () => Member;
     readonly onTrouble: () => void;
@@ -22,7 +23,7 @@
     /** The version of the record that the store has; undefined when it must be written. */
     #published: number | undefined;
 
-    constructor(private readonly parts: RegistrarParts) {
+    constructor(private readonly parts: PublisherParts) {
         this.#loop = new StoreLoop({
             step: () => this.#step(),
             failed: err => this.#failed(err),
--- a/src/membership/registrywatcher.ts
+++ b/src/membership/registrywatcher.ts
@@ -10,10 +10,10 @@
 
 const logger = log("roster");
 
-/** Changes often come many at once, and each watch is a call that costs. */
+/** Changes often come many at once, and each watch is a call that costs; milliseconds, chosen. */
 const GATHER_MS = 250;
 
-/** What the watcher needs; `onOwnGone` hears that this daemon's own record is gone. */
+/** What the watcher needs; `onOwnGone` is called when this daemon's own record is gone. */
 type WatcherParts = {
     readonly self: Address;
     readonly registry: Registry;
--- a/src/metrics/metrics.ts
+++ b/src/metrics/metrics.ts
@@ -4,6 +4,7 @@
 import type { ServiceName } from "../ids/servicename.js";
 import type { TeamName } from "../ids/teamname.js";
 
+/** Milliseconds. */
 const MS_PER_SECOND = 1000;
 const BUCKETS = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10];
 
@@ -16,7 +17,7 @@
 /** One registry for each daemon. */
 export class Metrics {
     readonly registry = new Registry();
-    readonly revision = this.#gauge("winglock_revision", "The revision of the configuration in force.");
+    readonly revision = this.#gauge("winglock_revision", "The revision of the configuration that is applied.");
     readonly #requests = new Histogram({
         name: "winglock_request_seconds",
         help: "Time from a caller's request to the end of its answer.",
@@ -26,7 +27,7 @@
     });
     readonly #retries = new Counter({
         name: "winglock_retries_total",
-        help: "Tries after the first, by why the one before came to nothing.",
+        help: "Attempts after the first, by the reason for which the one before failed.",
         labelNames: ["service", "reason"] as const,
         registers: [this.registry],
     });
--- a/src/operator/collectstatus.ts
+++ b/src/operator/collectstatus.ts
@@ -1,17 +1,24 @@
-/** Asks every gate how it is. */
+/** Asks every daemon for the state of its gates. */
 import type { Document } from "../config/document.js";
 import type { Address } from "../ids/address.js";
+import { log } from "../log/log.js";
 import type { GateStatus } from "../peer/gatestatus.js";
 import type { PeerClient } from "../peer/peerclient.js";
 import type { StatusLine } from "./statusline.js";
 
+/** Daemons asked at the same time: bounds connections when an operator asks for all. */
 const AT_ONCE = 32;
 
+const logger = log("operator");
+
 const askGate = async (peer: PeerClient, gate: Address): Promise<GateStatus[]> => {
     try {
         return await peer.status(gate);
     }
-    catch {
+    catch (err) {
+        logger.trouble("A daemon did not answer for its status; its upstreams are shown without one.", err, {
+            peer: gate,
+        });
         return [];
     }
 };
--- a/src/peer/peerclient.ts
+++ b/src/peer/peerclient.ts
@@ -8,6 +8,7 @@
 import { httpStatus } from "../http/httpstatus.js";
 import type { Address } from "../ids/address.js";
 import type { RevokeResult } from "../ledger/revokeresult.js";
+import { log } from "../log/log.js";
 import { Member } from "../wire/member.js";
 import type { GateStatus } from "./gatestatus.js";
 import type { PeerOptions } from "./peeroptions.js";
@@ -15,11 +16,15 @@
 import type { PeerService } from "./peerservice.js";
 import type { RevokeInput } from "./revokeinput.js";
 
+/** Milliseconds; calls carry a whole configuration at the most. Chosen, not measured. */
 const CALL_TIMEOUT_MS = 1000;
+/** Several times the way between data halls, in milliseconds; chosen, not measured. */
 const CONNECT_TIMEOUT_MS = 500;
-/** Short, since a caller waits for the word. */
+/** Short, since a caller waits for the answer; milliseconds. */
 const REVOKE_TIMEOUT_MS = 300;
 
+const logger = log("peer");
+
 type Client = TRPCClient<typeof peerRouter>;
 
 /** What trpc asks of a fetch, and all that it reads of the answer. */
@@ -43,12 +48,15 @@
         return this.#client(address).hello.query(undefined, this.#bound());
     }
 
-    /** Returns `unknown` when the gate says nothing. */
+    /** Returns `unknown` when the gate does not answer. */
     async revoke(address: Address, input: RevokeInput): Promise<RevokeResult> {
         try {
             return await this.#client(address).revoke.mutate(input, this.#bound(REVOKE_TIMEOUT_MS));
         }
-        catch {
+        catch (err) {
+            logger.trouble("A gate did not answer a revocation; what became of the request is unknown.", err, {
+                peer: address,
+            });
             return "unknown";
         }
     }
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -28,6 +28,7 @@
 /** A refusal has a note only. */
 const REFUSAL = { status: 0, headers: {}, body: undefined };
 const BAD_CALL = "bad-call";
+/** Longer than a peer keeps an idle connection (link/linkpool.ts), in milliseconds. */
 const KEEP_ALIVE_MS = 10_000;
 
 const logger = log("peer");
@@ -110,7 +111,7 @@
         const session = new LinkSession(socket, {
             key: this.#key,
             serve: (call, cancel) => this.#serve(call, cancel),
-            refuseBad: () => this.#refuseBad(socket),
+            refuseBad: err => this.#refuseBad(socket, err),
             isClosing: () => this.#isClosing,
         });
         socket.setTimeout(KEEP_ALIVE_MS, () => session.endIfIdle());
@@ -171,8 +172,8 @@
         return await gate.serve({ head, rule: ruling?.rule.name, method, path, headers, body, cancel });
     }
 
-    #refuseBad({ remoteAddress }: Socket): ServedAnswer {
-        logger.trouble("A peer's call can't be read.", BAD_CALL, { peer: remoteAddress });
+    #refuseBad({ remoteAddress }: Socket, err: unknown): ServedAnswer {
+        logger.trouble("A peer's call can't be read.", err, { peer: remoteAddress });
         return { note: this.#note({ outcome: "not-run", reason: BAD_CALL }), ...REFUSAL };
     }
 
--- a/src/peer/revokeinput.ts
+++ b/src/peer/revokeinput.ts
@@ -1,4 +1,4 @@
-/** What a gate is told when a request is taken back. */
+/** What a gate is asked to revoke. */
 import { z } from "zod";
 import { Incarnation } from "../ids/incarnation.js";
 import { RequestId } from "../ids/requestid.js";
--- a/src/policy/admission/admission.ts
+++ b/src/policy/admission/admission.ts
@@ -24,6 +24,7 @@
  * within the data hall than out of it.
  */
 const NEAR_SHARE = 0.25;
+/** The same where the request must leave the data hall. */
 const FAR_SHARE = 0.5;
 /** Of a usual service time, added: a caller that comes back just when the queue should have ended mostly finds that it has not. */
 const COME_BACK_SHARE = 0.5;
--- a/src/policy/admission/slotlimit.ts
+++ b/src/policy/admission/slotlimit.ts
@@ -1,6 +1,6 @@
 /** How many requests a gate lets its upstream serve at once. */
 
-/** A policy of limiting; is told of each answer. */
+/** A policy of limiting; observes each answer. */
 export abstract class SlotLimit {
     /** The most that may run now. */
     abstract current(): number;
--- a/src/policy/failure/pace.ts
+++ b/src/policy/failure/pace.ts
@@ -9,6 +9,7 @@
 
 /** An upstream this many times slower than it has been is worth avoiding: moving a request costs far less. */
 const SLOW = 1.5;
+/** Work takes as long as usual. */
 const USUAL = 1;
 /** A report is the present for so long: a tenth of the time between changes of pace at the users' (about 300 ms). */
 const BELIEVE_MS = 30;
--- a/src/policy/placement/isworthreporting.ts
+++ b/src/policy/placement/isworthreporting.ts
@@ -6,6 +6,7 @@
  */
 import type { LoadReport } from "./loadreport.js";
 
+/** Times as long, or as short. */
 const CHANGE = 2;
 /** Keeps the ratio of very short times from jumping, in milliseconds. */
 const LEAST_MS = 0.1;
--- a/src/policy/placement/twochoices.ts
+++ b/src/policy/placement/twochoices.ts
@@ -5,6 +5,7 @@
 import { Placement } from "./placement.js";
 import { sample } from "./sample.js";
 
+/** As the policy's name says. */
 const CHOICES = 2;
 
 const reportedLoad = (candidate: Candidate): number =>
--- a/src/policy/retry/retrybudget.ts
+++ b/src/policy/retry/retrybudget.ts
@@ -27,7 +27,7 @@
         return this.#tokens;
     }
 
-    /** Takes one for a try that is not needed, only from what successes have earned: the start is kept for failures. */
+    /** Takes one for an attempt that is not needed, only from what successes have earned: the start is kept for failures. */
     spendSurplus(): boolean {
         return this.#tokens >= this.burst + 1 && this.spend();
     }
--- a/src/policy/retry/retrydecision.ts
+++ b/src/policy/retry/retrydecision.ts
@@ -1,6 +1,6 @@
 /** Whether another attempt follows, and why. */
 
-/** What the attempt is paid with. */
+/** What the attempt is paid with: nothing, since it moves or was refused before it ran, or the retry budget. */
 type Again = { readonly again: true; readonly why: "moves" | "free" | "budget"; };
 
 type Ended = {
--- a/src/transfer/worktransfer.ts
+++ b/src/transfer/worktransfer.ts
@@ -17,14 +17,17 @@
 import { needPerSibling } from "../policy/transfer/needpersibling.js";
 import type { Clock } from "../time/clock.js";
 
+/** How often gates with waiting requests are looked at, in milliseconds: less than a move costs. */
 const TICK_MS = 4;
+/** Between two questions of one gate, in milliseconds: an offer has come or lapsed by then. */
 const ASK_EVERY_MS = 8;
+/** Siblings asked at once, at random: docs/EXPERIMENTS.md, "relief asks a third of each sibling". */
 const MAX_ASKED = 3;
-/** Long enough for the way there and back between halls, short enough not to waste a slot. */
+/** Long enough for the way there and back between halls, short enough not to waste a slot; milliseconds. */
 const HOLD_MS = 10;
 
-/** What relief needs of its daemon. */
-type ReliefParts = {
+/** What the transfer needs of its daemon. */
+type TransferParts = {
     readonly self: Address;
     readonly clock: Clock;
     readonly random: RandomSource;
@@ -39,9 +42,9 @@
     readonly #askedAt = new Map<Gate, number>();
     #timer: NodeJS.Timeout | undefined;
 
-    constructor(private readonly parts: ReliefParts) {}
+    constructor(private readonly parts: TransferParts) {}
 
-    /** Takes in that something has changed at a gate; looks on by itself while something waits. */
+    /** To be called when something has changed at a gate; goes on by itself while something waits. */
     check(): void {
         if (this.#timer === undefined && this.#anyWaiting()) {
             this.#timer = setTimeout(() => this.#tick(), TICK_MS);
@@ -52,7 +55,7 @@
         clearTimeout(this.#timer);
     }
 
-    /** Makes offers to a gate in need. */
+    /** Answers a gate whose requests wait, by offers. */
     receiveNeed(need: Extract<Message, { type: "need"; }>): void {
         for (const gate of this.parts.gates()) {
             if (gate.upstream.service === need.service && gate.upstream.name !== need.upstream) {
--- a/src/wire/answernote.ts
+++ b/src/wire/answernote.ts
@@ -23,7 +23,7 @@
     unframed: z.boolean().optional(),
     /** The upstream made calls of its own for this request. */
     calls: z.boolean().optional(),
-    /** A call that the upstream made for this request failed and was retried there. */
+    /** A call that the upstream made for this request failed and was tried again there. */
     retriedBelow: z.boolean().optional(),
 });
 type AnswerNote = z.infer<typeof AnswerNote>;
--- a/src/wire/callhead.ts
+++ b/src/wire/callhead.ts
@@ -27,13 +27,13 @@
     incarnation: Incarnation.optional(),
     /** The gate's clock at the time of sending, as the sender reckons it: never later than the truth. */
     gateTime: z.number().optional(),
-    /** How many other upstreams the sender could still try. */
+    /** How many other upstreams the sender could still send the request to. */
     choices: z.int().min(0).default(0),
     /** Those of them in the sender's own data hall. */
     nearChoices: z.int().min(0).default(0),
     /** An offer of a slot that the sender was told to use. */
     offer: z.string().max(64).optional(),
-    /** Where the sender hears load reports, IP:PORT. */
+    /** Where the sender receives load reports, IP:PORT. */
     from: z.string().max(64).optional(),
 });
 type CallHead = z.infer<typeof CallHead>;
--- a/src/wire/member.ts
+++ b/src/wire/member.ts
@@ -7,6 +7,7 @@
 import { RegionName } from "../ids/regionname.js";
 import { HostedUpstream } from "./hostedupstream.js";
 
+/** Beside one daemon: bounds a record. */
 const MAX_UPSTREAMS = 16;
 
 const Member = z.object({
--- a/src/wire/recordcodec.ts
+++ b/src/wire/recordcodec.ts
@@ -1,10 +1,11 @@
 /** Records as they go between daemons: lists of values in a fixed order, since names would be most of the bytes. */
 
+/** Of a millisecond. */
 const TENTHS = 10;
 
 /**
  * A field: `time` is milliseconds, sent as whole tenths and rounded down, so that no time that is told is later than the
- * truth; a list of words is sent as the word's number; a codec is a record within the record. `usual` is left out.
+ * truth; one of a list of words is sent as its number; a codec is a record within the record. `usual` is left out.
  */
 type Field = {
     readonly name: string;
