--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -1,4 +1,4 @@
-/** `npm run slopes`: what one more upstream, neighbour, report, revision or request costs a daemon. */
+/** `npm run slopes`: what one more upstream, view, report, revision or request costs a daemon. */
 import { pack, unpack } from "msgpackr";
 import { createHmac } from "node:crypto";
 import { Pool } from "undici";
@@ -154,15 +154,20 @@
             }
             return ledger;
         })),
-    await measureSlope("beat sent", "us", [1000, 10_000], count => count * microseconds(count, () => seal(pack(beat)))),
-    await measureSlope("beat heard", "us", [1000, 10_000], count => {
+    await measureSlope(
+        "heartbeat sent",
+        "us",
+        [1000, 10_000],
+        count => count * microseconds(count, () => seal(pack(beat))),
+    ),
+    await measureSlope("heartbeat received", "us", [1000, 10_000], count => {
         const body = pack(beat);
         return count * microseconds(count, () => {
             seal(body);
             Message.safeParse(unpack(body));
         });
     }),
-    await measureSlope("load report heard", "us", [1000, 10_000], count => {
+    await measureSlope("load report received", "us", [1000, 10_000], count => {
         const body = pack(load);
         return count * microseconds(count, () => {
             seal(body);
--- a/test/boundary.test.ts
+++ b/test/boundary.test.ts
@@ -21,6 +21,22 @@
     assert.deepEqual(matching("src", /from "[^"]*\/platform\//), []);
 });
 
+/** Names that any program has for such things; here they are none of the platform's. */
+const ORDINARY: ReadonlySet<string> = new Set(["timeoutMs", "maxAttempts"]);
+
+/** What deploy/wire.toml renames: the platform's own field names, those that are no plain words. */
+const renamedFields = (): string[] => {
+    const [, fields = ""] = readFileSync(ROOT + "deploy/wire.toml", "utf8").split(/^\[\w+\]$/m);
+    const names = [...fields.matchAll(/^(\w+) = "(\w+)"$/gm)];
+    return names.map(match => match[1]!).filter(name => /[A-Z]/.test(name) && !ORDINARY.has(name));
+};
+
+test("boundary: the product knows none of the names that the deploy files translate", () => {
+    const names = renamedFields();
+    assert.ok(names.length > 10);
+    assert.deepEqual(matching("src", new RegExp(`\\b(?:${names.join("|")})\\b`)), []);
+});
+
 test("boundary: the platform's folder keeps no time, draws nothing and so decides nothing by them", () => {
     assert.ok(sources("platform").length > 5);
     assert.deepEqual(matching("platform", TIMERS), []);
