--- /dev/null
+++ b/src/daemon/rulematcher.test.ts
@@ -0,0 +1,32 @@
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import type { Document } from "../config/document.js";
+import { emptyDocument } from "../config/emptydocument.js";
+import { parse } from "../config/parse.js";
+import { Rule } from "../config/rule.js";
+import { Service } from "../config/service.js";
+import { CurrentConfiguration } from "../distribution/currentconfiguration.js";
+import type { Outgoing } from "../ingress/outgoing.js";
+import type { Plan } from "../ingress/plan.js";
+import { RuleMatcher } from "./rulematcher.js";
+
+const split = [{ service: "old", weight: 1 }, { service: "new", weight: 1 }];
+const document: Document = {
+    ...emptyDocument,
+    revision: 1,
+    services: ["old", "new"].map(name => parse(Service, { name })),
+    rules: [parse(Rule, { name: "r", pathPrefix: "/", service: "old", split })],
+};
+
+test("replan: a request of a split stays with the part that was drawn for it", () => {
+    const configuration = new CurrentConfiguration();
+    configuration.apply(document);
+    const matcher = new RuleMatcher(configuration, () => 0);
+    const target = { method: "GET", host: "h", path: "/" };
+    for (const draw of [0.1, 0.9]) {
+        const matched = matcher.find(target, draw)!;
+        const plan: Plan = { type: "plan", ...matched, draw, startedAt: 0, deadline: 1000, depth: 0 };
+        const out = { method: "GET", path: "/", headers: { host: "h" } } as unknown as Outgoing;
+        assert.equal(matcher.replan(out, plan).service.name, matched.service.name);
+    }
+});
--- a/src/daemon/rulematcher.ts
+++ b/src/daemon/rulematcher.ts
@@ -22,7 +22,7 @@
     /** The plan by the rules as they are now; the plan itself when none matches. */
     replan(out: Outgoing, plan: Plan): Plan {
         const { method, path, headers } = out;
-        return { ...plan, ...this.find({ method, host: headers["host"] as string | undefined, path }) };
+        return { ...plan, ...this.find({ method, host: headers["host"] as string | undefined, path }, plan.draw) };
     }
 
     /** True when the sender's older rules let a request repeat that the rules here do not. */
--- a/src/ingress/plan.ts
+++ b/src/ingress/plan.ts
@@ -4,6 +4,8 @@
 /** Times are on the daemon's clock, in milliseconds; `depth` counts the calls between services above this request. */
 export type Plan = MatchedRule & {
     readonly type: "plan";
+    /** What chose the part of a split: from 0 up to 1, drawn once for a request. */
+    readonly draw: number;
     readonly startedAt: number;
     readonly deadline: number;
     readonly depth: number;
--- a/src/ingress/planner.ts
+++ b/src/ingress/planner.ts
@@ -38,8 +38,9 @@
             return { type: "refusal", problem: "not-ready", detail: "", retryAfterMs: retrySoonMs };
         }
         const { method = "GET", headers: { host } } = req;
-        const ruling = find({ method, host, path }, random());
-        if (ruling === undefined) {
+        const draw = random();
+        const matched = find({ method, host, path }, draw);
+        if (matched === undefined) {
             log.unmatched(host, path, revision());
             return { type: "refusal", problem: "no-rule", detail: `${method} ${path}` };
         }
@@ -51,7 +52,14 @@
         if (depth > maxDepth) {
             return { type: "refusal", problem: "too-deep", detail: `depth ${depth}` };
         }
-        return { type: "plan", ...ruling, startedAt, deadline: this.#deadline(req, ruling, parent, startedAt), depth };
+        return {
+            type: "plan",
+            ...matched,
+            draw,
+            startedAt,
+            deadline: this.#deadline(req, matched, parent, startedAt),
+            depth,
+        };
     }
 
     /** The request for which the upstream beside this daemon makes this call; undefined for a caller's own. */
