--- a/src/link/linksession.ts
+++ b/src/link/linksession.ts
@@ -110,11 +110,20 @@
             this.destroy();
             return;
         }
+        const call = this.#unpack(payload);
+        if (call !== undefined) {
+            this.#serve(call);
+        }
+    }
+
+    /** Undefined for what can't be read; that is refused and logged by the listener. */
+    #unpack(payload: Buffer): WireCall | undefined {
         try {
-            this.#serve(unpackCall(payload));
+            return unpackCall(payload);
         }
         catch (err) {
             void this.#answer(this.parts.refuseBad(err), true);
+            return undefined;
         }
     }
 
