--- a/src/daemon/settingsfile.ts
+++ b/src/daemon/settingsfile.ts
@@ -37,7 +37,7 @@
             }
         }
         catch (err) {
-            logger.trouble("The settings can't be used; those of before stay.", err, { file: this.file });
+            logger.trouble("The settings can't be used; those in force stay.", err, { file: this.file });
         }
     }
 
