--- a/src/failuredetection/failuredetector.test.ts
+++ b/src/failuredetection/failuredetector.test.ts
@@ -44,10 +44,10 @@
     return waiting.filter(item => item.cancel.aborted).map(item => item.name);
 };
 
-test("pinger: a try at a silent gate is given up for one that answers", async t => {
+test("failure detector: a try at a silent gate is given up for one that answers", async t => {
     assert.deepEqual(await givenUp(t as never, ["b"]), ["a"]);
 });
 
-test("pinger: when all gates are silent, the last one's tries are not given up", async t => {
+test("failure detector: when all gates are silent, the last one's tries are not given up", async t => {
     assert.deepEqual(await givenUp(t as never, []), ["a"]);
 });
--- a/src/ingress/attempt.test.ts
+++ b/src/ingress/attempt.test.ts
@@ -29,12 +29,12 @@
     return target;
 };
 
-test("attempt: a gate that does not know the upstream is left alone for a moment, not for long", async () => {
+test("attempt: a gate that does not know the upstream is avoided for a moment, not for long", async () => {
     const target = await refusedFor("no-such-upstream");
     assert.equal(target.availability(50), "leaving");
     assert.equal(target.availability(200), "available");
 });
 
-test("attempt: a busy gate is not left alone", async () => {
+test("attempt: a busy gate is not avoided", async () => {
     assert.equal((await refusedFor("busy")).availability(0), "available");
 });
--- a/src/membership/localupstreams.test.ts
+++ b/src/membership/localupstreams.test.ts
@@ -19,7 +19,7 @@
 
 const names = (announced: LocalUpstreams): string[] => announced.all.map(upstream => upstream.name);
 
-test("announced: what repeats is no news, a change is", () => {
+test("local upstreams: what repeats is no news, a change is", () => {
     const announced = new LocalUpstreams();
     assert.equal(announced.record(one, say(1), 0), true);
     assert.equal(announced.record(one, say(2), 0), false);
@@ -27,14 +27,14 @@
     assert.equal(announced.all[0]!.draining, true);
 });
 
-test("announced: one that comes late does not take back what was said after it", () => {
+test("local upstreams: one that comes late does not take back what was said after it", () => {
     const announced = new LocalUpstreams();
     announced.record(one, say(5, { state: "draining" }), 0);
     assert.equal(announced.record(one, say(4), 0), false);
     assert.equal(announced.all[0]!.draining, true);
 });
 
-test("announced: an upstream that has left does not come back by a late word", () => {
+test("local upstreams: an upstream that has left does not come back by a late word", () => {
     const announced = new LocalUpstreams();
     announced.record(one, say(1), 0);
     assert.equal(announced.remove(one), true);
@@ -43,7 +43,7 @@
     assert.deepEqual(names(announced), []);
 });
 
-test("announced: an address serves the upstream that announced it last, of whatever service", () => {
+test("local upstreams: an address serves the upstream that announced it last, of whatever service", () => {
     const announced = new LocalUpstreams();
     announced.record(one, say(1), 0);
     announced.record(two, say(1, { service: "other" as Announcement["service"] }), 0);
@@ -52,7 +52,7 @@
     assert.deepEqual(names(announced), ["i-2"]);
 });
 
-test("announced: one that ends without a word goes when it is silent, and may come back", () => {
+test("local upstreams: one that ends without a word goes when it is silent, and may come back", () => {
     const announced = new LocalUpstreams();
     announced.record(one, say(1), 0);
     assert.deepEqual(announced.removeSilent(6999), []);
--- a/src/membership/memberlist.test.ts
+++ b/src/membership/memberlist.test.ts
@@ -20,14 +20,14 @@
 const roster = (): MemberList => new MemberList("10.0.0.1:7620" as Address);
 const names = (of: MemberList): string[] => of.upstreams.map(upstream => upstream.name);
 
-test("roster: a later version of the same life replaces the earlier one, never the other way", () => {
+test("members: a later version of the same life replaces the earlier one, never the other way", () => {
     const all = roster();
     assert.equal(all.record(member("one", 2, "i-2"), "store", 0), true);
     assert.equal(all.record(member("one", 1, "i-1"), "itself", 0), false);
     assert.deepEqual(names(all), ["i-2"]);
 });
 
-test("roster: a daemon's own word goes before an older record in the store", () => {
+test("members: a daemon's own word goes before an older record in the store", () => {
     const all = roster();
     all.record(member("two", 0, "i-2"), "itself", 1000);
     assert.equal(all.record(member("one", 9, "i-1"), "store", 2000), false);
@@ -35,14 +35,14 @@
     assert.deepEqual(names(all), ["i-3"]);
 });
 
-test("roster: what a peer tells fills gaps only", () => {
+test("members: what a peer tells fills gaps only", () => {
     const all = roster();
     assert.equal(all.record(member("one", 0, "i-1"), "peer", 0), true);
     assert.equal(all.record(member("two", 0, "i-2"), "peer", 0), false);
     assert.deepEqual(names(all), ["i-1"]);
 });
 
-test("roster: a record that is gone is a hint; the member goes when it is silent too", () => {
+test("members: a record that is gone is a hint; the member goes when it is silent too", () => {
     const all = roster();
     all.record(member("one", 0), "store", 0);
     all.recordLapse(PEER, 1000);
@@ -56,7 +56,7 @@
     assert.deepEqual(names(all), []);
 });
 
-test("roster: a record that comes back ends the doubt", () => {
+test("members: a record that comes back ends the doubt", () => {
     const all = roster();
     all.record(member("one", 0), "store", 0);
     all.recordLapse(PEER, 1000);
@@ -64,7 +64,7 @@
     assert.deepEqual(all.doubtful(1200), []);
 });
 
-test("roster: listeners hear of changes only, and the daemon itself is no member", () => {
+test("members: listeners are called at changes only, and the daemon itself is no member", () => {
     const all = roster();
     let changes = 0;
     all.onChange(() => changes += 1);
