--- a/src/health/probebudget.ts
+++ b/src/health/probebudget.ts
@@ -1,5 +1,4 @@
 /** The budget of questions to the upstreams beside this daemon, and where to ask. */
-import type { Settings } from "../daemon/settings.js";
 import type { CurrentConfiguration } from "../distribution/currentconfiguration.js";
 import type { ServiceName } from "../ids/servicename.js";
 import type { Metrics } from "../metrics/metrics.js";
@@ -9,17 +8,20 @@
 /** A question of an upstream's pace and its answer, about. */
 const ASK_BYTES = 200;
 
+/** How often upstreams may be asked for their pace, and the path of the daemon's own where a service has none. */
+type ProbeBounds = { readonly pacePerSecond: number; readonly healthPath: string; };
+
 /** A hard budget: a rush can't raise it. */
 export class ProbeBudget {
     readonly #asks: TokenBucket;
 
     constructor(
-        private readonly control: Settings["control"],
+        private readonly bounds: ProbeBounds,
         private readonly configuration: CurrentConfiguration,
         private readonly metrics: Metrics,
         private readonly clock: Clock,
     ) {
-        const { pacePerSecond } = control;
+        const { pacePerSecond } = bounds;
         this.#asks = new TokenBucket(pacePerSecond, Math.ceil(pacePerSecond / 2), clock());
     }
 
@@ -35,6 +37,6 @@
     /** The operators' path for the service, or else the daemon's own. */
     healthPath(service: ServiceName): string {
         const settings = this.configuration.document.services.find(item => item.name === service);
-        return settings?.healthPath ?? this.control.healthPath;
+        return settings?.healthPath ?? this.bounds.healthPath;
     }
 }
--- a/test/boundary.test.ts
+++ b/test/boundary.test.ts
@@ -1,5 +1,6 @@
 import assert from "node:assert/strict";
 import { readdirSync, readFileSync } from "node:fs";
+import { dirname, join } from "node:path";
 import { test } from "node:test";
 
 const ROOT = new URL("../../", import.meta.url).pathname;
@@ -21,6 +22,32 @@
     assert.deepEqual(matching("src", /from "[^"]*\/platform\//), []);
 });
 
+/** Folders of src by their rows in the table of docs/ARCHITECTURE.md, from the bottom up. */
+const floors = (): Map<string, number> => {
+    const rows = readFileSync(ROOT + "docs/ARCHITECTURE.md", "utf8").split("\n").filter(line =>
+        line.startsWith("| `src/")
+    );
+    return new Map(
+        rows.flatMap((row, at) => [...row.split("|")[1]!.matchAll(/`src\/(\w+)`/g)].map(match => [match[1]!, at])),
+    );
+};
+
+test("boundary: no folder imports from one above it", () => {
+    const floorOf = floors();
+    assert.ok(floorOf.size > 20);
+    const upward: string[] = [];
+    for (const file of sources("src").filter(name => !name.startsWith("src/gen/"))) {
+        const folder = file.split("/")[1]!;
+        for (const [, path] of readFileSync(ROOT + file, "utf8").matchAll(/from "((?:\.\.\/)+[^"]+)"/g)) {
+            const target = join(dirname(file), path!).split("/")[1]!;
+            if (target !== "gen" && (floorOf.get(target) ?? Infinity) > (floorOf.get(folder) ?? -1)) {
+                upward.push(`${file} -> ${path}`);
+            }
+        }
+    }
+    assert.deepEqual(upward, []);
+});
+
 /** Names that any program has for such things; here they are none of the platform's. */
 const ORDINARY: ReadonlySet<string> = new Set(["timeoutMs", "maxAttempts"]);
 
