--- a/src/daemon/bootstrap.ts
+++ b/src/daemon/bootstrap.ts
@@ -17,7 +17,7 @@
         configuration.confirm(configuration.revision, askedAt);
     }
     catch (err) {
-        logger.trouble("The store gave no configuration.", err);
+        logger.warn("The store gave no configuration.", err);
     }
 };
 
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -73,7 +73,7 @@
         await this.#membership.start();
         this.#path.sharing.start();
         this.#gates.health.start();
-        logger.belief("The daemon is up.", {
+        logger.change("The daemon is up.", {
             ready: true,
             host: settings.host,
             hall: settings.hall,
@@ -88,7 +88,7 @@
     async stop(hurry: AbortSignal): Promise<void> {
         const { settings, clock } = this.#context;
         const { lingerMs, limitMs } = settings.stop;
-        logger.belief("The daemon stops.", { host: settings.host, inFlight: this.#inFlight() });
+        logger.change("The daemon stops.", { host: settings.host, inFlight: this.#inFlight() });
         this.#operators.server.unready();
         this.#path.ingress.startClosing();
         await sleep(lingerMs, hurry);
@@ -99,7 +99,7 @@
         await this.#path.ingress.close();
         const left = await waitIdle(() => this.#inFlight(), endAt - clock(), hurry);
         if (left > 0) {
-            logger.trouble("Requests were cut off by the stop.", "the time for a stop is over", { left });
+            logger.warn("Requests were cut off by the stop.", "the time for a stop is over", { left });
             console.error(`winglock:daemon ${left} requests were cut off by the stop.`);
         }
         this.#path.ingress.destroy();
--- a/src/daemon/settingsfile.ts
+++ b/src/daemon/settingsfile.ts
@@ -37,7 +37,7 @@
             }
         }
         catch (err) {
-            logger.trouble("The settings can't be used; those in force stay.", err, { file: this.file });
+            logger.warn("The settings can't be used; those in force stay.", err, { file: this.file });
         }
     }
 
@@ -45,7 +45,7 @@
         const changed = changedFields(this.current, settings);
         this.current = settings;
         logSink.configure(settings.log.level, settings.log.linesPerSecond);
-        logger.belief("The settings are read again.", {
+        logger.change("The settings are read again.", {
             inForce: changed.filter(field => RELOADED.has(field)),
             fromTheNextStart: changed.filter(field => !RELOADED.has(field)),
         });
--- a/src/datagram/datagrams.ts
+++ b/src/datagram/datagrams.ts
@@ -57,7 +57,7 @@
         this.#bucket = new TokenBucket(half - answers, half - answers, options.clock());
         this.#answers = new TokenBucket(answers, answers, options.clock());
         this.#socket = createSocket("udp4");
-        this.#socket.on("error", err => logger.trouble("The socket for datagrams failed.", err));
+        this.#socket.on("error", err => logger.warn("The socket for datagrams failed.", err));
     }
 
     /** Listens; `receive` is called with each message that is sealed and can be read. */
@@ -89,7 +89,7 @@
 
     #onSent(to: Address, err: Error | null): void {
         if (err !== null) {
-            logger.trouble("A datagram could not be sent.", err, { peer: to });
+            logger.warn("A datagram could not be sent.", err, { peer: to });
         }
     }
 
@@ -113,7 +113,7 @@
             return Message.parse(unpack(body));
         }
         catch (err) {
-            logger.trouble("A datagram of a peer can't be read.", err);
+            logger.warn("A datagram of a peer can't be read.", err);
             return undefined;
         }
     }
--- a/src/distribution/changepublisher.ts
+++ b/src/distribution/changepublisher.ts
@@ -64,7 +64,7 @@
                 if (!(err instanceof StoreError)) {
                     throw err;
                 }
-                logger.trouble("The store failed.", err);
+                logger.warn("The store failed.", err);
                 last = err;
             }
         }
--- a/src/distribution/configurationpuller.ts
+++ b/src/distribution/configurationpuller.ts
@@ -48,7 +48,7 @@
             }
         }
         catch (err) {
-            logger.trouble("The peer gave no newer revision.", err, { peer: from });
+            logger.warn("The peer gave no newer revision.", err, { peer: from });
         }
     }
 }
--- a/src/distribution/currentconfiguration.ts
+++ b/src/distribution/currentconfiguration.ts
@@ -63,7 +63,7 @@
             this.#patches.push(makePatch(this.#document, document));
             this.#patches.splice(0, this.#patches.length - KEPT_PATCHES);
         }
-        logger.belief("A revision is applied.", { revision: document.revision, before: this.revision });
+        logger.change("A revision is applied.", { revision: document.revision, before: this.revision });
         this.#document = document;
         this.#listeners.forEach(listener => listener(document));
         return true;
--- a/src/distribution/documentwatcher.ts
+++ b/src/distribution/documentwatcher.ts
@@ -21,7 +21,7 @@
         this.#loop = new StoreLoop({
             step: signal => this.#watchOnce(signal),
             failed: err =>
-                logger.trouble("The watch of the configuration failed.", err, { revision: configuration.revision }),
+                logger.warn("The watch of the configuration failed.", err, { revision: configuration.revision }),
             pauseMs: 0,
         });
     }
@@ -36,7 +36,7 @@
             this.#loop.stop();
         }
         else if (!this.#loop.running) {
-            logger.belief("This daemon watches the store.");
+            logger.change("This daemon watches the store.");
             this.#loop.start();
         }
     }
--- a/src/distribution/leavinghosts.ts
+++ b/src/distribution/leavinghosts.ts
@@ -27,7 +27,7 @@
             this.#leaving = hosts.filter(host => host.state === "leaving").map(host => host.name);
         }
         catch (err) {
-            logger.trouble("The platform's list of hosts could not be read; it is read again in the next round.", err);
+            logger.warn("The platform's list of hosts could not be read; it is read again in the next round.", err);
         }
         finally {
             this.#asking = false;
--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -96,7 +96,7 @@
     /** Takes no new requests for a reason; what waits and runs is finished. */
     close(reason: CloseReason): void {
         if (!this.#closedFor.has(reason)) {
-            logger.belief("The gate takes no new requests.", { upstream: this.upstream.name, reason });
+            logger.change("The gate takes no new requests.", { upstream: this.upstream.name, reason });
         }
         this.#closedFor.add(reason);
     }
@@ -215,7 +215,7 @@
     #toHopError(err: unknown): HopError {
         const reason = err instanceof UpstreamError ? err.reason : "gate-error";
         if (reason === "gate-error") {
-            logger.trouble("A request failed at its gate.", err, { upstream: this.upstream.name });
+            logger.warn("A request failed at its gate.", err, { upstream: this.upstream.name });
         }
         if (reason === "leaving" || reason === "misdirected") {
             this.close("upstream");
--- a/src/gate/paceprobe.ts
+++ b/src/gate/paceprobe.ts
@@ -51,7 +51,7 @@
             return this.#pace.isSlowSince(askedAt);
         }
         catch (err) {
-            logger.trouble("The upstream did not report its pace.", err);
+            logger.warn("The upstream did not report its pace.", err);
             return false;
         }
         finally {
--- a/src/health/healthcheck.ts
+++ b/src/health/healthcheck.ts
@@ -50,7 +50,7 @@
             this.metrics.spent("health", BYTES);
         }
         catch (err) {
-            logger.trouble("The upstream said nothing of its health.", err, { upstream: gate.upstream.name });
+            logger.warn("The upstream said nothing of its health.", err, { upstream: gate.upstream.name });
         }
     }
 }
--- a/src/ingress/ingress.ts
+++ b/src/ingress/ingress.ts
@@ -111,7 +111,7 @@
             }
         }
         catch (err) {
-            logger.trouble("A request failed.", err);
+            logger.warn("A request failed.", err);
             answer.tell("internal", { outcome: "unknown", detail: "internal" });
         }
         finally {
--- a/src/ingress/requestlog.ts
+++ b/src/ingress/requestlog.ts
@@ -69,7 +69,7 @@
     }
 
     brokeOff(err: unknown, target?: UpstreamView): void {
-        logger.trouble("An answer broke off.", err, { id: this.id, upstream: target?.upstream });
+        logger.warn("An answer broke off.", err, { id: this.id, upstream: target?.upstream });
     }
 
     unmatched(host: string | undefined, path: string, revision: number): void {
--- a/src/link/linkconnection.ts
+++ b/src/link/linkconnection.ts
@@ -76,7 +76,7 @@
             this.#reader.read(chunk).forEach(frame => this.#receive(frame));
         }
         catch (err) {
-            logger.trouble("A peer's answer can't be read; its connection is ended.", err);
+            logger.warn("A peer's answer can't be read; its connection is ended.", err);
             this.destroy();
         }
     }
--- a/src/link/linksession.ts
+++ b/src/link/linksession.ts
@@ -59,7 +59,7 @@
             this.#reader.read(chunk).forEach(frame => this.#receive(frame));
         }
         catch (err) {
-            logger.trouble("A peer's connection is ended: it sent what is no frame.", err);
+            logger.warn("A peer's connection is ended: it sent what is no frame.", err);
             this.destroy();
         }
     }
--- a/src/log/linekind.ts
+++ b/src/log/linekind.ts
@@ -1,7 +1,7 @@
 /** Kinds of log lines; each has a budget of its own, so that none crowds out the others. */
 
 /**
- * `belief`: what the process believes has changed. `failure`: a decision on a request that failed, was refused or may
+ * `belief`: the state of the daemon, or what it knows of others, has changed, or something went wrong. `failure`: a decision on a request that failed, was refused or may
  * run only once. `decision`: any other decision on a request.
  */
 export type LineKind = "belief" | "failure" | "decision";
--- a/src/log/partlog.ts
+++ b/src/log/partlog.ts
@@ -6,13 +6,13 @@
 export class PartLog {
     constructor(private readonly part: Part) {}
 
-    /** What the process believes has changed. */
-    belief(sentence: string, fields: object = {}): void {
+    /** The state of the daemon, or what it knows of others, has changed. */
+    change(sentence: string, fields: object = {}): void {
         logSink.write("info", "belief", this.part, sentence, fields);
     }
 
     /** Something went wrong that is no request's own. */
-    trouble(sentence: string, err: unknown, fields: object = {}): void {
+    warn(sentence: string, err: unknown, fields: object = {}): void {
         const error = err instanceof Error ? err.message : String(err);
         logSink.write("warn", "belief", this.part, sentence, { ...fields, error });
     }
--- a/src/membership/announcementserver.ts
+++ b/src/membership/announcementserver.ts
@@ -84,7 +84,7 @@
 
     #refuse(req: IncomingMessage, res: ServerResponse, err: unknown): void {
         const message = err instanceof Error ? err.message : String(err);
-        logger.trouble("An announcement is turned down.", err, { method: req.method, path: req.url });
+        logger.warn("An announcement is turned down.", err, { method: req.method, path: req.url });
         if (err instanceof ConfigError || err instanceof SyntaxError || err instanceof URIError) {
             answer(res, httpStatus.badRequest, { error: message });
             return;
--- a/src/membership/findupstream.ts
+++ b/src/membership/findupstream.ts
@@ -50,7 +50,7 @@
         await sleep(LOOK_EVERY_MS);
     }
     if (parts.isWanted()) {
-        logger.trouble("No upstream was found beside this daemon.", lastError, { upstream: parts.address });
+        logger.warn("No upstream was found beside this daemon.", lastError, { upstream: parts.address });
     }
     return undefined;
 }
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -123,7 +123,7 @@
             others.forEach(member => this.parts.members.record(member, "peer", now));
         }
         catch (err) {
-            logger.trouble("The peer did not return its members.", err, { peer });
+            logger.warn("The peer did not return its members.", err, { peer });
         }
         finally {
             this.#asking.delete(peer);
@@ -134,7 +134,7 @@
         const { members, clock } = this.parts;
         members.removeGone(clock()).forEach(gate => {
             this.#answeredAt.delete(gate);
-            logger.belief("A peer is given up: its record is gone and it is silent.", { peer: gate });
+            logger.change("A peer is given up: its record is gone and it is silent.", { peer: gate });
         });
         members.doubtful(clock()).forEach(gate => this.#greet(gate));
     }
--- a/src/membership/recordpublisher.ts
+++ b/src/membership/recordpublisher.ts
@@ -48,12 +48,12 @@
             await this.parts.registry.withdraw();
         }
         catch (err) {
-            logger.trouble("The record could not be taken back.", err);
+            logger.warn("The record could not be taken back.", err);
         }
     }
 
     #failed(err: unknown): void {
-        logger.trouble("The record could not be kept.", err);
+        logger.warn("The record could not be kept.", err);
         this.parts.onTrouble();
     }
 
--- a/src/membership/registrywatcher.ts
+++ b/src/membership/registrywatcher.ts
@@ -30,7 +30,7 @@
     constructor(private readonly parts: WatcherParts) {
         this.#loop = new StoreLoop({
             step: signal => this.#step(signal),
-            failed: err => logger.trouble("The records could not be followed.", err),
+            failed: err => logger.warn("The records could not be followed.", err),
             pauseMs: GATHER_MS,
         });
     }
--- a/src/operator/collectstatus.ts
+++ b/src/operator/collectstatus.ts
@@ -16,7 +16,7 @@
         return await peer.status(gate);
     }
     catch (err) {
-        logger.trouble("A daemon did not answer for its status; its upstreams are shown without one.", err, {
+        logger.warn("A daemon did not answer for its status; its upstreams are shown without one.", err, {
             peer: gate,
         });
         return [];
--- a/src/peer/peerclient.ts
+++ b/src/peer/peerclient.ts
@@ -54,7 +54,7 @@
             return await this.#client(address).revoke.mutate(input, this.#bound(REVOKE_TIMEOUT_MS));
         }
         catch (err) {
-            logger.trouble("A gate did not answer a revocation; what became of the request is unknown.", err, {
+            logger.warn("A gate did not answer a revocation; what became of the request is unknown.", err, {
                 peer: address,
             });
             return "unknown";
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -45,7 +45,7 @@
     /** What the rules here say of a request. */
     readonly find: (target: RequestTarget) => MatchedRule | undefined;
     /** True when the sender's older rules let a request repeat that the newer ones do not. */
-    readonly isStale: (head: CallHead, ruling: MatchedRule | undefined) => boolean;
+    readonly isStale: (head: CallHead, rule: MatchedRule | undefined) => boolean;
     /** Told who sends requests here, so that load is reported there. */
     readonly onSender: (address: string | undefined) => void;
 };
@@ -151,7 +151,7 @@
 
     #noteOf(err: unknown, upstream: UpstreamName): AnswerNote {
         if (!(err instanceof HopError)) {
-            logger.trouble("A peer's request failed at its gate.", err, { upstream });
+            logger.warn("A peer's request failed at its gate.", err, { upstream });
             return this.#note({ outcome: "unknown", reason: "gate-error" });
         }
         const { reason, note } = err;
@@ -165,15 +165,15 @@
             throw new HopError("not-run", "no-such-upstream");
         }
         const host = Array.isArray(headers.host) ? headers.host[0] : headers.host;
-        const ruling = this.parts.find({ method, host, path });
-        if (this.parts.isStale(head, ruling)) {
+        const matched = this.parts.find({ method, host, path });
+        if (this.parts.isStale(head, matched)) {
             throw new HopError("not-run", "stale-rule");
         }
-        return await gate.serve({ head, rule: ruling?.rule.name, method, path, headers, body, cancel });
+        return await gate.serve({ head, rule: matched?.rule.name, method, path, headers, body, cancel });
     }
 
     #refuseBad({ remoteAddress }: Socket, err: unknown): ServedAnswer {
-        logger.trouble("A peer's call can't be read.", err, { peer: remoteAddress });
+        logger.warn("A peer's call can't be read.", err, { peer: remoteAddress });
         return { note: this.#note({ outcome: "not-run", reason: BAD_CALL }), ...REFUSAL };
     }
 
--- a/src/peer/remotehop.ts
+++ b/src/peer/remotehop.ts
@@ -72,7 +72,7 @@
     #reasonOf({ reason: word }: AnswerNote): Reason {
         const reason = decodeReason(word);
         if (reason === "unknown-reason") {
-            logger.trouble("A peer refused for a reason that is not known here.", word, { peer: this.address });
+            logger.warn("A peer refused for a reason that is not known here.", word, { peer: this.address });
         }
         return reason;
     }
