--- a/test/run.ts
+++ b/test/run.ts
@@ -9,8 +9,12 @@
 const CONCURRENCY = 2;
 
 const wanted = process.argv[2] ?? "";
+
+/** The build folder may still hold a compiled test whose source has moved or is gone. */
+const hasSource = (file: string): boolean => existsSync(`${ROOT}../${file.replace(/\.js$/, ".ts")}`);
+
 const files = readdirSync(ROOT, { recursive: true, encoding: "utf8" })
-    .filter(file => file.endsWith(".test.js") && file.includes(wanted))
+    .filter(file => file.endsWith(".test.js") && file.includes(wanted) && hasSource(file))
     .map(file => ROOT + file)
     .sort();
 
