--- a/demo/child.ts
+++ b/demo/child.ts
@@ -6,7 +6,7 @@
 /** Node's own flags for a child, such as the heap's size, and its environment. */
 type ChildOptions = { readonly env?: NodeJS.ProcessEnv; readonly nodeFlags?: readonly string[]; };
 
-/** What a stand-in, or a daemon in its log, says when it serves. */
+/** What a stand-in, or a daemon in its log, prints when it serves. */
 const READY = /^ready$|"ready":\s*true/;
 
 /** Reads its lines, sends it signals, and waits for its end. */
@@ -41,7 +41,7 @@
         return this.#process.exitCode === null && this.#process.signalCode === null;
     }
 
-    /** Resolves when it says that it serves, rejects when the process ends before that. */
+    /** Resolves when it has printed that it serves, rejects when the process ends before that. */
     ready(): Promise<void> {
         return this.#ready;
     }
--- a/demo/control.ts
+++ b/demo/control.ts
@@ -1,4 +1,4 @@
-/** Drives a stand-in. */
+/** Sets what a stand-in does. */
 import { request } from "undici";
 
 /** Posts the value to the stand-in's `/control`. */
--- a/demo/controlbytes.ts
+++ b/demo/controlbytes.ts
@@ -1,4 +1,4 @@
-/** Reads what a daemon says that it spent for control. */
+/** Reads how many bytes a daemon has spent for control. */
 import { readMetric } from "./readmetric.js";
 
 /** The bytes since the daemon started; 0 when it does not answer. */
--- a/demo/faultkinds.ts
+++ b/demo/faultkinds.ts
@@ -44,7 +44,7 @@
     }
 };
 
-/** Names as they stand in the soak's last line. */
+/** By the names in the soak's last line. */
 export const faultKinds: readonly FaultKind[] = [
     makeKind("daemonKilled", async (mesh, random) => {
         await restart(mesh, pick(mesh, random), "SIGKILL", lastMs(random));
--- a/demo/record.ts
+++ b/demo/record.ts
@@ -6,7 +6,7 @@
     readonly #lastStart = new Map<string, number>();
     readonly #byUpstream = new Map<string, number[]>();
 
-    /** Takes in one line of a stand-in. */
+    /** Records one line of a stand-in. */
     read(upstream: string, line: string, now: number): void {
         if (line.startsWith("R ")) {
             const id = line.slice(2);
--- a/src/cli/commonargs.ts
+++ b/src/cli/commonargs.ts
@@ -6,7 +6,7 @@
 const fromEnvironment = (): string[] =>
     (process.env["WINGLOCK_DAEMONS"] ?? DEFAULT_DAEMON).split(",").map(daemon => daemon.trim());
 
-/** `--daemon` may stand several times, and the first daemon that answers is used. */
+/** `--daemon` may be given several times; the first daemon that answers is used. */
 export const commonArgs = {
     daemons: multioption({
         type: array(string),
--- a/src/cli/readstory.ts
+++ b/src/cli/readstory.ts
@@ -11,7 +11,7 @@
     }
 };
 
-/** In the order of their times; what stands before the JSON of a line, such as a host's name, is passed over. */
+/** In the order of their times; a prefix of a line before its JSON, such as a host's name, is ignored. */
 export function readStory(text: string, id: string): StoryLine[] {
     return text.split("\n")
         .filter(line => line.includes(id))
--- a/src/config/checkdocument.ts
+++ b/src/config/checkdocument.ts
@@ -40,7 +40,7 @@
     );
 };
 
-/** Lists names that stand twice and references that lead nowhere. */
+/** Lists names that are used twice and references to nothing. */
 export function checkDocument(document: Document): Issue[] {
     return [
         ...repeatedNames(document.services, "services"),
--- a/src/config/configerror.ts
+++ b/src/config/configerror.ts
@@ -2,7 +2,7 @@
 import { formatIssues } from "./formatissues.js";
 import type { Issue } from "./issue.js";
 
-/** A document, setting or call that can't be taken; says every issue found. */
+/** A document, setting or call that is refused; lists every issue found. */
 export class ConfigError extends Error {
     constructor(readonly issues: readonly Issue[]) {
         super(formatIssues(issues));
--- a/src/daemon/datagramrouter.ts
+++ b/src/daemon/datagramrouter.ts
@@ -20,7 +20,7 @@
     readonly heartbeats: HallHeartbeats;
     readonly failureDetector: FailureDetector;
     readonly transfer: WorkTransfer;
-    /** Undefined where the document says which upstreams there are. */
+    /** Undefined where the document names the upstreams. */
     readonly gossip: Gossip | undefined;
     readonly send: (to: Address, message: Message) => boolean;
 };
--- a/src/daemon/environment.ts
+++ b/src/daemon/environment.ts
@@ -3,7 +3,7 @@
 import type { Registry } from "../membership/registry.js";
 import type { Store } from "../store/store.js";
 
-/** No registry where the document says which upstreams there are. */
+/** No registry where the document names the upstreams. */
 export type Environment = {
     readonly dialect: Dialect;
     readonly store: Store;
--- a/src/daemon/gateset.ts
+++ b/src/daemon/gateset.ts
@@ -1,4 +1,4 @@
-/** The gates of one daemon, made and closed as the configuration says. */
+/** The gates of one daemon, opened and closed by the configuration. */
 import type { Upstream } from "../config/upstream.js";
 import type { CloseReason } from "../gate/closereason.js";
 import type { Gate } from "../gate/gate.js";
--- a/src/daemon/membershipgroup.ts
+++ b/src/daemon/membershipgroup.ts
@@ -53,7 +53,7 @@
         return [...this.configuration.current.document.upstreams, ...this.announced?.upstreams ?? []];
     }
 
-    /** This daemon and those that it knows; none where the document says which there are. */
+    /** This daemon and those that it knows; none where the document names the upstreams. */
     get members(): Member[] {
         return this.announced?.members ?? [];
     }
--- a/src/daemon/rulematcher.ts
+++ b/src/daemon/rulematcher.ts
@@ -1,4 +1,4 @@
-/** What the newest configuration here says of requests, also of those that are under way. */
+/** Matches requests with the rules of the newest configuration here, also those that are under way. */
 import type { CurrentConfiguration } from "../distribution/currentconfiguration.js";
 import type { Outgoing } from "../ingress/outgoing.js";
 import type { Plan } from "../ingress/plan.js";
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -90,5 +90,5 @@
 });
 type Settings = z.infer<typeof Settings>;
 
-/** Where a daemon stands, listens and is bounded; sizes in bytes, times in milliseconds. */
+/** Where a daemon is, where it listens, and its bounds; sizes in bytes, times in milliseconds. */
 export { Settings };
--- a/src/dialect/readload.ts
+++ b/src/dialect/readload.ts
@@ -1,4 +1,4 @@
-/** Reads what an upstream says of its load: running, waiting, slots, and pace in hundredths, joined by commas. */
+/** Reads an upstream's report of its load: running, waiting, slots, and pace in hundredths, joined by commas. */
 import type { UpstreamLoad } from "./upstreamload.js";
 
 /** In hundredths: work takes as long as usual. */
--- a/src/distribution/encodedocument.ts
+++ b/src/distribution/encodedocument.ts
@@ -1,4 +1,4 @@
-/** How the document stands in the store. */
+/** The document's form in the store. */
 import type { Document } from "../config/document.js";
 
 /** JSON. */
--- a/src/gate/gatelog.ts
+++ b/src/gate/gatelog.ts
@@ -1,4 +1,4 @@
-/** What a gate logs of requests; the same id stands in the ingress's lines. */
+/** What a gate logs of requests; the ingress's lines have the same id. */
 import type { Dialect } from "../dialect/dialect.js";
 import { HopError } from "../hop/hoperror.js";
 import { log } from "../log/log.js";
--- a/src/gate/gaterefusals.ts
+++ b/src/gate/gaterefusals.ts
@@ -4,7 +4,7 @@
 import { reasons } from "../policy/retry/reasons.js";
 import type { AnswerNote } from "../wire/answernote.js";
 
-/** Whether a refused request is proven not to have run stands in the table of reasons; the ledger sees to it that it holds. */
+/** The table of reasons says whether a refused request is proven not to have run; the ledger guarantees it. */
 export class GateRefusals {
     #count = 0;
 
--- a/src/gate/paceprobe.ts
+++ b/src/gate/paceprobe.ts
@@ -43,7 +43,7 @@
         return await this.#asking;
     }
 
-    /** Resolves with whether the answer says slow; by the time of the question, so that a stall here ages no answer. */
+    /** Resolves with whether the answer reports slow work; judged by the time of the question, so that a stall here ages no answer. */
     async #ask(): Promise<boolean> {
         const askedAt = this.parts.clock();
         try {
--- a/src/gate/upstreamclient.ts
+++ b/src/gate/upstreamclient.ts
@@ -14,14 +14,14 @@
 /** The upstream's answer as it comes. */
 type UpstreamAnswer = { readonly status: number; readonly headers: HttpHeaders; readonly body: Readable; };
 
-/** Where and how to reach the upstream; `onLoad` is told what it reports of its load. */
+/** Where and how to reach the upstream; `onLoad` is called with each report of its load. */
 type ClientOptions = {
     readonly localIp: string;
     readonly dialect: Dialect;
     readonly onLoad: (load: UpstreamLoad) => void;
 };
 
-/** Sends requests and tells what is proven when one fails. */
+/** Sends requests; the error of one that fails says what is proven. */
 export class UpstreamClient {
     /** The one that was used last is used first, so that those not needed end. */
     readonly #idle: UpstreamConnection[] = [];
--- a/src/health/healthcheck.ts
+++ b/src/health/healthcheck.ts
@@ -1,4 +1,4 @@
-/** Asks the local upstream how it is: the only daemon that does, and under a hard budget. */
+/** Asks the local upstream for its health: only this daemon does, under a hard budget. */
 import type { Gate } from "../gate/gate.js";
 import type { ServiceName } from "../ids/servicename.js";
 import { log } from "../log/log.js";
@@ -17,7 +17,7 @@
 /** `perSecond` is the budget of questions; `path` is the endpoint of a service's upstreams. */
 type HealthOptions = { readonly path: (service: ServiceName) => string; readonly perSecond: number; };
 
-/** Believes an upstream that says it leaves, and one that says it is back; nothing else it says is believed. */
+/** Acts on a report that the upstream leaves, or is back, and on nothing else in its answer. */
 export class HealthCheck {
     readonly #ticker: Ticker | undefined;
 
--- a/src/http/connecterror.ts
+++ b/src/http/connecterror.ts
@@ -1,6 +1,6 @@
 /** Tells an error before sending from one after. */
 
-/** Errors of undici and Node that come before a connection stands, so that nothing was sent. */
+/** Errors of undici and Node that come before a connection is established, so that nothing was sent. */
 const BEFORE_SENDING: ReadonlySet<string> = new Set([
     "ECONNREFUSED",
     "EHOSTUNREACH",
--- a/src/ingress/outgoing.ts
+++ b/src/ingress/outgoing.ts
@@ -4,7 +4,7 @@
 
 /** Cleaned of what belongs to the caller's connection. */
 export type Outgoing = {
-    /** The caller's own id of the request, or winglock's; it stands in all logs. */
+    /** The caller's own id of the request, or winglock's; all log lines of the request have it. */
     readonly id: string;
     readonly method: string;
     readonly headers: HttpHeaders;
--- a/src/ingress/planner.ts
+++ b/src/ingress/planner.ts
@@ -20,7 +20,7 @@
     readonly random: RandomSource;
     /** The revision of the configuration; 0 while none is known. */
     readonly revision: () => number;
-    /** What the configuration says of a request; undefined when no rule matches. */
+    /** The rule for a request; undefined when none matches. */
     readonly find: (target: RequestTarget, draw: number) => MatchedRule | undefined;
 };
 
--- a/src/ingress/problems.ts
+++ b/src/ingress/problems.ts
@@ -2,7 +2,7 @@
 import { httpStatus } from "../http/httpstatus.js";
 import type { ProblemType } from "../policy/retry/problemtype.js";
 
-/** A status of RFC 9110 and words for people. */
+/** A status of RFC 9110 and a sentence for people. */
 type Problem = { readonly status: number; readonly title: string; };
 
 /** By type. */
--- a/src/ingress/requestlog.ts
+++ b/src/ingress/requestlog.ts
@@ -9,7 +9,7 @@
 
 const logger = log("ingress");
 
-/** Where a request stands after an attempt; times in milliseconds. */
+/** The state of a request after an attempt; times in milliseconds. */
 type Standing = {
     readonly attempts: number;
     readonly moves: number;
--- a/src/ledger/admitresult.ts
+++ b/src/ledger/admitresult.ts
@@ -1,4 +1,4 @@
-/** What the ledger says of a request that arrives. */
+/** The ledger's result for a request that arrives. */
 
 /** Only `admitted` may go on; with every other result the request has not run by this arrival. */
 export type AdmitResult = "admitted" | "duplicate" | "revoked" | "expired" | "full";
--- a/src/link/frameheadbytes.ts
+++ b/src/link/frameheadbytes.ts
@@ -1,2 +1,2 @@
-/** What stands before a frame's payload: a byte for the type, four for the payload's length. */
+/** The size of what precedes a frame's payload: a byte for the type, four for the payload's length. */
 export const frameHeadBytes = 5;
--- a/src/link/servedanswer.ts
+++ b/src/link/servedanswer.ts
@@ -1,4 +1,4 @@
-/** What a peer's request comes to: an answer with its body, or a refusal by its note. */
+/** The result of a peer's request: an answer with its body, or a refusal by its note. */
 import type { Readable } from "node:stream";
 import type { WireAnswer } from "./wireanswer.js";
 
--- a/src/log/output.ts
+++ b/src/log/output.ts
@@ -24,7 +24,7 @@
     return createWriteStream("", { fd: STANDARD_OUTPUT, autoClose: false });
 };
 
-/** Opened at the first line; `onDrop` is told of each line that is lost to a slow reader. */
+/** Opened at the first line; `onDrop` is called for each line that is lost to a slow reader. */
 export class Output {
     #stream: Writable | undefined;
     #lines: string[] = [];
--- a/src/operator/operatorapi.ts
+++ b/src/operator/operatorapi.ts
@@ -1,4 +1,4 @@
-/** What operators can ask of a daemon, in the domain's own words. */
+/** What operators can ask of a daemon, in the types of the product. */
 import type { Document } from "../config/document.js";
 import type { ChangePublisher } from "../distribution/changepublisher.js";
 import type { ChangeRequest } from "../distribution/changerequest.js";
@@ -12,7 +12,7 @@
 import { explain } from "./explain.js";
 import type { Explanation } from "./explanation.js";
 
-/** What the face needs of its daemon. */
+/** What the calls need of their daemon. */
 type OperatorParts = {
     readonly clock: Clock;
     readonly configuration: CurrentConfiguration;
--- a/src/operator/operatorroutes.ts
+++ b/src/operator/operatorroutes.ts
@@ -1,4 +1,4 @@
-/** The operators' calls: a thin face that turns messages into the domain's words and back. */
+/** The operators' calls: translates the schema's messages into the product's types and back. */
 import { create } from "@bufbuild/protobuf";
 import { Code, ConnectError, type ConnectRouter } from "@connectrpc/connect";
 import { ConfigError } from "../config/configerror.js";
@@ -34,12 +34,12 @@
     }
 };
 
-const apply = async (face: OperatorApi, req: ApplyChangesRequest): Promise<ApplyChangesResponse> => {
+const apply = async (api: OperatorApi, req: ApplyChangesRequest): Promise<ApplyChangesResponse> => {
     try {
         const id = parseAt("change_id", () => parse(ChangeId, req.changeId));
         const changes = req.changes.map((change, at) => parseAt(`changes.${at}`, () => fromChange(change)));
         const baseRevision = Number(req.baseRevision);
-        return fromResult(await face.apply({ id, baseRevision, changes, dryRun: req.dryRun }));
+        return fromResult(await api.apply({ id, baseRevision, changes, dryRun: req.dryRun }));
     }
     catch (err) {
         if (err instanceof ConfigError) {
@@ -50,11 +50,11 @@
 };
 
 const resolve = async (
-    face: OperatorApi,
+    api: OperatorApi,
     changeId: string,
 ): Promise<{ outcome: ChangeOutcome; revision: bigint; }> => {
     try {
-        const revision = await face.find(parse(ChangeId, changeId));
+        const revision = await api.find(parse(ChangeId, changeId));
         const outcome = revision === undefined ? ChangeOutcome.NOT_APPLIED : ChangeOutcome.ACCEPTED;
         return { outcome, revision: BigInt(revision ?? 0) };
     }
@@ -78,28 +78,28 @@
         refused: BigInt(gate?.refused ?? 0),
     });
 
-const explainUrl = (face: OperatorApi, method: string, url: string): ReturnType<OperatorApi["explain"]> => {
+const explainUrl = (api: OperatorApi, method: string, url: string): ReturnType<OperatorApi["explain"]> => {
     if (!URL.canParse(url)) {
         throw new ConnectError(`url: must be a whole URL; got ${JSON.stringify(url)}`, Code.InvalidArgument);
     }
-    return face.explain(method.toUpperCase(), new URL(url));
+    return api.explain(method.toUpperCase(), new URL(url));
 };
 
 /** Registers the calls. */
-export function operatorRoutes(face: OperatorApi): (router: ConnectRouter) => void {
+export function operatorRoutes(api: OperatorApi): (router: ConnectRouter) => void {
     return router =>
         router.service(OperatorService, {
-            getConfiguration: () => ({ configuration: toConfiguration(face.document), fresh: face.fresh }),
-            applyChanges: req => apply(face, req),
-            resolveChange: req => resolve(face, req.changeId),
+            getConfiguration: () => ({ configuration: toConfiguration(api.document), fresh: api.fresh }),
+            applyChanges: req => apply(api, req),
+            resolveChange: req => resolve(api, req.changeId),
             getStatus: async () =>
                 create(GetStatusResponseSchema, {
-                    revision: BigInt(face.document.revision),
-                    fresh: face.fresh,
-                    upstreams: (await face.status()).map(toStatus),
+                    revision: BigInt(api.document.revision),
+                    fresh: api.fresh,
+                    upstreams: (await api.status()).map(toStatus),
                 }),
             explainRequest: req => {
-                const { rule, kind, kindReason, candidates } = explainUrl(face, req.method, req.url);
+                const { rule, kind, kindReason, candidates } = explainUrl(api, req.method, req.url);
                 return create(ExplainRequestResponseSchema, {
                     rule: rule?.name ?? "",
                     service: rule?.service ?? "",
--- a/src/operator/operatorserver.ts
+++ b/src/operator/operatorserver.ts
@@ -6,7 +6,7 @@
 
 type Calls = (req: IncomingMessage, res: ServerResponse) => void;
 
-/** A front end over the face; what only calls need is loaded at the first of them, since a start must be quick. */
+/** Serves the operators' calls; what only these need is loaded at the first of them, since a start must be quick. */
 export class OperatorServer {
     readonly #server: Server;
     #unready = false;
@@ -14,7 +14,7 @@
     #calls: Promise<Calls> | undefined;
 
     constructor(
-        private readonly face: OperatorApi,
+        private readonly api: OperatorApi,
         private readonly metrics: Metrics,
         private readonly configured: () => boolean,
     ) {
@@ -53,7 +53,7 @@
     }
 
     async #call(req: IncomingMessage, res: ServerResponse): Promise<void> {
-        this.#calls ??= import("./operatorcalls.js").then(({ operatorCalls }) => operatorCalls(this.face));
+        this.#calls ??= import("./operatorcalls.js").then(({ operatorCalls }) => operatorCalls(this.api));
         (await this.#calls)(req, res);
     }
 
--- a/src/peer/gatestatus.ts
+++ b/src/peer/gatestatus.ts
@@ -1,4 +1,4 @@
-/** What a daemon says of the upstream beside it. */
+/** The state of a gate, as a daemon reports it to a peer. */
 import type { UpstreamName } from "../ids/upstreamname.js";
 
 /** Counts since the daemon started. */
--- a/src/peer/peerservice.ts
+++ b/src/peer/peerservice.ts
@@ -8,13 +8,13 @@
 
 type Hello = { readonly incarnation: Incarnation; readonly gateTime: number; readonly revision: number; };
 
-/** Implemented by the daemon; the router is a thin face over it. */
+/** Implemented by the daemon; the router only translates. */
 export abstract class PeerService {
     abstract hello(): Hello;
     abstract revoke(input: RevokeInput): RevokeResult;
     /** What is newer than the revision `have`. */
     abstract update(have: number): Update | undefined;
-    /** The daemons that are known, this one first; none where the document says which there are. */
+    /** The daemons that are known, this one first; none where the document names the upstreams. */
     abstract members(): Member[];
     abstract status(): GateStatus[];
 }
--- a/src/policy/membership/membersource.ts
+++ b/src/policy/membership/membersource.ts
@@ -1,2 +1,2 @@
-/** Who says something of a daemon: the daemon itself, its record in the store, or some other daemon. */
+/** Where a record of a daemon comes from: the daemon itself, its record in the store, or some other daemon. */
 export type MemberSource = "itself" | "store" | "peer";
--- a/src/policy/retry/reasonword.ts
+++ b/src/policy/retry/reasonword.ts
@@ -1,4 +1,4 @@
-/** How the result of an attempt stands in logs and in the metric of retries. */
+/** The word for the result of an attempt, in logs and in the metric of retries. */
 import type { AttemptResult } from "./attemptresult.js";
 
 /** The reason, or the status of an answer that says that the request failed; empty for a request that was served. */
--- a/src/policy/retry/retrydecision.ts
+++ b/src/policy/retry/retrydecision.ts
@@ -15,5 +15,5 @@
         | "no-upstream";
 };
 
-/** `why` stands in the log line of the decision. */
+/** `why` is a field of the decision's log line. */
 export type RetryDecision = Again | Ended;
--- a/src/policy/routing/matchedrule.ts
+++ b/src/policy/routing/matchedrule.ts
@@ -1,4 +1,4 @@
-/** What the configuration says of a request. */
+/** The rule for a request, and what follows from it. */
 import type { Kind } from "../../config/kind.js";
 import type { Rule } from "../../config/rule.js";
 import type { Service } from "../../config/service.js";
--- a/src/policy/routing/matchrequest.ts
+++ b/src/policy/routing/matchrequest.ts
@@ -1,4 +1,7 @@
-/** Finds what the configuration says of a request. */
+/**
+ * Which rule, service and kind are a request's? The most exact rule that matches; its service, or the part of its split that was drawn;
+ * the kind that retry/decidekind.ts gives.
+ */
 import type { Document } from "../../config/document.js";
 import { decideKind } from "../retry/decidekind.js";
 import { drawService } from "./drawservice.js";
--- a/src/store/httpstore.ts
+++ b/src/store/httpstore.ts
@@ -19,7 +19,7 @@
 const StoredValue = z.object({ value: z.string(), version: z.int().min(0) });
 const NOTHING: Stored = { value: "", version: 0 };
 
-/** `counted` is told the bytes of each call. */
+/** `counted` is called with the bytes of each call. */
 export class HttpStore extends Store {
     readonly #client: StoreClient;
 
--- a/src/store/storeclient.ts
+++ b/src/store/storeclient.ts
@@ -18,7 +18,7 @@
 /** Refusals, for rate or outage, that prove that nothing was done. */
 const REFUSALS: ReadonlySet<number> = new Set([httpStatus.tooManyRequests, httpStatus.serviceUnavailable]);
 
-/** `timeoutMs` bounds each call but watches; `counted` is told the bytes of each call that was answered. */
+/** `timeoutMs` bounds each call but watches; `counted` is called with the bytes of each call that was answered. */
 type ClientOptions = {
     readonly address: Address;
     readonly localIp: string;
--- a/standin/instance.ts
+++ b/standin/instance.ts
@@ -7,7 +7,7 @@
 
 const ANNOUNCE_EVERY_MS = 200;
 
-/** Where it stands and what it serves. */
+/** Where it is and what it serves. */
 type InstanceOptions = {
     readonly id: string;
     readonly service: string;
@@ -27,7 +27,7 @@
         setInterval(() => void this.#announce(), ANNOUNCE_EVERY_MS);
     }
 
-    /** The answer says whether the daemon has taken what it was told. */
+    /** The answer says whether the daemon has acknowledged the announcement. */
     protected override async controlled(): Promise<object> {
         return { acknowledged: await this.#announce() };
     }
--- a/standin/listenon.ts
+++ b/standin/listenon.ts
@@ -1,4 +1,4 @@
-/** Starts a stand-in's listener and tells its parent. */
+/** Starts a stand-in's listener and reports it to the parent process. */
 import type { Server } from "node:net";
 
 /** Listens at `IP:PORT` and prints a line when it does. */
--- a/standin/upstream.ts
+++ b/standin/upstream.ts
@@ -42,7 +42,7 @@
         return this.#inFlight;
     }
 
-    /** Refuses new work from now on and says so; what runs is finished. */
+    /** Refuses new requests from now on and says so; what runs is finished. */
     leave(): void {
         this.control.leaving = true;
     }
