--- a/src/ingress/attempt.test.ts
+++ b/src/ingress/attempt.test.ts
@@ -8,7 +8,7 @@
 import { UpstreamStatements } from "./upstreamstatements.js";
 import { UpstreamView } from "./upstreamview.js";
 
-/** One try at a gate that refuses for the reason, at the time 0; returns what is known of the gate then. */
+/** Makes one attempt at a gate that refuses for the reason, at time 0; returns the upstream's view. */
 const refusedFor = async (reason: Reason): Promise<UpstreamView> => {
     const hop = { send: () => Promise.reject(new HopError("not-run", reason)) };
     const settings = { name: "u", service: "s", gate: "127.0.0.1:1", slots: 4, draining: false };
@@ -25,9 +25,9 @@
         plan: { kind: "repeatable", rule: {}, service: { name: "s", maxWaitMs: 10 }, deadline: 1000, depth: 0 },
         choices: 1,
         nearChoices: 1,
-        out: { id: "id", method: "GET", path: "/", headers: {}, body: { content: undefined, kept: true } },
+        outgoing: { id: "id", method: "GET", path: "/", headers: {}, body: { content: undefined, kept: true } },
         log: new RequestLog("id"),
-        ended: new Cancel(),
+        requestCancel: new Cancel(),
         isDeadlinePassed: () => false,
         claim: () => true,
         deliver: () => Promise.resolve(),
@@ -37,7 +37,7 @@
     return target;
 };
 
-test("attempt: a gate that does not know the upstream is avoided for a moment, not for long", async () => {
+test("attempt: an upstream unknown to its gate is avoided only briefly", async () => {
     const target = await refusedFor("no-such-upstream");
     assert.equal(target.availability(50), "leaving");
     assert.equal(target.availability(200), "available");
--- a/src/ingress/attempt.ts
+++ b/src/ingress/attempt.ts
@@ -1,8 +1,8 @@
 /**
- * One attempt of a request at one upstream.
+ * Makes one attempt of a request at one upstream.
  *
- * Sends the request, records at the upstream's view what came of it, and returns a result. What a reason means stands in
- * policy/retry/reasons.ts.
+ * Sends the request, records the outcome in the upstream's view, and returns a result. policy/retry/reasons.ts defines
+ * the effect of each reason.
  */
 import type { GateAnswer } from "../hop/gateanswer.js";
 import { HopError } from "../hop/hoperror.js";
@@ -22,27 +22,28 @@
 import type { RequestLog } from "./requestlog.js";
 import type { UpstreamView } from "./upstreamview.js";
 
-/** What the request lends to an attempt. */
+/** What the request handler provides to an attempt. */
 type AttemptParts = {
     readonly ingress: IngressParts;
     readonly plan: Plan;
-    /** Other upstreams that the request could still go to, and those of them in this data hall. */
+    /** The number of other upstreams that the request could still go to. */
     readonly choices: number;
+    /** The number of those in this daemon's data hall. */
     readonly nearChoices: number;
-    readonly out: Outgoing;
+    readonly outgoing: Outgoing;
     readonly log: RequestLog;
-    /** Aborts when the caller has gone or the deadline has passed. */
-    readonly ended: Cancel;
+    /** Aborts when the caller has left or the deadline has passed. */
+    readonly requestCancel: Cancel;
     readonly isDeadlinePassed: () => boolean;
-    /** False when another attempt has answered already. */
+    /** Claims the response to the caller for this attempt; returns false if another attempt has claimed it. */
     readonly claim: () => boolean;
-    /** Sends an answer to the caller; rejects only while nothing has been sent. */
-    readonly deliver: (answer: GateAnswer) => Promise<void>;
+    /** Sends a response to the caller; rejects only if nothing has been sent yet. */
+    readonly deliver: (response: GateAnswer) => Promise<void>;
 };
 
 type Result = AttemptResult<GateAnswer>;
 
-/** Never rejects: whatever comes of the attempt is a result. */
+/** `run` never rejects: every way in which the attempt can end is a result. */
 export class Attempt {
     readonly #cancel = new Cancel();
     readonly #head: CallHead;
@@ -76,39 +77,40 @@
         };
     }
 
-    /** Gives the attempt up, since another has answered. */
+    /** Cancels the attempt, since another one was served. */
     cancel(): void {
         this.#cancel.abort();
     }
 
+    /** Makes the attempt. */
     async run(): Promise<Result> {
         const { target } = this;
-        const { ingress, plan, ended } = this.parts;
-        const forget = ended.onAbort(() => this.#cancel.abort());
-        const abandonable = plan.kind === "repeatable" ? this.#cancel : undefined;
-        target.attemptStarted(ingress.clock(), abandonable);
+        const { ingress, plan, requestCancel } = this.parts;
+        const unsubscribe = requestCancel.onAbort(() => this.#cancel.abort());
+        const cancellable = plan.kind === "repeatable" ? this.#cancel : undefined;
+        target.attemptStarted(ingress.clock(), cancellable);
         try {
             return await this.#send();
         }
         catch (err) {
-            return await this.#explain(err);
+            return await this.#resultOfError(err);
         }
         finally {
-            target.attemptEnded(abandonable);
-            forget();
+            target.attemptEnded(cancellable);
+            unsubscribe();
         }
     }
 
     async #send(): Promise<Result> {
         const { target } = this;
-        const { ingress, plan, out, ended } = this.parts;
-        if (ended.aborted) {
+        const { ingress, plan, outgoing, requestCancel } = this.parts;
+        if (requestCancel.aborted) {
             throw new HopError("not-run", "deadline");
         }
         const sentAt = ingress.clock();
-        this.parts.log.placed(target, this.#head, sentAt);
-        const { method, path, headers, body } = out;
-        const answer = await target.hop.send({
+        this.parts.log.attemptSent(target, this.#head, sentAt);
+        const { method, path, headers, body } = outgoing;
+        const response = await target.hop.send({
             head: this.#head,
             rule: plan.rule.name,
             method,
@@ -118,53 +120,56 @@
             cancel: this.#cancel,
         });
         const now = ingress.clock();
-        target.recordAnswer(answer.note, now - sentAt, now);
-        if (answer.status >= httpStatus.internalServerError) {
+        target.recordAnswer(response.note, now - sentAt, now);
+        if (response.status >= httpStatus.internalServerError) {
             target.recordFailure(now);
-            const { status, note } = answer;
-            return { outcome: "failed", answer, status, retriedBelow: note?.retriedBelow === true };
+            const { status, note } = response;
+            return { outcome: "failed", answer: response, status, retriedBelow: note?.retriedBelow === true };
         }
-        ingress.retries(plan.service).hedging.observe(now - sentAt, answer.note?.calls === true);
-        return await this.#deliver(answer);
+        ingress.retries(plan.service).hedging.observe(now - sentAt, response.note?.calls === true);
+        return await this.#deliver(response);
     }
 
-    async #deliver(answer: GateAnswer): Promise<Result> {
+    async #deliver(response: GateAnswer): Promise<Result> {
         const { claim, deliver } = this.parts;
         if (!claim()) {
-            abandonBody(answer.body);
+            abandonBody(response.body);
             return { outcome: "unknown", reason: "overtaken" };
         }
-        await deliver(answer);
+        await deliver(response);
         this.target.recordSuccess();
         return { outcome: "served" };
     }
 
-    /** Turns an error into what is known of the request, and records what it says of the upstream. */
-    async #explain(err: unknown): Promise<Result> {
+    /** Returns the result for an error, and records its effect in the upstream's view. */
+    async #resultOfError(err: unknown): Promise<Result> {
         const { target } = this;
         const now = this.parts.ingress.clock();
         if (!(err instanceof HopError)) {
-            this.parts.log.brokeOff(err, target);
+            this.parts.log.responseBroken(err, target);
             target.recordFailure(now);
-            return { outcome: "unknown", reason: this.#lateOr("broken-answer") };
+            return { outcome: "unknown", reason: this.#deadlineOr("broken-answer") };
         }
         const { note, reason, outcome } = err;
         if (note !== undefined) {
             target.recordRefusalNote(note, now);
         }
         if (outcome === "broken") {
-            return await this.#settle();
+            return await this.#resultWithoutResponse();
         }
         target.recordRefusal(reasons[reason].upstream, now);
         const { retryAfterMs, goTo, offer, revision, arrived } = note ?? {};
         return { outcome, reason, arrived, retryAfterMs, goTo, offer, revision };
     }
 
-    /** No answer came. A repeatable request needs none; the gate is asked to revoke one that may run once. */
-    async #settle(): Promise<Result> {
-        const { ingress, plan, ended } = this.parts;
-        const reason = this.#lateOr("peer-broke");
-        if (!ended.aborted && !this.#cancel.aborted) {
+    /**
+     * Returns the result of an attempt without a response. A request that may run only once is revoked at the gate, so
+     * that it is known whether it has run; a repeatable one can be sent again either way.
+     */
+    async #resultWithoutResponse(): Promise<Result> {
+        const { ingress, plan, requestCancel } = this.parts;
+        const reason = this.#deadlineOr("peer-broke");
+        if (!requestCancel.aborted && !this.#cancel.aborted) {
             this.target.suspect(ingress.clock());
         }
         if (plan.kind === "repeatable") {
@@ -174,7 +179,8 @@
         return { outcome: result === "revoked" ? "not-run" : "unknown", reason };
     }
 
-    #lateOr(reason: Reason): Reason {
+    /** Returns `deadline` if the request's deadline has passed, otherwise the reason given. */
+    #deadlineOr(reason: Reason): Reason {
         return this.parts.isDeadlinePassed() ? "deadline" : reason;
     }
 }
--- a/src/ingress/bodyerror.ts
+++ b/src/ingress/bodyerror.ts
@@ -1,9 +1,12 @@
-/** The error of reading a caller's body. */
+/** The error that is thrown when a caller's body can't be read. */
 
-/** `tooLarge` when it passes the bound, otherwise the caller broke off. */
+/** `tooLarge` if the body exceeds its limit, otherwise the body is incomplete. */
 export class BodyError extends Error {
     constructor(readonly tooLarge: boolean, options?: ErrorOptions) {
-        super(tooLarge ? "body too large" : "body broke off", options);
+        super(
+            tooLarge ? "request body is larger than allowed" : "request body broke off before it was complete",
+            options,
+        );
         this.name = "BodyError";
     }
 }
--- a/src/ingress/closeserver.test.ts
+++ b/src/ingress/closeserver.test.ts
@@ -14,8 +14,8 @@
     return text;
 };
 
-/** A server that answers at once, and a connection to it on which one answer has been read. */
-const served = async () => {
+/** Starts a server that responds at once, and opens a connection on which one response was received. */
+const connectAndServe = async () => {
     const server = createServer((_req, res) => res.end("ok")).listen(0, "127.0.0.1");
     await once(server, "listening");
     const { port } = server.address() as AddressInfo;
@@ -25,8 +25,8 @@
     return { server, port, socket };
 };
 
-test("close: a request that lies unread on an idle connection is served", async () => {
-    const { server, socket } = await served();
+test("close: an unread request on an idle connection is served", async () => {
+    const { server, socket } = await connectAndServe();
     const text = textOf(socket);
     socket.write(REQUEST);
     await closeServer(server);
@@ -34,8 +34,8 @@
     assert.match(await text, /200 OK/);
 });
 
-test("close: a connection that waits to be accepted is served", async () => {
-    const { server, port, socket } = await served();
+test("close: a pending connection is served", async () => {
+    const { server, port, socket } = await connectAndServe();
     const late = connect(port, "127.0.0.1");
     late.write(REQUEST);
     const text = textOf(late);
@@ -45,20 +45,20 @@
     socket.destroy();
 });
 
-test("close: many connections that wait to be accepted, as after a stall, are served", async () => {
-    const { server, port, socket } = await served();
+test("close: many pending connections, as after a stall, are served", async () => {
+    const { server, port, socket } = await connectAndServe();
     const late = Array.from({ length: 20 }, () => connect(port, "127.0.0.1"));
     late.forEach(each => each.write(REQUEST));
     const texts = late.map(textOf);
     await closeServer(server);
     server.closeAllConnections();
-    const cut = (await Promise.all(texts)).filter(text => !text.includes("200 OK"));
-    assert.deepEqual(cut, []);
+    const unserved = (await Promise.all(texts)).filter(text => !text.includes("200 OK"));
+    assert.deepEqual(unserved, []);
     socket.destroy();
 });
 
-test("close: no connection is taken afterwards", async () => {
-    const { server, port } = await served();
+test("close: connections are refused afterwards", async () => {
+    const { server, port } = await connectAndServe();
     await closeServer(server);
     const late = connect(port, "127.0.0.1");
     const [err] = await once(late, "error") as [NodeJS.ErrnoException];
--- a/src/ingress/closeserver.ts
+++ b/src/ingress/closeserver.ts
@@ -1,46 +1,51 @@
-/** Closes a server without cutting what has reached this host but has not been read yet. */
+/** Closes an HTTP server without dropping connections and requests that have arrived but were not read yet. */
 import type { Server } from "node:http";
 import { Server as NetServer } from "node:net";
 import { setImmediate as nextCheck } from "node:timers/promises";
 import { sleep } from "../time/sleep.js";
 
-/** Turns at the most in which connections are still taken: more than wait after a stall, and an end where they come without end. */
-const MAX_TURNS = 500;
-/** Long enough for a caller whose connection was just taken to send its request. */
-const SETTLE_MS = 50;
+/** Bounds the accepting of connections that keep arriving; far more than are pending after a stall. */
+const MAX_ACCEPT_ITERATIONS = 500;
+/** Long enough for a caller whose connection was just accepted to send its request. */
+const FIRST_REQUEST_WAIT_MS = 50;
 
-/** Resolves right after all sockets have been looked at: the first check may belong to the present turn. */
-const afterReading = async (): Promise<void> => {
+/** Resolves right after all sockets were polled. Two immediates are needed, since the first may run before the poll. */
+const afterPoll = async (): Promise<void> => {
     await nextCheck();
     await nextCheck();
 };
 
 /**
- * Resolves when no connection waits to be taken. One is taken in each turn, however many wait: after a stall of 340 ms beside a busy machine
- * eight did, and all but two were reset by the close of the listener.
+ * Resolves when no connection is pending. Only one is accepted in each event-loop iteration. After a stall of 340 ms,
+ * eight were pending, and closing the listener reset all but two of them.
  */
-const takeWaiting = async (server: Server): Promise<void> => {
-    let taken = 0;
-    const count = (): void => void (taken += 1);
+const acceptPending = async (server: Server): Promise<void> => {
+    let accepted = 0;
+    const count = (): void => void (accepted += 1);
     server.on("connection", count);
-    for (let turn = 0, before = -1; before !== taken && turn < MAX_TURNS; turn++) {
-        before = taken;
-        await afterReading();
+    for (
+        let iteration = 0, acceptedBefore = -1;
+        acceptedBefore !== accepted && iteration < MAX_ACCEPT_ITERATIONS;
+        iteration++
+    ) {
+        acceptedBefore = accepted;
+        await afterPoll();
     }
     server.off("connection", count);
 };
 
 /**
- * Takes no more connections and ends idle ones; what arrived before is still served, so callers of it must wait for
- * the requests that are left. Resolves when no new request can come.
+ * Stops accepting connections and closes idle ones; resolves when no new request can arrive. Requests that arrived
+ * before are still served, and the caller of this function must wait for them.
  *
- * After a stall a timer runs before the sockets are read: a server that is closed then resets every connection that
- * waits to be accepted, and every one on which an unread request lies looks idle.
+ * After a stall, timers run before the sockets are read. A server that is closed at that moment resets every pending
+ * connection, and treats a connection with an unread request as idle.
  */
 export async function closeServer(server: Server): Promise<void> {
-    await takeWaiting(server);
+    await acceptPending(server);
+    // The `close` of http.Server would also close idle connections at once.
     NetServer.prototype.close.call(server);
-    await sleep(SETTLE_MS);
-    await afterReading();
+    await sleep(FIRST_REQUEST_WAIT_MS);
+    await afterPoll();
     server.closeIdleConnections();
 }
--- a/src/ingress/deliver.test.ts
+++ b/src/ingress/deliver.test.ts
@@ -8,7 +8,7 @@
 
 const BOUND = 5;
 
-test("deliver: an answer past its bound that ends while it is collected is whole", async () => {
+test("deliver: a response that exceeds the buffer but ends while it is read is sent whole", async () => {
     const server = createServer((_req, res) => {
         const body = Readable.from([Buffer.from("0123456789")], { objectMode: false });
         void deliver(res, { status: 200, headers: {}, body, note: undefined }, true, false, BOUND);
@@ -17,8 +17,8 @@
     await once(server, "listening");
     try {
         const { port } = server.address() as AddressInfo;
-        const answer = await fetch(`http://127.0.0.1:${port}`);
-        assert.equal(await answer.text(), "0123456789");
+        const response = await fetch(`http://127.0.0.1:${port}`);
+        assert.equal(await response.text(), "0123456789");
     }
     finally {
         server.close();
--- a/src/ingress/deliver.ts
+++ b/src/ingress/deliver.ts
@@ -1,4 +1,4 @@
-/** Sends an upstream's answer to the caller: whole, or as it comes. */
+/** Sends an upstream's response to the caller, buffered or streamed. */
 import { once } from "node:events";
 import type { ServerResponse } from "node:http";
 import { Readable } from "node:stream";
@@ -9,8 +9,8 @@
 import { httpStatus } from "../http/httpstatus.js";
 import { passBody } from "../http/passbody.js";
 
-/** Statuses whose answers have no body (RFC 9110, 6.4.1). */
-const NO_BODY: ReadonlySet<number> = new Set([httpStatus.noContent, httpStatus.notModified]);
+/** Statuses whose responses have no body (RFC 9110, 6.4.1). */
+const BODILESS_STATUSES: ReadonlySet<number> = new Set([httpStatus.noContent, httpStatus.notModified]);
 
 const definedOnly = (headers: HttpHeaders): Record<string, string | string[]> => {
     const kept: Record<string, string | string[]> = {};
@@ -23,13 +23,16 @@
     return kept;
 };
 
-/** What the upstream did not frame must not look more complete to the caller than it did here. */
-const endWithConnection = (res: ServerResponse): void => {
+/**
+ * Makes the response end with its connection, as the upstream's did. With a length or chunked framing, the caller would
+ * take a response for complete that may have been cut off.
+ */
+const endByClosing = (res: ServerResponse): void => {
     res.shouldKeepAlive = false;
     res.removeHeader("transfer-encoding");
 };
 
-const streamOn = async (res: ServerResponse, body: Buffer | Readable): Promise<void> => {
+const streamBody = async (res: ServerResponse, body: Buffer | Readable): Promise<void> => {
     if (body instanceof Readable) {
         passBody(body, res);
     }
@@ -40,39 +43,40 @@
 };
 
 /**
- * Resolves when the caller has the answer or has left. Rejects only while nothing has been sent, when a body within
- * `bound` bytes breaks off; a longer one that breaks closes the caller's connection.
+ * Sends a response; resolves when the caller has received it or has left. With `isBuffered`, the response is sent only
+ * when its body is complete or longer than `bufferBytes`. Rejects only if nothing has been sent yet, when the body
+ * breaks off within `bufferBytes`; if it breaks off later, the caller's connection is closed.
  */
 export async function deliver(
     res: ServerResponse,
-    answer: GateAnswer,
-    whole: boolean,
+    response: GateAnswer,
+    isBuffered: boolean,
     headOnly: boolean,
-    bound: number,
+    bufferBytes: number,
 ): Promise<void> {
-    const headers = definedOnly(answer.headers);
-    const bare = headOnly || NO_BODY.has(answer.status);
-    if (!whole && !bare) {
-        res.writeHead(answer.status, headers);
+    const headers = definedOnly(response.headers);
+    const isBodiless = headOnly || BODILESS_STATUSES.has(response.status);
+    if (!isBuffered && !isBodiless) {
+        res.writeHead(response.status, headers);
         res.flushHeaders();
-        return streamOn(res, answer.body);
+        return streamBody(res, response.body);
     }
-    const { whole: complete, chunks, size } = await collect(answer.body, bare ? Infinity : bound);
+    const { whole: isComplete, chunks, size } = await collect(response.body, isBodiless ? Infinity : bufferBytes);
     if (res.destroyed) {
-        abandonBody(answer.body);
+        abandonBody(response.body);
         return;
     }
-    if (!complete) {
-        res.writeHead(answer.status, headers);
+    if (!isComplete) {
+        res.writeHead(response.status, headers);
         chunks.forEach(chunk => res.write(chunk));
-        return streamOn(res, answer.body);
+        return streamBody(res, response.body);
     }
-    if (!bare && answer.note?.unframed) {
-        endWithConnection(res);
+    if (!isBodiless && response.note?.unframed) {
+        endByClosing(res);
     }
-    else if (!bare) {
+    else if (!isBodiless) {
         headers["content-length"] = String(size);
     }
-    res.writeHead(answer.status, headers);
+    res.writeHead(response.status, headers);
     res.end(chunks.length === 1 ? chunks[0] : Buffer.concat(chunks));
 }
--- a/src/ingress/headbytes.ts
+++ b/src/ingress/headbytes.ts
@@ -1,12 +1,12 @@
-/** The size of a request's head. */
+/** Estimates the size of a request's head. */
 import type { IncomingMessage } from "node:http";
 
-/** Per field: the colon, a space and the line's end. */
-const FIELD_BYTES = 4;
+/** The colon, the space and the line break of each header field. */
+const FIELD_OVERHEAD_BYTES = 4;
 
-/** About as many bytes as came. */
+/** Returns the approximate number of bytes received. */
 export function headBytes(req: IncomingMessage): number {
     const { rawHeaders, url = "" } = req;
-    const text = rawHeaders.reduce((sum, part) => sum + part.length, url.length);
-    return text + FIELD_BYTES * rawHeaders.length / 2;
+    const textBytes = rawHeaders.reduce((sum, part) => sum + part.length, url.length);
+    return textBytes + FIELD_OVERHEAD_BYTES * rawHeaders.length / 2;
 }
--- a/src/ingress/ingress.ts
+++ b/src/ingress/ingress.ts
@@ -1,8 +1,8 @@
 /**
- * The listener for callers.
+ * Listens for callers' requests and serves them.
  *
- * Owns the server and the bounds on what callers send. What is to be done with a request is for planner.ts to find out, and
- * requesthandler.ts does it.
+ * Owns the HTTP server and enforces the limits on what callers send. planner.ts plans each request; requesthandler.ts
+ * serves it.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { CallerLimits } from "../config/callerlimits.js";
@@ -13,25 +13,26 @@
 import { log } from "../log/log.js";
 import { listen } from "../time/listen.js";
 import { BodyError } from "./bodyerror.js";
-import { CallerAnswer } from "./calleranswer.js";
+import { CallerResponse } from "./callerresponse.js";
 import { closeServer } from "./closeserver.js";
-import type { Ending } from "./ending.js";
 import { headBytes } from "./headbytes.js";
 import type { IngressParts } from "./ingressparts.js";
 import type { Outgoing } from "./outgoing.js";
 import { pathOf } from "./pathof.js";
 import type { Plan } from "./plan.js";
 import type { Planner } from "./planner.js";
-import { readBody } from "./requestbody.js";
+import { readBody } from "./readbody.js";
 import { RequestHandler } from "./requesthandler.js";
 import { RequestLog } from "./requestlog.js";
+import type { RequestOutcome } from "./requestoutcome.js";
 import type { RequestRefusal } from "./requestrefusal.js";
 
 const logger = log("ingress");
 
-/** Bounds on what callers send; sizes in bytes, times in milliseconds. */
+/** Limits on what callers send; sizes in bytes, times in milliseconds. */
 type IngressLimits = {
     readonly headerBytes: number;
+    /** Bodies up to this size are kept whole, so that they can be sent again. */
     readonly keepBytes: number;
     readonly bodyBytes: number;
     readonly headersTimeoutMs: number;
@@ -39,28 +40,28 @@
     readonly keepAliveMs: number;
 };
 
-/** What the listener needs besides the handlers' parts. */
-type IngressSource = {
+/** What the listener uses besides the parts of the request handlers. */
+type ListenerParts = {
     readonly planner: Planner;
-    /** The service on this host, in whose name all requests that begin here go out; undefined for none. */
+    /** The service on this host, sent to upstreams as the caller's service; undefined if there is none. */
     readonly callerService: ServiceName | undefined;
 };
 
 type Body = Outgoing["body"];
 
-/** A request that is to be served. */
-type Planned = { readonly id: string; readonly path: string; readonly plan: Plan; readonly log: RequestLog; };
+/** A request that was planned and not refused. */
+type PlannedRequest = { readonly id: string; readonly path: string; readonly plan: Plan; readonly log: RequestLog; };
 
-/** Reads callers' requests and has them served. */
+/** Reads callers' requests, refuses those that are invalid or too large, and passes the others to a request handler. */
 export class Ingress {
     readonly #server: Server;
-    #allowed: CallerLimits = {};
+    #callerLimits: CallerLimits = {};
     #isStopping = false;
     #inFlight = 0;
 
     constructor(
         private readonly limits: IngressLimits,
-        private readonly source: IngressSource,
+        private readonly listenerParts: ListenerParts,
         private readonly parts: IngressParts,
     ) {
         this.#server = createServer({
@@ -71,13 +72,14 @@
         }, (req, res) => void this.#handle(req, res));
     }
 
-    /** Applies what operators allow callers; the daemon's own bounds hold where they say nothing. */
-    allow(allowed: CallerLimits): void {
-        this.#allowed = allowed;
-        this.#server.headersTimeout = allowed.headersTimeoutMs ?? this.limits.headersTimeoutMs;
-        this.#server.keepAliveTimeout = allowed.keepAliveMs ?? this.limits.keepAliveMs;
+    /** Applies the operators' limits on callers; the daemon's own limits apply where the operators set none. */
+    allow(callerLimits: CallerLimits): void {
+        this.#callerLimits = callerLimits;
+        this.#server.headersTimeout = callerLimits.headersTimeoutMs ?? this.limits.headersTimeoutMs;
+        this.#server.keepAliveTimeout = callerLimits.keepAliveMs ?? this.limits.keepAliveMs;
     }
 
+    /** The number of requests that are being handled. */
     get inFlight(): number {
         return this.#inFlight;
     }
@@ -86,84 +88,84 @@
         return listen(this.#server, address);
     }
 
-    /** From now on each answer ends its connection; what still arrives is served. */
+    /** Makes every response from now on close its connection; requests that still arrive are served. */
     startClosing(): void {
         this.#isStopping = true;
     }
 
-    /** Takes no more connections, ends idle ones, and resolves when no new request can come. */
+    /** Stops accepting connections, closes idle ones, and resolves when no new request can arrive. */
     close(): Promise<void> {
         return closeServer(this.#server);
     }
 
-    /** Cuts what is left. */
+    /** Closes all remaining connections, also those with a request in flight. */
     destroy(): void {
         this.#server.closeAllConnections();
     }
 
     async #handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
         const startedAt = this.parts.clock();
-        const answer = new CallerAnswer(res, this.parts.dialect, req.method === "HEAD");
+        const callerResponse = new CallerResponse(res, this.parts.dialect, req.method === "HEAD");
         this.#inFlight += 1;
         res.shouldKeepAlive = res.shouldKeepAlive && !this.#isStopping;
         try {
-            const refusal = await this.#serve(req, res, answer, startedAt);
+            const refusal = await this.#serve(req, res, callerResponse, startedAt);
             if (refusal !== undefined) {
                 const { problem, detail, retryAfterMs } = refusal;
-                answer.tell(problem, { outcome: "not-run", detail, retryAfterMs });
+                callerResponse.sendProblem(problem, { outcome: "not-run", detail, retryAfterMs });
             }
         }
         catch (err) {
-            logger.warn("A request failed.", err);
-            answer.tell("internal", { outcome: "unknown", detail: "internal" });
+            logger.warn("An unexpected error ended the handling of a request.", err);
+            callerResponse.sendProblem("internal", { outcome: "unknown", detail: "internal" });
         }
         finally {
             this.#inFlight -= 1;
         }
     }
 
-    /** Returns a refusal where the request was not handed on; nothing where it was, or its caller has gone. */
+    /** Returns the refusal to send, or undefined if the request was passed to a handler or its caller has left. */
     async #serve(
         req: IncomingMessage,
         res: ServerResponse,
-        answer: CallerAnswer,
+        callerResponse: CallerResponse,
         startedAt: number,
     ): Promise<RequestRefusal | undefined> {
         const path = pathOf(req);
         if (path === undefined) {
             return { type: "refusal", problem: "bad-request", detail: "target" };
         }
-        if (headBytes(req) > (this.#allowed.headerBytes ?? this.limits.headerBytes)) {
+        if (headBytes(req) > (this.#callerLimits.headerBytes ?? this.limits.headerBytes)) {
             return { type: "refusal", problem: "head-too-large", detail: "header" };
         }
         const id = this.parts.dialect.idOf(req.headers, this.parts.newId());
         const requestLog = new RequestLog(id);
-        const plan = this.source.planner.plan(req, path, startedAt, requestLog);
+        const plan = this.listenerParts.planner.plan(req, path, startedAt, requestLog);
         if (plan.type === "refusal") {
             return plan;
         }
-        const parent = this.source.planner.parentOf(req);
+        const parent = this.listenerParts.planner.parentOf(req);
         parent?.work.callBegan(startedAt);
         try {
-            return await this.#serveAs({ id, path, plan, log: requestLog }, req, res, answer);
+            return await this.#servePlanned({ id, path, plan, log: requestLog }, req, res, callerResponse);
         }
         finally {
             parent?.work.callEnded(this.parts.clock());
         }
     }
 
-    async #serveAs(
-        { id, path, plan, log: requestLog }: Planned,
+    async #servePlanned(
+        { id, path, plan, log: requestLog }: PlannedRequest,
         req: IncomingMessage,
         res: ServerResponse,
-        answer: CallerAnswer,
+        callerResponse: CallerResponse,
     ): Promise<RequestRefusal | undefined> {
-        const body = await this.#body(req, res);
+        const body = await this.#readBody(req, res);
         if (body === undefined || "type" in body) {
             return body;
         }
-        const out = { id, method: req.method ?? "GET", headers: this.#headers(req), path, body };
-        const handler = new RequestHandler(answer, plan, out, this.parts);
+        const outgoing = { id, method: req.method ?? "GET", headers: this.#headers(req), path, body };
+        const handler = new RequestHandler(callerResponse, plan, outgoing, this.parts);
         const outcome = await handler.run();
         this.#recordEnd(req, res, plan, requestLog, { outcome, attempts: handler.attempts });
         return undefined;
@@ -174,18 +176,18 @@
         { statusCode: status }: ServerResponse,
         plan: Plan,
         requestLog: RequestLog,
-        { outcome, attempts }: { readonly outcome: Ending; readonly attempts: number; },
+        { outcome, attempts }: { readonly outcome: RequestOutcome; readonly attempts: number; },
     ): void {
         const elapsedMs = this.parts.clock() - plan.startedAt;
-        this.#recordFailure(req, outcome, status);
+        this.#reportFailureToParent(req, outcome, status);
         const { priority, tenant: team } = plan.rule;
         this.parts.metrics.finished({ service: plan.service.name, priority, team }, outcome, elapsedMs);
-        requestLog.ended(plan, { outcome, status, revision: this.parts.revision(), attempts, elapsedMs });
+        requestLog.requestEnded(plan, { outcome, status, revision: this.parts.revision(), attempts, elapsedMs });
     }
 
-    async #body(req: IncomingMessage, res: ServerResponse): Promise<Body | RequestRefusal | undefined> {
+    async #readBody(req: IncomingMessage, res: ServerResponse): Promise<Body | RequestRefusal | undefined> {
         const { keepBytes } = this.limits;
-        const maxBytes = this.#allowed.bodyBytes ?? this.limits.bodyBytes;
+        const maxBytes = this.#callerLimits.bodyBytes ?? this.limits.bodyBytes;
         try {
             return await readBody(req, { keepBytes, maxBytes });
         }
@@ -201,19 +203,21 @@
 
     #headers(req: IncomingMessage): HttpHeaders {
         const headers = cleanHeaders(req.headers);
-        const { callerService } = this.source;
+        const { callerService } = this.listenerParts;
         if (callerService !== undefined) {
             headers[this.parts.dialect.callerService] = callerService;
         }
         return headers;
     }
 
-    /** Tells the request above that this one has been tried again already, so that a chain of calls does not multiply. */
-    #recordFailure(req: IncomingMessage, outcome: Ending, status: number): void {
+    /**
+     * Marks the parent of a failed request as retried below, so that retries do not multiply along a chain of calls.
+     */
+    #reportFailureToParent(req: IncomingMessage, outcome: RequestOutcome, status: number): void {
         if (outcome === "served" && status < httpStatus.internalServerError) {
             return;
         }
-        const parent = this.source.planner.parentOf(req);
+        const parent = this.listenerParts.planner.parentOf(req);
         if (parent !== undefined) {
             parent.retriedBelow = true;
         }
--- a/src/ingress/ingressparts.ts
+++ b/src/ingress/ingressparts.ts
@@ -1,4 +1,4 @@
-/** What the handling of requests needs of its daemon. */
+/** The parts of the daemon that request handling uses. */
 import type { Service } from "../config/service.js";
 import type { CrashGuard } from "../crashes/crashguard.js";
 import type { Dialect } from "../dialect/dialect.js";
@@ -12,23 +12,28 @@
 import type { Plan } from "./plan.js";
 import type { UpstreamTable } from "./upstreamtable.js";
 
-/** `from` is the daemon's own peer address, where load reports are received. */
+/** Passed to the ingress, its request handlers and their attempts. */
 export type IngressParts = {
     readonly clock: Clock;
     readonly random: RandomSource;
     readonly placement: Placement;
     readonly upstreams: UpstreamTable;
     readonly metrics: Metrics;
-    /** The service's budget of retries, and what its answers so far say of hedging. */
+    /** Returns the service's retry budget, and its hedging delay as learned from its responses. */
     readonly retries: (service: Service) => Retries;
     readonly dialect: Dialect;
+    /** True if hedging is enabled. */
     readonly hedge: boolean;
+    /** Quarantines requests that crash upstreams. */
     readonly guard: CrashGuard;
+    /** Returns a new id for a request or an attempt. */
     readonly newId: () => string;
+    /** Returns the revision of the configuration, or 0 while none is known. */
     readonly revision: () => number;
+    /** The daemon's own peer address, to which gates send load reports. */
     readonly from: string;
-    /** Pulls the configuration from a gate that has a newer one. */
+    /** Pulls the configuration from a gate whose revision is newer. */
     readonly catchUp: (revision: number, from: Address) => Promise<void>;
-    /** The plan by the rules as they are now; the plan itself when none matches. */
+    /** Returns the plan under the current rules, or the given plan if no rule matches. */
     readonly replan: (out: Outgoing, plan: Plan) => Plan;
 };
--- a/src/ingress/outgoing.ts
+++ b/src/ingress/outgoing.ts
@@ -1,10 +1,10 @@
-/** The request as every attempt sends it. */
+/** A request as each of its attempts sends it. */
 import type { HttpHeaders } from "../http/httpheaders.js";
-import type { readBody } from "./requestbody.js";
+import type { readBody } from "./readbody.js";
 
-/** Cleaned of what belongs to the caller's connection. */
+/** Excludes the header fields that apply to the caller's connection only. */
 export type Outgoing = {
-    /** The caller's own id of the request, or winglock's; all log lines of the request have it. */
+    /** The caller's id of the request, or winglock's where callers give none; all log lines of the request have it. */
     readonly id: string;
     readonly method: string;
     readonly headers: HttpHeaders;
--- a/src/ingress/pathof.ts
+++ b/src/ingress/pathof.ts
@@ -1,7 +1,7 @@
-/** Reads a request's target. */
+/** Reads the path of a request's target. */
 import type { IncomingMessage } from "node:http";
 
-/** Path and query of an origin-form or absolute-form target (RFC 9112, 3.2); undefined for any other. */
+/** Returns path and query of an origin-form or absolute-form target (RFC 9112, 3.2), or undefined for any other. */
 export function pathOf(req: IncomingMessage): string | undefined {
     const target = req.url ?? "";
     if (target.startsWith("/")) {
--- a/src/ingress/plan.ts
+++ b/src/ingress/plan.ts
@@ -1,15 +1,16 @@
-/** What is to be done with a request, before any upstream is chosen. */
+/** The plan for a request: what is known of it before an upstream is chosen. */
 import type { Arrival } from "../policy/retry/arrival.js";
 import type { MatchedRule } from "../policy/routing/matchedrule.js";
 
-/** Times are on the daemon's clock, in milliseconds; `depth` counts the calls between services above this request. */
+/** The rule and service of a request, with its deadline. Times are milliseconds on the daemon's clock. */
 export type Plan = MatchedRule & {
     readonly type: "plan";
-    /** What chose the part of a split: from 0 up to 1, drawn once for a request. */
+    /** Selects the part of a split: from 0 (inclusive) to 1 (exclusive), sampled once per request. */
     readonly draw: number;
     readonly startedAt: number;
     readonly deadline: number;
+    /** The number of calls between services that led to this request; 0 for a request from outside. */
     readonly depth: number;
-    /** `first`, or `call` where the run that makes this call is not the first of its own request. */
+    /** `call` if an upstream makes this call while it runs a repeat of its own request, otherwise `first`. */
     readonly arrival: Extract<Arrival, "first" | "call">;
 };
--- a/src/ingress/planner.ts
+++ b/src/ingress/planner.ts
@@ -1,4 +1,4 @@
-/** Finds out what is to be done with a caller's request before any upstream is chosen: its rule, its deadline, its depth. */
+/** Plans a caller's request before an upstream is chosen: finds its rule and computes its deadline and depth. */
 import type { IncomingMessage } from "node:http";
 import type { Dialect } from "../dialect/dialect.js";
 import type { CallContexts } from "../gate/callcontexts.js";
@@ -14,38 +14,38 @@
 import type { RequestRefusal } from "./requestrefusal.js";
 import { timeLimitOf } from "./timelimitof.js";
 
-/** What the planner needs of its daemon. */
+/** The parts of the daemon that the planner uses. */
 type PlannerParts = {
     readonly dialect: Dialect;
     readonly contexts: CallContexts;
     readonly random: RandomSource;
-    /** The revision of the configuration; 0 while none is known. */
+    /** Returns the revision of the configuration, or 0 while none is known. */
     readonly revision: () => number;
-    /** The rule for a request; undefined when none matches. */
-    readonly find: (target: RequestTarget, draw: number) => MatchedRule | undefined;
+    /** Returns the rule for a request, or undefined if none matches. */
+    readonly find: (target: RequestTarget, sample: number) => MatchedRule | undefined;
 };
 
 type Parent = NonNullable<ReturnType<CallContexts["find"]>>;
 
-/** Decides nothing of its own: the rules are in src/config and src/policy/admission. */
+/** Gathers the inputs of each plan; the decisions are made in src/policy/routing and src/policy/admission. */
 export class Planner {
-    readonly #draws: EvenDraws;
+    readonly #splitSamples: EvenDraws;
 
     constructor(private readonly parts: PlannerParts) {
-        this.#draws = new EvenDraws(parts.random);
+        this.#splitSamples = new EvenDraws(parts.random);
     }
 
-    /** `startedAt` is on the daemon's clock. */
+    /** Returns the plan for a request, or the refusal to send; `startedAt` is in milliseconds on the daemon's clock. */
     plan(req: IncomingMessage, path: string, startedAt: number, log: RequestLog): Plan | RequestRefusal {
         const { revision } = this.parts;
         if (revision() === 0) {
-            log.unconfigured();
+            log.noConfiguration();
             return { type: "refusal", problem: "not-ready", detail: "", retryAfterMs: retrySoonMs };
         }
         const { method = "GET", headers: { host } } = req;
-        const { draw, matched } = this.#match({ method, host, path });
+        const { sample, matched } = this.#match({ method, host, path });
         if (matched === undefined) {
-            log.unmatched(host, path, revision());
+            log.noRuleMatched(host, path, revision());
             return { type: "refusal", problem: "no-rule", detail: `${method} ${path}` };
         }
         const parent = this.parentOf(req);
@@ -58,7 +58,7 @@
         return {
             type: "plan",
             ...matched,
-            draw,
+            draw: sample,
             startedAt,
             deadline: this.#deadline(req, matched, parent, startedAt),
             depth,
@@ -66,18 +66,18 @@
         };
     }
 
-    /** The rule, and what chose the part of its split. */
-    #match(target: RequestTarget): { readonly draw: number; readonly matched: MatchedRule | undefined; } {
+    /** Returns the rule that matches, and the sample that selected the part of its split. */
+    #match(target: RequestTarget): { readonly sample: number; readonly matched: MatchedRule | undefined; } {
         const { find } = this.parts;
         const matched = find(target, 0);
         if (matched?.rule.split === undefined) {
-            return { draw: 0, matched };
+            return { sample: 0, matched };
         }
-        const draw = this.#draws.next(matched.rule.name);
-        return { draw, matched: find(target, draw) };
+        const sample = this.#splitSamples.next(matched.rule.name);
+        return { sample, matched: find(target, sample) };
     }
 
-    /** The request for which the upstream beside this daemon makes this call; undefined for a caller's own. */
+    /** Returns the request during which a local upstream makes this call, or undefined if it is not such a call. */
     parentOf(req: IncomingMessage): Parent | undefined {
         const { dialect, contexts } = this.parts;
         const token = req.headers[dialect.context] as string | undefined;
@@ -86,8 +86,8 @@
 
     #deadline(req: IncomingMessage, { rule }: MatchedRule, parent: Parent | undefined, startedAt: number): number {
         const { callerTimeLimit } = this.parts.dialect;
-        const given = callerTimeLimit === undefined ? undefined : req.headers[callerTimeLimit];
-        const callerLimitMs = timeLimitOf(given);
+        const header = callerTimeLimit === undefined ? undefined : req.headers[callerTimeLimit];
+        const callerLimitMs = timeLimitOf(header);
         const parentDeadline = parent?.deadline;
         return requestDeadline({ ruleLimitMs: rule.timeLimitMs, callerLimitMs, parentDeadline }, startedAt);
     }
--- a/src/ingress/problems.ts
+++ b/src/ingress/problems.ts
@@ -1,11 +1,11 @@
-/** The answers that winglock makes itself. */
+/** The problems that winglock itself responds with. */
 import { httpStatus } from "../http/httpstatus.js";
 import type { ProblemType } from "../policy/retry/problemtype.js";
 
-/** A status of RFC 9110 and a sentence for people. */
+/** The status (RFC 9110) and the title of a problem document. */
 type Problem = { readonly status: number; readonly title: string; };
 
-/** By type. */
+/** Maps each problem type to its status and title. */
 export const problems: Readonly<Record<ProblemType, Problem>> = {
     "no-rule": { status: httpStatus.notFound, title: "No rule matches the request." },
     "not-ready": { status: httpStatus.serviceUnavailable, title: "The daemon has no configuration yet." },
--- /dev/null
+++ b/src/ingress/readbody.ts
@@ -0,0 +1,64 @@
+/**
+ * Reads a caller's body: a small one is kept whole, so that the request can be sent again; a larger one is streamed.
+ */
+import type { IncomingMessage } from "node:http";
+import { PassThrough, type Readable } from "node:stream";
+import { collect } from "../http/collect.js";
+import { BodyError } from "./bodyerror.js";
+
+/** `kept` is false for a body that is streamed; such a request can be sent only once. */
+type RequestBody = { readonly content: Buffer | Readable | undefined; readonly kept: boolean; };
+
+/** Limits in bytes: bodies up to `keepBytes` are kept, those above `maxBytes` are refused. */
+type BodyLimits = { readonly keepBytes: number; readonly maxBytes: number; };
+
+const NO_BODY: RequestBody = { content: undefined, kept: true };
+
+const hasBody = (req: IncomingMessage): boolean =>
+    req.headers["transfer-encoding"] !== undefined || Number(req.headers["content-length"] ?? 0) > 0;
+
+const streamBody = (req: IncomingMessage, firstChunks: Buffer[], maxBytes: number): RequestBody => {
+    const stream = new PassThrough();
+    let size = 0;
+    firstChunks.forEach(chunk => {
+        size += chunk.length;
+        stream.write(chunk);
+    });
+    req.on("data", (chunk: Buffer) => {
+        size += chunk.length;
+        if (size > maxBytes) {
+            stream.destroy(new BodyError(true));
+        }
+    });
+    const failIncomplete = (): void => void stream.destroy(new BodyError(false));
+    stream.on("error", () => req.resume());
+    req.on("aborted", failIncomplete);
+    if (req.destroyed && !req.readableEnded) {
+        failIncomplete();
+    }
+    req.pipe(stream);
+    return { content: stream, kept: false };
+};
+
+/**
+ * Reads a body up to `keepBytes` and streams a longer one; rejects with a BodyError if it is too large or incomplete.
+ */
+export async function readBody(req: IncomingMessage, limits: BodyLimits): Promise<RequestBody> {
+    if (!hasBody(req)) {
+        return NO_BODY;
+    }
+    if (Number(req.headers["content-length"] ?? 0) > limits.maxBytes) {
+        throw new BodyError(true);
+    }
+    const { whole, chunks } = await collectBody(req, limits.keepBytes);
+    return whole ? { content: Buffer.concat(chunks), kept: true } : streamBody(req, chunks, limits.maxBytes);
+}
+
+const collectBody = async (req: IncomingMessage, keepBytes: number): ReturnType<typeof collect> => {
+    try {
+        return await collect(req, keepBytes);
+    }
+    catch (err) {
+        throw new BodyError(false, { cause: err });
+    }
+};
--- a/src/ingress/requesthandler.ts
+++ b/src/ingress/requesthandler.ts
@@ -1,8 +1,9 @@
 /**
- * Serves one caller's request, from its plan to its answer.
+ * Serves one caller's request, from its plan to its response.
  *
- * Owns the answer to the caller, the request's deadline and the choice of its upstreams. Which upstream, whether another attempt
- * follows (requestretries.ts), and what the caller is told at the end are decided in src/policy; here they are carried out and logged.
+ * Owns the response to the caller, the deadline timer and the sequence of attempts. src/policy decides on the upstream,
+ * on further attempts (see requestretries.ts) and on the problem sent when no attempt served the request; this module
+ * carries the decisions out and logs them.
  */
 import { requestKeyOf } from "../dialect/requestkeyof.js";
 import type { GateAnswer } from "../hop/gateanswer.js";
@@ -16,142 +17,143 @@
 import { reasonWord } from "../policy/retry/reasonword.js";
 import { tellProblem } from "../policy/retry/tellproblem.js";
 import { Attempt } from "./attempt.js";
-import type { CallerAnswer } from "./calleranswer.js";
-import type { Ending } from "./ending.js";
-import { runHedged } from "./hedgedattempt.js";
+import type { CallerResponse } from "./callerresponse.js";
 import type { IngressParts } from "./ingressparts.js";
 import type { Outgoing } from "./outgoing.js";
 import type { Plan } from "./plan.js";
 import { RequestLog } from "./requestlog.js";
+import type { RequestOutcome } from "./requestoutcome.js";
 import { RequestRetries } from "./requestretries.js";
-import { Targets } from "./targets.js";
-import type { Unserved } from "./unserved.js";
+import { runHedged } from "./runhedged.js";
+import { TargetSelector } from "./targetselector.js";
+import type { UnservedResult } from "./unservedresult.js";
 import type { UpstreamView } from "./upstreamview.js";
 
 type Result = AttemptResult<GateAnswer>;
-type Unanswered = Exclude<Unserved, { readonly outcome: "failed"; }>;
+type NoResponse = Exclude<UnservedResult, { readonly outcome: "failed"; }>;
 
-const NO_UPSTREAM: Unanswered = { outcome: "not-run", reason: "no-upstream", retryAfterMs: retrySoonMs };
+const NO_UPSTREAM: NoResponse = { outcome: "not-run", reason: "no-upstream", retryAfterMs: retrySoonMs };
 
-/** `run` is called once. */
+/** Handles one request; `run` must be called only once. */
 export class RequestHandler {
-    /** Aborts when the caller has gone or the deadline has passed. */
-    readonly #ended = new Cancel();
+    /** Aborts when the caller has left or the deadline has passed. */
+    readonly #requestCancel = new Cancel();
     readonly #log: RequestLog;
     readonly #retries: RequestRetries;
-    readonly #targets: Targets;
+    readonly #targets: TargetSelector;
     #timer: NodeJS.Timeout | undefined;
+    /** The attempt whose response goes to the caller. */
     #claimed: Attempt | undefined;
     #isDeadlinePassed = false;
-    #found: { readonly key: RequestKey | undefined; } | undefined;
+    #cachedKey: { readonly key: RequestKey | undefined; } | undefined;
 
     constructor(
-        private readonly answer: CallerAnswer,
+        private readonly response: CallerResponse,
         private plan: Plan,
-        private readonly out: Outgoing,
+        private readonly outgoing: Outgoing,
         private readonly parts: IngressParts,
     ) {
-        this.#log = new RequestLog(out.id);
+        this.#log = new RequestLog(outgoing.id);
         this.#retries = new RequestRetries({
             ingress: parts,
             plan: () => this.plan,
-            bodyKept: out.body.kept,
+            bodyKept: outgoing.body.kept,
             standing: () => this.#standing(),
             log: this.#log,
         });
-        this.#targets = new Targets(parts, this.#retries.history.tried);
+        this.#targets = new TargetSelector(parts, this.#retries.history.tried);
     }
 
-    /** How many upstreams it was sent to, or tried to be. */
+    /** The number of attempts, including those that reached no upstream. */
     get attempts(): number {
         return this.#retries.history.attempts;
     }
 
-    /** Resolves with what the caller was told. */
-    async run(): Promise<Ending> {
-        this.#retries.begin();
-        const forget = this.answer.onClose(() => this.#ended.abort());
+    /** Serves the request; resolves with the outcome that the caller was given. */
+    async run(): Promise<RequestOutcome> {
+        this.#retries.recordArrival();
+        const unsubscribe = this.response.onClose(() => this.#requestCancel.abort());
         this.#timer = setTimeout(() => {
             this.#isDeadlinePassed = true;
-            this.#ended.abort();
+            this.#requestCancel.abort();
         }, this.#remainingMs());
         try {
-            return await this.#tryUntilSettled();
+            return await this.#runAttempts();
         }
         finally {
             clearTimeout(this.#timer);
-            forget();
+            unsubscribe();
         }
     }
 
-    async #tryUntilSettled(): Promise<Ending> {
-        let last: Unserved | undefined = this.#refusal();
+    async #runAttempts(): Promise<RequestOutcome> {
+        let last: UnservedResult | undefined = this.#quarantineRefusal();
         if (last !== undefined) {
-            return await this.#conclude(last);
+            return await this.#respondUnserved(last);
         }
         for (;;) {
             const { goTo, offer } = last === undefined || last.outcome === "failed" ? NO_UPSTREAM : last;
             const target = this.#targets.choose(this.plan.service.name, goTo);
             if (target === undefined) {
-                return await this.#endWithout(last ?? NO_UPSTREAM);
+                return await this.#endWithoutUpstream(last ?? NO_UPSTREAM);
             }
-            const result = await this.#tryAt(target, offer);
+            const result = await this.#attemptWithHedge(target, offer);
             if (result.outcome === "served") {
-                return this.answer.isGone ? "left" : "served";
+                return this.response.hasCallerLeft ? "left" : "served";
             }
-            if (this.answer.isGone) {
+            if (this.response.hasCallerLeft) {
                 return "left";
             }
             this.#retries.history.end(result);
             if (!this.#retries.decide(result).again) {
-                return await this.#conclude(result);
+                return await this.#respondUnserved(result);
             }
-            await this.#prepare(result, target);
+            await this.#prepareRetry(result, target);
             if (this.plan.kind === "once" && this.#retries.history.mayHaveRun) {
-                return await this.#conclude(result);
+                return await this.#respondUnserved(result);
             }
             this.#claimed = undefined;
             last = result;
         }
     }
 
-    /** The result of a request that is refused before its first attempt; undefined for one that is not. */
-    #refusal(): Unanswered | undefined {
+    /** Returns the result of a request that is quarantined and gets no attempt, or undefined for any other. */
+    #quarantineRefusal(): NoResponse | undefined {
         const { guard } = this.parts;
-        const retryAfterMs = guard.isEmpty ? undefined : guard.quarantinedForMs(this.#key());
+        const retryAfterMs = guard.isEmpty ? undefined : guard.quarantinedForMs(this.#requestKey());
         return retryAfterMs === undefined ? undefined : { outcome: "not-run", reason: "quarantined", retryAfterMs };
     }
 
     #standing(): Standing {
         const { guard } = this.parts;
-        return guard.isEmpty ? "free" : guard.standing(this.#key());
+        return guard.isEmpty ? "free" : guard.standing(this.#requestKey());
     }
 
-    /** Found once, and only while some request has crashed an upstream: a digest of the body is not free. */
-    #key(): RequestKey | undefined {
-        const { method, path, headers, body } = this.out;
-        this.#found ??= { key: requestKeyOf({ method, path, headers, body: body.content }, this.parts.dialect) };
-        return this.#found.key;
+    /** Computes the key once, and only while crashes are recorded, since a digest of the body costs time. */
+    #requestKey(): RequestKey | undefined {
+        const { method, path, headers, body } = this.outgoing;
+        this.#cachedKey ??= { key: requestKeyOf({ method, path, headers, body: body.content }, this.parts.dialect) };
+        return this.#cachedKey.key;
     }
 
-    /** Ends a request for which no upstream is left; `last` is the result of its last attempt, if there was one. */
-    async #endWithout(last: Unserved): Promise<Ending> {
-        if (this.answer.isGone) {
+    /** Ends a request for which no upstream is eligible; `last` is the result of its last attempt, or NO_UPSTREAM. */
+    async #endWithoutUpstream(last: UnservedResult): Promise<RequestOutcome> {
+        if (this.response.hasCallerLeft) {
             return "left";
         }
         this.#retries.logDecision(last, { again: false, why: "no-upstream" });
-        return await this.#conclude(last);
+        return await this.#respondUnserved(last);
     }
 
-    #tryAt(target: UpstreamView, offer: string | undefined): Promise<Result> {
+    #attemptWithHedge(target: UpstreamView, offer: string | undefined): Promise<Result> {
         const arrival = this.#retries.history.mayHaveArrived ? "retry" : this.plan.arrival;
-        const first = this.#attempt(target, offer, arrival);
+        const first = this.#createAttempt(target, offer, arrival);
         const afterMs = this.#retries.hedgeAfterMs();
-        return runHedged(first, { afterMs, second: () => this.#hedge(target, afterMs!) });
+        return runHedged(first, { afterMs, startHedge: () => this.#createHedge(target, afterMs!) });
     }
 
-    #hedge(overdue: UpstreamView, afterMs: number): Attempt | undefined {
-        if (this.#claimed !== undefined || this.#ended.aborted) {
+    #createHedge(overdue: UpstreamView, afterMs: number): Attempt | undefined {
+        if (this.#claimed !== undefined || this.#requestCancel.aborted) {
             return undefined;
         }
         overdue.recordOverdue(afterMs, this.parts.clock());
@@ -159,13 +161,13 @@
         if (target === undefined || this.#retries.history.tried.has(target)) {
             return undefined;
         }
-        if (!this.#retries.payHedge(afterMs, overdue, target)) {
+        if (!this.#retries.spendForHedge(afterMs, overdue, target)) {
             return undefined;
         }
-        return this.#attempt(target, undefined, "hedge");
+        return this.#createAttempt(target, undefined, "hedge");
     }
 
-    #attempt(target: UpstreamView, offer: string | undefined, arrival: Arrival): Attempt {
+    #createAttempt(target: UpstreamView, offer: string | undefined, arrival: Arrival): Attempt {
         this.#retries.history.begin(target);
         const untried = this.#retries.history.mayMove ? this.#targets.untried(this.plan.service.name) : [];
         const attempt: Attempt = new Attempt(target, { offer, arrival }, {
@@ -173,12 +175,12 @@
             plan: this.plan,
             choices: untried.length,
             nearChoices: untried.filter(other => other.near).length,
-            out: this.out,
+            outgoing: this.outgoing,
             log: this.#log,
-            ended: this.#ended,
+            requestCancel: this.#requestCancel,
             isDeadlinePassed: () => this.#isDeadlinePassed,
             claim: () => this.#claim(attempt),
-            deliver: answer => this.#deliver(answer),
+            deliver: response => this.#deliver(response),
         });
         return attempt;
     }
@@ -188,8 +190,10 @@
         return this.#claimed === attempt;
     }
 
-    /** Lets the last answer go, and gets a newer rule when the gate has one. */
-    async #prepare(result: Unserved, target: UpstreamView): Promise<void> {
+    /**
+     * Prepares another attempt: discards the last response, and pulls the newer configuration of a gate that has one.
+     */
+    async #prepareRetry(result: UnservedResult, target: UpstreamView): Promise<void> {
         this.parts.metrics.retried(this.plan.service.name, reasonWord(result));
         if (result.outcome === "failed") {
             dropBody(result.answer.body);
@@ -198,40 +202,40 @@
         if (result.reason === "stale-rule") {
             this.#retries.history.tried.delete(target);
             await this.parts.catchUp(result.revision ?? 0, target.settings.gate);
-            this.plan = this.parts.replan(this.out, this.plan);
+            this.plan = this.parts.replan(this.outgoing, this.plan);
         }
     }
 
-    async #conclude(result: Unserved): Promise<Ending> {
+    async #respondUnserved(result: UnservedResult): Promise<RequestOutcome> {
         if (result.outcome === "failed") {
-            return await this.#pass(result.answer);
+            return await this.#respondFailed(result.answer);
         }
         const outcome = this.#retries.history.mayHaveRun ? "unknown" : "not-run";
         const { reason: detail, retryAfterMs } = result;
         const problem = tellProblem(result.outcome, detail);
-        const comeBackMs = problem === "no-upstream" ? retryAfterMs ?? retrySoonMs : retryAfterMs;
-        this.answer.tell(problem, { outcome, detail, retryAfterMs: comeBackMs });
+        const problemRetryAfterMs = problem === "no-upstream" ? retryAfterMs ?? retrySoonMs : retryAfterMs;
+        this.response.sendProblem(problem, { outcome, detail, retryAfterMs: problemRetryAfterMs });
         return outcome;
     }
 
-    /** Passes on an answer that says that the request failed, when no other attempt follows. */
-    async #pass(answer: GateAnswer): Promise<Ending> {
+    /** Passes an upstream's error response on to the caller, since no other attempt follows. */
+    async #respondFailed(response: GateAnswer): Promise<RequestOutcome> {
         try {
-            await this.#deliver(answer);
+            await this.#deliver(response);
             return "served";
         }
         catch (err) {
-            this.#log.brokeOff(err);
-            this.answer.tell("answer-lost", { outcome: "unknown", detail: "broken-answer" });
+            this.#log.responseBroken(err);
+            this.response.sendProblem("answer-lost", { outcome: "unknown", detail: "broken-answer" });
             return "unknown";
         }
     }
 
-    #deliver(answer: GateAnswer): Promise<void> {
+    #deliver(response: GateAnswer): Promise<void> {
         if (this.plan.rule.answer === "streamed") {
             clearTimeout(this.#timer);
         }
-        return this.answer.deliver(answer, this.plan);
+        return this.response.deliver(response, this.plan);
     }
 
     #remainingMs(): number {
--- a/src/ingress/requestlog.ts
+++ b/src/ingress/requestlog.ts
@@ -1,47 +1,47 @@
-/** The ingress's log lines of one request; its gates write lines with the same id. */
+/** Writes the ingress's log lines of one request; the gates that it is sent to log the same id. */
 import { log } from "../log/log.js";
 import type { Arrival } from "../policy/retry/arrival.js";
 import { reasonWord } from "../policy/retry/reasonword.js";
 import type { RetryDecision } from "../policy/retry/retrydecision.js";
-import type { Ending } from "./ending.js";
 import type { Plan } from "./plan.js";
-import type { Unserved } from "./unserved.js";
+import type { RequestOutcome } from "./requestoutcome.js";
+import type { UnservedResult } from "./unservedresult.js";
 import type { UpstreamView } from "./upstreamview.js";
 
 const logger = log("ingress");
 
 /** The state of a request after an attempt; times in milliseconds. */
-type Standing = {
+type RetryState = {
     readonly attempts: number;
-    readonly moves: number;
+    readonly redirects: number;
     readonly remainingMs: number;
     readonly budgetLeft: number;
 };
 
-/** What an attempt is sent with. */
-type Placed = {
+/** The fields of an attempt that are logged when it is sent; times in milliseconds. */
+type SentAttempt = {
     readonly id: string;
     readonly choices: number;
     readonly remainingMs: number;
     readonly arrival: Arrival;
 };
 
-/** What a request ended with. */
-type Ended = {
-    readonly outcome: Ending;
+/** The fields that are logged when a request ends; `elapsedMs` is in milliseconds since its arrival. */
+type EndedRequest = {
+    readonly outcome: RequestOutcome;
     readonly status: number;
     readonly revision: number;
     readonly attempts: number;
     readonly elapsedMs: number;
 };
 
-/** `id` is the caller's own id of the request, or winglock's. */
+/** `id` is the caller's id of the request, or winglock's where callers give none. */
 export class RequestLog {
     constructor(private readonly id: string) {}
 
-    placed(target: UpstreamView, { id, choices, remainingMs, arrival }: Placed, now: number): void {
+    attemptSent(target: UpstreamView, { id, choices, remainingMs, arrival }: SentAttempt, now: number): void {
         const { upstream, near, outstanding, report, reportAt } = target;
-        logger.decision(this.id, "The request is placed.", {
+        logger.decision(this.id, "The request is sent to an upstream.", {
             try: id,
             upstream,
             near,
@@ -54,8 +54,8 @@
         });
     }
 
-    hedged(afterMs: number, overdue: UpstreamView, target: UpstreamView, budgetLeft: number): void {
-        logger.decision(this.id, "The answer is overdue; the request is also sent elsewhere.", {
+    hedgeSent(afterMs: number, overdue: UpstreamView, target: UpstreamView, budgetLeft: number): void {
+        logger.decision(this.id, "The response is overdue; a hedge is sent to another upstream.", {
             afterMs,
             overdue: overdue.upstream,
             upstream: target.upstream,
@@ -63,31 +63,35 @@
         });
     }
 
-    decided(result: Unserved, { again, why }: RetryDecision, standing: Standing): void {
-        logger.failure(this.id, again ? "The attempt failed; another follows." : "The attempt failed.", {
-            outcome: result.outcome,
-            reason: reasonWord(result),
-            why,
-            tries: standing.attempts,
-            redirects: standing.moves,
-            remainingMs: Math.round(standing.remainingMs),
-            budgetLeft: standing.budgetLeft,
-        });
+    retryDecided(result: UnservedResult, { again, why }: RetryDecision, state: RetryState): void {
+        logger.failure(
+            this.id,
+            again ? "The attempt failed; another one follows." : "The attempt failed; no other one follows.",
+            {
+                outcome: result.outcome,
+                reason: reasonWord(result),
+                why,
+                tries: state.attempts,
+                redirects: state.redirects,
+                remainingMs: Math.round(state.remainingMs),
+                budgetLeft: state.budgetLeft,
+            },
+        );
     }
 
-    brokeOff(err: unknown, target?: UpstreamView): void {
-        logger.warn("An answer broke off.", err, { id: this.id, upstream: target?.upstream });
+    responseBroken(err: unknown, target?: UpstreamView): void {
+        logger.warn("A response broke off before it was complete.", err, { id: this.id, upstream: target?.upstream });
     }
 
-    unmatched(host: string | undefined, path: string, revision: number): void {
-        logger.failure(this.id, "No rule matches.", { host, path, revision });
+    noRuleMatched(host: string | undefined, path: string, revision: number): void {
+        logger.failure(this.id, "No rule matches the request; it is refused.", { host, path, revision });
     }
 
-    unconfigured(): void {
-        logger.failure(this.id, "No configuration is known yet.", {});
+    noConfiguration(): void {
+        logger.failure(this.id, "The daemon has no configuration yet; the request is refused.", {});
     }
 
-    ended({ rule, kind, service, startedAt, deadline }: Plan, ended: Ended): void {
+    requestEnded({ rule, kind, service, startedAt, deadline }: Plan, ended: EndedRequest): void {
         const { outcome, status, revision, attempts, elapsedMs } = ended;
         logger[outcome === "served" ? "decision" : "failure"](this.id, "The request has ended.", {
             outcome,
--- a/src/ingress/requestrefusal.ts
+++ b/src/ingress/requestrefusal.ts
@@ -1,7 +1,7 @@
-/** Why a caller's request is refused before any upstream is chosen. */
+/** The refusal of a caller's request before an upstream is chosen. */
 import type { ProblemType } from "../policy/retry/problemtype.js";
 
-/** `retryAfterMs`: when to come back, in milliseconds. */
+/** `retryAfterMs`: the time in milliseconds after which the caller should send the request again. */
 export type RequestRefusal = {
     readonly type: "refusal";
     readonly problem: ProblemType;
--- a/src/ingress/requestretries.ts
+++ b/src/ingress/requestretries.ts
@@ -1,7 +1,7 @@
 /**
- * Whether and when one request is sent again, as src/policy/retry decides.
+ * Applies the decisions of src/policy/retry to one request: whether and when it is sent again.
  *
- * Owns the history of its attempts, and writes the log line of each decision.
+ * Owns the history of the request's attempts and logs each decision. Times are in milliseconds.
  */
 import type { Standing } from "../policy/quarantine/standing.js";
 import { AttemptHistory } from "../policy/retry/attempthistory.js";
@@ -13,30 +13,29 @@
 import type { IngressParts } from "./ingressparts.js";
 import type { Plan } from "./plan.js";
 import type { RequestLog } from "./requestlog.js";
-import type { Unserved } from "./unserved.js";
+import type { UnservedResult } from "./unservedresult.js";
 import type { UpstreamView } from "./upstreamview.js";
 
-/** Of a repeat. */
-const TENTHS = 10;
+const TENTHS_PER_REPEAT = 10;
 
-/** What the request lends; its plan may change between attempts. */
+/** What the request handler provides; the plan may change between attempts. */
 type RetryParts = {
     readonly ingress: IngressParts;
     readonly plan: () => Plan;
-    /** The body can be sent again. */
+    /** True if the body can be sent again. */
     readonly bodyKept: boolean;
     readonly standing: () => Standing;
     readonly log: RequestLog;
 };
 
-/** One for each request; times in milliseconds. */
+/** Tracks the attempts of one request. */
 export class RequestRetries {
     readonly history = new AttemptHistory<UpstreamView>();
 
     constructor(private readonly parts: RetryParts) {}
 
-    /** Records that the request has come, as what it is to the budget of its service. */
-    begin(): void {
+    /** Records the request in the retry budget of its service; a call from a repeat counts as a repeat. */
+    recordArrival(): void {
         const { ingress: { clock }, plan } = this.parts;
         const { budget } = this.#retries();
         if (plan().arrival === "call") {
@@ -47,8 +46,8 @@
         }
     }
 
-    /** Whether another attempt follows one that did not serve the request. */
-    decide(result: Unserved): RetryDecision {
+    /** Decides whether another attempt follows one that did not serve the request, and logs the decision. */
+    decide(result: UnservedResult): RetryDecision {
         const { ingress: { clock }, plan, bodyKept } = this.parts;
         const { kind, deadline } = plan();
         const now = clock();
@@ -74,15 +73,20 @@
         return decision;
     }
 
-    logDecision(result: Unserved, decision: RetryDecision): void {
+    logDecision(result: UnservedResult, decision: RetryDecision): void {
         const { ingress: { clock }, plan, log } = this.parts;
         const { attempts, moves } = this.history;
         const now = clock();
         const budgetLeft = this.#budgetLeft(now);
-        log.decided(result, decision, { attempts, moves, remainingMs: plan().deadline - now, budgetLeft });
+        log.retryDecided(result, decision, {
+            attempts,
+            redirects: moves,
+            remainingMs: plan().deadline - now,
+            budgetLeft,
+        });
     }
 
-    /** When the first answer is overdue; undefined where the request must not be sent twice. */
+    /** Returns the time after which a response is overdue, or undefined if the request must not be hedged. */
     hedgeAfterMs(): number | undefined {
         const { ingress: { hedge: isEnabled }, plan, bodyKept, standing } = this.parts;
         const { kind, rule } = plan();
@@ -97,8 +101,8 @@
         });
     }
 
-    /** Spends what a hedge costs; false when it is not there. */
-    payHedge(overdueMs: number, overdue: UpstreamView, target: UpstreamView): boolean {
+    /** Pays for a hedge from the retry budget; returns false if the budget does not allow it. */
+    spendForHedge(overdueMs: number, overdue: UpstreamView, target: UpstreamView): boolean {
         const { ingress: { metrics, clock }, plan, log } = this.parts;
         const { budget, allowance } = this.#retries();
         const now = clock();
@@ -107,14 +111,14 @@
         }
         this.history.hedge();
         metrics.retried(plan().service.name, "hedge");
-        log.hedged(overdueMs, overdue, target, this.#budgetLeft(now));
+        log.hedgeSent(overdueMs, overdue, target, this.#budgetLeft(now));
         return true;
     }
 
-    /** In tenths, for log lines. */
+    /** Returns the remaining retry budget in repeats, rounded to tenths for log lines. */
     #budgetLeft(now: number): number {
         const { budget, allowance } = this.#retries();
-        return Math.round(budget.left(allowance, now) * TENTHS) / TENTHS;
+        return Math.round(budget.left(allowance, now) * TENTHS_PER_REPEAT) / TENTHS_PER_REPEAT;
     }
 
     #retries(): Retries {
--- a/src/ingress/sendproblem.ts
+++ b/src/ingress/sendproblem.ts
@@ -1,23 +1,23 @@
-/** Writes problem JSON (RFC 9457). */
+/** Sends a problem document (RFC 9457) to a caller. */
 import type { ServerResponse } from "node:http";
 import type { Dialect } from "../dialect/dialect.js";
 import type { ProblemType } from "../policy/retry/problemtype.js";
 import { problems } from "./problems.js";
 
-/** What the caller is told: `not-run` is proven. */
-type Told = {
+/** `not-run`: no upstream has run the request, which is proven; `retryAfterMs` is in milliseconds. */
+type ProblemDetails = {
     readonly outcome: "not-run" | "unknown";
     readonly detail: string;
     readonly retryAfterMs?: number;
 };
 
-/** Answers the caller at once; does nothing when an answer has begun or the caller has left. */
-export function sendProblem(res: ServerResponse, dialect: Dialect, type: ProblemType, told: Told): void {
+/** Responds with a problem; does nothing if a response has begun or the caller has left. */
+export function sendProblem(res: ServerResponse, dialect: Dialect, type: ProblemType, details: ProblemDetails): void {
     if (res.headersSent || res.destroyed) {
         return;
     }
     const { status, title } = problems[type];
-    const { outcome, detail, retryAfterMs } = told;
+    const { outcome, detail, retryAfterMs } = details;
     const body = JSON.stringify({ type: `urn:winglock:problem:${type}`, title, status, detail, outcome });
     if (retryAfterMs !== undefined) {
         res.setHeader("retry-after", dialect.retryAfter(retryAfterMs));
--- /dev/null
+++ b/src/ingress/targetselector.ts
@@ -0,0 +1,40 @@
+/**
+ * Selects the upstream for each attempt of one request. Which are eligible and which is best is decided in
+ * policy/placement.
+ */
+import type { ServiceName } from "../ids/servicename.js";
+import { availableOf } from "../policy/placement/availableof.js";
+import { selectTargets } from "../policy/placement/selecttargets.js";
+import type { IngressParts } from "./ingressparts.js";
+import type { UpstreamView } from "./upstreamview.js";
+
+/** `tried` holds the upstreams that the request was sent to; it is read on each call. */
+export class TargetSelector {
+    constructor(private readonly parts: IngressParts, private readonly tried: ReadonlySet<UpstreamView>) {}
+
+    /**
+     * Returns the upstream to send to, preferring the one that holds a slot for the request, or undefined if none is
+     * eligible.
+     */
+    choose(service: ServiceName, slotHolder: string | undefined): UpstreamView | undefined {
+        const { placement, random, clock } = this.parts;
+        const views = this.#viewsOf(service);
+        const now = clock();
+        const holder = views.find(view => view.upstream === slotHolder);
+        if (holder !== undefined && !holder.isLeavingPermanently) {
+            return holder;
+        }
+        const targets = selectTargets(views, this.tried, now);
+        return targets.find(view => view.isDue(now))
+            ?? placement.choose(targets, now, random) as UpstreamView | undefined;
+    }
+
+    /** Returns the available upstreams that the request was not sent to yet. */
+    untried(service: ServiceName): UpstreamView[] {
+        return availableOf(this.#viewsOf(service), this.tried, this.parts.clock());
+    }
+
+    #viewsOf(service: ServiceName): readonly UpstreamView[] {
+        return this.parts.upstreams.ofService(service);
+    }
+}
--- a/src/ingress/timelimitof.ts
+++ b/src/ingress/timelimitof.ts
@@ -1,6 +1,6 @@
-/** Reads how long a caller will wait. */
+/** Reads the time limit that a caller gives. */
 
-/** Milliseconds; Infinity where the caller gives none, or none that can be read. */
+/** Returns milliseconds, or Infinity if the caller gives no time limit or an unreadable one. */
 export function timeLimitOf(text: string | string[] | undefined): number {
     if (typeof text !== "string" || !/^\d{1,12}(\.\d{1,6})?$/.test(text)) {
         return Infinity;
--- a/src/ingress/unserved.ts
+++ b/src/ingress/unservedresult.ts
@@ -2,5 +2,5 @@
 import type { GateAnswer } from "../hop/gateanswer.js";
 import type { AttemptResult } from "../policy/retry/attemptresult.js";
 
-/** An answer that says that the request failed, or none. */
-export type Unserved = Exclude<AttemptResult<GateAnswer>, { readonly outcome: "served"; }>;
+/** An upstream's error response, or no response. */
+export type UnservedResult = Exclude<AttemptResult<GateAnswer>, { readonly outcome: "served"; }>;
--- a/src/ingress/upstreamstatements.ts
+++ b/src/ingress/upstreamstatements.ts
@@ -1,72 +1,79 @@
 /**
- * What upstreams have said of themselves in answers that this daemon has passed on: a limit, and that they leave for good.
+ * Stores what upstreams have stated in responses that this daemon relayed: a rate limit, or that they leave
+ * permanently.
  *
- * It outlasts an upstream's place in the table and the daemon beside it: one that starts again has forgotten it, and learns it from those who
- * send there. Times are milliseconds on the gate's clock.
+ * A statement is kept when the upstream is removed from the upstream table and when the daemon at the upstream
+ * restarts. That daemon loses the statement and gets it back from the ingresses that send requests to it. Times are
+ * milliseconds on the gate's clock.
  */
 import type { Incarnation } from "../ids/incarnation.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
 import type { AnswerNote } from "../wire/answernote.js";
 
-/** Upstreams remembered, the latest: bounds memory; only those that have said something are. */
+/** Bounds memory. The upstreams with the latest statements are kept; upstreams without a statement have no entry. */
 const MAX_UPSTREAMS = 1024;
 
-/** `incarnation` and `at`: whose word it is, and when it was written. */
+/** `incarnation` is the gate's; `writtenAt` is when the gate wrote the note. */
 type Statement = {
     readonly limitPerSecond: number | undefined;
-    readonly ending: boolean;
+    readonly isLeavingPermanently: boolean;
     readonly incarnation: Incarnation;
-    readonly at: number;
+    readonly writtenAt: number;
 };
 
-type Noted = Pick<AnswerNote, "limitPerSecond" | "ending" | "incarnation" | "gateTime">;
+type StatementNote = Pick<AnswerNote, "limitPerSecond" | "ending" | "incarnation" | "gateTime">;
 
-/** One for each daemon. */
+/** Holds the statements of all upstreams that one daemon sends to. */
 export class UpstreamStatements {
     readonly #byName = new Map<UpstreamName, Statement>();
 
-    /** Requests a second that it takes; undefined when it has stated no limit, or has taken it back. */
+    /**
+     * Returns the stated rate limit in requests per second, or undefined if the upstream states none or has revoked it.
+     */
     limitPerSecond(upstream: UpstreamName): number | undefined {
         return this.#byName.get(upstream)?.limitPerSecond;
     }
 
-    /** True when it has said that it leaves for good. */
-    isEnding(upstream: UpstreamName): boolean {
-        return this.#byName.get(upstream)?.ending === true;
+    /** Returns true if the upstream has stated that it leaves permanently. */
+    isLeavingPermanently(upstream: UpstreamName): boolean {
+        return this.#byName.get(upstream)?.isLeavingPermanently === true;
     }
 
-    /** Records what goes with an answer of the upstream; one that says nothing takes a limit back. */
-    recordAnswer(upstream: UpstreamName, note: Noted): void {
+    /** Records the note of an upstream's response; a note without a statement revokes a stated rate limit. */
+    recordAnswer(upstream: UpstreamName, note: StatementNote): void {
         const known = this.#byName.get(upstream);
-        if (this.#says(note)) {
+        if (this.#hasStatement(note)) {
             this.#record(upstream, note);
         }
-        else if (known !== undefined && !known.ending && !this.#isOlder(note, known)) {
+        else if (known !== undefined && !known.isLeavingPermanently && !this.#isOlder(note, known)) {
             this.#byName.delete(upstream);
         }
     }
 
-    /** Records what goes with a gate's own refusal: a gate that has just started knows nothing, and takes nothing back. */
-    recordRefusal(upstream: UpstreamName, note: Noted): void {
-        if (this.#says(note)) {
+    /**
+     * Records the note of a gate's own refusal. A note without a statement revokes nothing, since a gate that has just
+     * started does not know the upstream's statements.
+     */
+    recordRefusal(upstream: UpstreamName, note: StatementNote): void {
+        if (this.#hasStatement(note)) {
             this.#record(upstream, note);
         }
     }
 
-    #says({ limitPerSecond, ending }: Noted): boolean {
+    #hasStatement({ limitPerSecond, ending }: StatementNote): boolean {
         return limitPerSecond !== undefined || ending === true;
     }
 
-    #isOlder({ incarnation, gateTime }: Noted, known: Statement): boolean {
-        return incarnation === known.incarnation && gateTime < known.at;
+    #isOlder({ incarnation, gateTime }: StatementNote, known: Statement): boolean {
+        return incarnation === known.incarnation && gateTime < known.writtenAt;
     }
 
-    #record(upstream: UpstreamName, note: Noted): void {
+    #record(upstream: UpstreamName, note: StatementNote): void {
         const known = this.#byName.get(upstream);
-        const { limitPerSecond, incarnation, gateTime: at } = note;
-        const ending = note.ending === true || known?.ending === true;
+        const { limitPerSecond, incarnation, gateTime: writtenAt } = note;
+        const isLeavingPermanently = note.ending === true || known?.isLeavingPermanently === true;
         this.#byName.delete(upstream);
-        this.#byName.set(upstream, { limitPerSecond, ending, incarnation, at });
+        this.#byName.set(upstream, { limitPerSecond, isLeavingPermanently, incarnation, writtenAt });
         if (this.#byName.size > MAX_UPSTREAMS) {
             this.#byName.delete(this.#byName.keys().next().value!);
         }
--- a/src/ingress/upstreamtable.ts
+++ b/src/ingress/upstreamtable.ts
@@ -1,4 +1,8 @@
-/** The upstreams that this daemon sends requests to; it holds only those of services that it was asked for. */
+/**
+ * The table of upstreams that this daemon sends requests to.
+ *
+ * Creates the view of an upstream when its service is first requested, and keeps it while the upstream is configured.
+ */
 import type { Upstream } from "../config/upstream.js";
 import type { Evacuations } from "../evacuation/evacuations.js";
 import type { Hop } from "../hop/hop.js";
@@ -8,37 +12,37 @@
 import { UpstreamStatements } from "./upstreamstatements.js";
 import { UpstreamView } from "./upstreamview.js";
 
-/** Opens the way to an upstream's gate. */
+/** Opens a hop to an upstream's gate. */
 type OpenHop = (upstream: Upstream) => { readonly hop: Hop; readonly near: boolean; readonly local: boolean; };
 
-/** Follows the upstreams that there are. */
+/** Holds one view per upstream. */
 export class UpstreamTable {
     readonly #byName = new Map<UpstreamName, UpstreamView>();
     readonly #statements = new UpstreamStatements();
     readonly #byService = new Map<ServiceName, UpstreamView[]>();
-    /** Those that requests have been sent to, until failure detection has nothing to ask there. */
+    /** Upstreams that the failure detector has to check. */
     readonly #unsettled = new Set<UpstreamView>();
     #upstreams: readonly Upstream[] = [];
 
     constructor(private readonly openHop: OpenHop, private readonly evacuations: Evacuations) {}
 
-    /** Those that requests have been sent to since `settle`. */
+    /** Upstreams that requests were sent to since their last `settle`. */
     get unsettled(): Iterable<UpstreamView> {
         return this.#unsettled;
     }
 
-    /** Leaves one out until the next request is sent there. */
+    /** Removes an upstream from `unsettled` until the next request is sent to it. */
     settle(view: UpstreamView): void {
         this.#unsettled.delete(view);
     }
 
-    /** Applies which upstreams there are; what is known of those that stay is kept. */
-    apply(all: readonly Upstream[]): void {
-        this.#upstreams = all;
+    /** Replaces the list of upstreams; the views of those with an unchanged gate and service are kept. */
+    apply(upstreams: readonly Upstream[]): void {
+        this.#upstreams = upstreams;
         this.#byService.clear();
-        const named = new Map(all.map(upstream => [upstream.name, upstream]));
+        const byName = new Map(upstreams.map(upstream => [upstream.name, upstream]));
         for (const [name, view] of this.#byName) {
-            const settings = named.get(name);
+            const settings = byName.get(name);
             if (settings?.gate === view.settings.gate && settings.service === view.settings.service) {
                 view.settings = settings;
             }
@@ -64,7 +68,7 @@
         return this.#byName.get(name);
     }
 
-    /** Those behind one gate. */
+    /** Returns the upstreams behind one gate. */
     atGate(gate: Address): UpstreamView[] {
         return [...this.#byName.values()].filter(view => view.settings.gate === gate);
     }
--- a/src/ingress/upstreamview.ts
+++ b/src/ingress/upstreamview.ts
@@ -1,7 +1,9 @@
 /**
- * What an ingress knows of one upstream: what its gate reported, what this daemon counts itself, and what follows for placement.
+ * The state of one upstream as seen by an ingress: its gate's load reports, this daemon's own counts, and its
+ * availability.
  *
- * Holds the state; the rules are in src/policy (placement, failure). Times are milliseconds on the daemon's clock.
+ * Holds state only; the decisions are made in src/policy (placement, failure). Times are milliseconds on the daemon's
+ * clock.
  */
 import type { Upstream } from "../config/upstream.js";
 import type { Hop } from "../hop/hop.js";
@@ -23,20 +25,23 @@
 import type { AnswerNote } from "../wire/answernote.js";
 import type { UpstreamStatements } from "./upstreamstatements.js";
 
-/** `near`: in this daemon's own data hall; `local`: beside this daemon; `onSent` is called with each request that is sent. */
+/** What a view is made of. */
 type ViewParts = {
     readonly hop: Hop;
+    /** True if the upstream is in this daemon's data hall. */
     readonly near: boolean;
+    /** True if the upstream is on this daemon's host. */
     readonly local: boolean;
-    /** Whether operators have evacuated its hall. */
+    /** Returns true while operators have evacuated the upstream's data hall. */
     readonly isEvacuated: () => boolean;
     readonly statements: UpstreamStatements;
+    /** Called for each request that is sent to the upstream. */
     readonly onSent: (view: UpstreamView) => void;
 };
 
-/** One for each upstream of a service that requests are sent to. */
+/** Tracks one upstream; created for each upstream of a service that requests are sent to. */
 export class UpstreamView implements Candidate, Selectable {
-    /** Requests of this daemon that were sent there and have not ended. */
+    /** The number of this daemon's requests at the upstream that have not ended. */
     outstanding = 0;
     report: LoadReport | undefined;
     reportAt = 0;
@@ -44,28 +49,28 @@
     readonly silence = new Silence();
     readonly suspicion = new Suspicion();
     readonly #avoidance = new Avoidance();
-    readonly #coldness = new Avoidance();
+    readonly #coldAvoidance = new Avoidance();
     readonly #fullness = new Fullness();
     readonly #rateShare = new RateShare();
     readonly #penalty = new FailurePenalty();
     readonly #roundTrip = new RoundTrip();
-    /** Attempts that may be given up when the gate falls silent. */
-    readonly #abandonable = new Set<Cancel>();
+    /** Attempts to cancel when the gate becomes unresponsive. */
+    readonly #cancellable = new Set<Cancel>();
 
-    constructor(public settings: Upstream, private readonly way: ViewParts) {
+    constructor(public settings: Upstream, private readonly parts: ViewParts) {
         this.#rateShare.follow(this.limitPerSecond, -Infinity);
     }
 
     get hop(): Hop {
-        return this.way.hop;
+        return this.parts.hop;
     }
 
     get near(): boolean {
-        return this.way.near;
+        return this.parts.near;
     }
 
     get local(): boolean {
-        return this.way.local;
+        return this.parts.local;
     }
 
     get upstream(): UpstreamName {
@@ -76,14 +81,14 @@
         return this.settings.slots;
     }
 
-    /** Requests a second that it takes, as it has stated to this daemon; undefined where it states no limit. */
+    /** The stated rate limit in requests per second, as known to this daemon; undefined if the upstream states none. */
     get limitPerSecond(): number | undefined {
-        return this.way.statements.limitPerSecond(this.upstream);
+        return this.parts.statements.limitPerSecond(this.upstream);
     }
 
-    /** True when it has said to this daemon that it leaves for good. */
-    get isEnding(): boolean {
-        return this.way.statements.isEnding(this.upstream);
+    /** True if the upstream has stated to this daemon that it leaves permanently. */
+    get isLeavingPermanently(): boolean {
+        return this.parts.statements.isLeavingPermanently(this.upstream);
     }
 
     get roundTripMs(): number {
@@ -102,16 +107,16 @@
         if (this.settings.draining) {
             return "draining";
         }
-        if (this.way.isEvacuated()) {
+        if (this.parts.isEvacuated()) {
             return "evacuated";
         }
-        if (this.isEnding || this.#avoidance.isActive(now)) {
+        if (this.isLeavingPermanently || this.#avoidance.isActive(now)) {
             return "leaving";
         }
         if (this.suspicion.active(now)) {
             return "suspected";
         }
-        if (this.#coldness.isActive(now)) {
+        if (this.#coldAvoidance.isActive(now)) {
             return "cold";
         }
         if (!this.#rateShare.isOpen(now)) {
@@ -120,20 +125,20 @@
         return this.#fullness.isActive(now) ? "full" : "available";
     }
 
-    /** True when it should be sent the next request, so that the end of the limit that it states is learnt. */
+    /** True if the next request should go to this upstream to find out whether its stated rate limit has ended. */
     isDue(now: number): boolean {
         return this.#rateShare.isDue(now);
     }
 
-    /** Counts an attempt; `cancel` gives up one that may be given up when the gate falls silent. */
+    /** Counts an attempt; `cancel`, if given, is called when the gate becomes unresponsive. */
     attemptStarted(now: number, cancel: Cancel | undefined): void {
         this.outstanding += 1;
         this.suspicion.probe(now);
         this.silence.sent(now);
         this.#rateShare.recordSent(now);
-        this.way.onSent(this);
+        this.parts.onSent(this);
         if (cancel !== undefined) {
-            this.#abandonable.add(cancel);
+            this.#cancellable.add(cancel);
         }
     }
 
@@ -143,11 +148,11 @@
             this.silence.settled();
         }
         if (cancel !== undefined) {
-            this.#abandonable.delete(cancel);
+            this.#cancellable.delete(cancel);
         }
     }
 
-    /** Records a sign of life. */
+    /** Records that the gate has responded. */
     recordAlive(now: number): void {
         this.silence.heard(this.outstanding, now);
         this.suspicion.clear();
@@ -161,20 +166,20 @@
         }
     }
 
-    /** Records the note of a gate's own refusal, where there is one. */
+    /** Records the note of a gate's own refusal. */
     recordRefusalNote(note: AnswerNote, now: number): void {
         this.recordAlive(now);
         this.recordReport(note.report, now);
-        this.way.statements.recordRefusal(this.upstream, note);
+        this.parts.statements.recordRefusal(this.upstream, note);
         this.#rateShare.follow(this.limitPerSecond, now);
     }
 
-    /** Records the note of an upstream's answer; `elapsedMs` is from sending to the answer's head. */
+    /** Records the note of an upstream's response; `elapsedMs` is the time from sending to the response's head. */
     recordAnswer(note: AnswerNote | undefined, elapsedMs: number, now: number): void {
         this.recordAlive(now);
         this.recordReport(note?.report, now);
         if (note !== undefined) {
-            this.way.statements.recordAnswer(this.upstream, note);
+            this.parts.statements.recordAnswer(this.upstream, note);
         }
         this.#rateShare.follow(this.limitPerSecond, now);
         this.#rateShare.recordAnswer();
@@ -183,7 +188,10 @@
         }
     }
 
-    /** Records that an answer has taken `elapsedMs` and has not come: evidence of its own, fresher than a report. */
+    /**
+     * Records that a response has not arrived after `elapsedMs`. The delay shows a longer service time than the last
+     * load report, and is newer.
+     */
     recordOverdue(elapsedMs: number, now: number): void {
         if (this.report !== undefined && atLeast(this.report, elapsedMs) !== this.report) {
             this.recordReport(atLeast(this.report, elapsedMs), now);
@@ -199,12 +207,12 @@
         this.#penalty.failed(now);
     }
 
-    /** Records that the gate's daemon is about to stop. */
+    /** Records that the gate's daemon is shutting down. */
     recordStopping(now: number): void {
         this.#avoidance.avoid("stopping", now);
     }
 
-    /** Records what the reason of a refusal says of the upstream. */
+    /** Records the effect of a refusal's reason on the upstream's availability. */
     recordRefusal(effect: ReasonFacts["upstream"], now: number): void {
         switch (effect) {
             case "none":
@@ -212,7 +220,7 @@
             case "full":
                 return this.#fullness.turnedAway(now);
             case "cold":
-                return this.#coldness.avoid(effect, now);
+                return this.#coldAvoidance.avoid(effect, now);
             case "limited":
                 return this.#rateShare.recordRefusal(now);
             case "leaving":
@@ -223,12 +231,15 @@
         }
     }
 
-    /** Records that the gate can't be reached or has fallen silent; attempts there may be given up. */
-    suspect(now: number, giveUp = true): void {
+    /**
+     * Records that the gate is unreachable or unresponsive; with `cancelAttempts`, also cancels its cancellable
+     * attempts.
+     */
+    suspect(now: number, cancelAttempts = true): void {
         this.suspicion.fail(now);
-        if (giveUp) {
-            this.#abandonable.forEach(cancel => cancel.abort());
-            this.#abandonable.clear();
+        if (cancelAttempts) {
+            this.#cancellable.forEach(cancel => cancel.abort());
+            this.#cancellable.clear();
         }
     }
 }
