--- a/src/hop/gateanswer.ts
+++ b/src/hop/gateanswer.ts
@@ -1,9 +1,9 @@
-/** An upstream's answer on its way from gate to ingress. */
+/** An upstream's response as a gate passes it to an ingress. */
 import type { Readable } from "node:stream";
 import type { HttpHeaders } from "../http/httpheaders.js";
 import type { AnswerNote } from "../wire/answernote.js";
 
-/** The body is at hand, or a stream that errors when the upstream's answer breaks off. */
+/** `body` is complete if it is a buffer; a stream fails if the upstream's response breaks off. */
 export type GateAnswer = {
     readonly status: number;
     readonly headers: HttpHeaders;
--- a/src/hop/gatecall.ts
+++ b/src/hop/gatecall.ts
@@ -1,14 +1,14 @@
-/** A request on its way from ingress to gate. */
+/** A request as an ingress passes it to a gate. */
 import type { Readable } from "node:stream";
 import type { Cancel } from "../http/cancel.js";
 import type { HttpHeaders } from "../http/httpheaders.js";
 import type { RuleName } from "../ids/rulename.js";
 import type { CallHead } from "../wire/callhead.js";
 
-/** `cancel` aborts when the caller has left or the ingress has given up. */
+/** `cancel` aborts when the caller has left or the ingress no longer needs a response. */
 export type GateCall = {
     readonly head: CallHead;
-    /** The rule by which it is served, as the nearest daemon knows it. */
+    /** The rule that the request is served under; a remote gate's daemon sets the one that it matches itself. */
     readonly rule: RuleName | undefined;
     readonly method: string;
     readonly path: string;
--- a/src/hop/gateclock.test.ts
+++ b/src/hop/gateclock.test.ts
@@ -4,63 +4,63 @@
 import type { Incarnation } from "../ids/incarnation.js";
 import { GateClock } from "./gateclock.js";
 
-const life = "life-1" as Incarnation;
+const firstIncarnation = "incarnation-1" as Incarnation;
 
-test("gate clock: the closest of the readings is kept, and one of another life goes before", () => {
+test("gate clock: the most exact reading is kept, and one of a new incarnation replaces it", () => {
     const clock = new GateClock();
     assert.equal(clock.reckon(0), undefined);
-    clock.observe(life, 1000, { askedAt: 0, now: 40 });
-    clock.observe(life, 1020, { askedAt: 50, now: 90 });
-    assert.equal(clock.reckon(100), 1060, "the second one was longer on its way");
-    clock.observe(life, 1098, { askedAt: 100, now: 130 });
+    clock.observe(firstIncarnation, 1000, { askedAt: 0, now: 40 });
+    clock.observe(firstIncarnation, 1020, { askedAt: 50, now: 90 });
+    assert.equal(clock.reckon(100), 1060, "the second reading took longer to arrive");
+    clock.observe(firstIncarnation, 1098, { askedAt: 100, now: 130 });
     assert.equal(clock.reckon(130), 1098);
-    clock.observe("life-2" as Incarnation, 5, { askedAt: 130, now: 140 });
-    assert.deepEqual([clock.incarnation, clock.reckon(150)], ["life-2", 15]);
+    clock.observe("incarnation-2" as Incarnation, 5, { askedAt: 130, now: 140 });
+    assert.deepEqual([clock.incarnation, clock.reckon(150)], ["incarnation-2", 15]);
 });
 
-test("gate clock: one that has stood still is found at its next reading", () => {
+test("gate clock: the next reading corrects the estimate after the gate's clock was paused", () => {
     const clock = new GateClock();
-    clock.observe(life, 1000, { askedAt: 0, now: 0 });
-    const stoodStillMs = 5000;
-    clock.observe(life, 7000 - stoodStillMs, { askedAt: 5990, now: 6010 });
-    assert.equal(clock.reckon(6010), 7000 - stoodStillMs);
+    clock.observe(firstIncarnation, 1000, { askedAt: 0, now: 0 });
+    const pauseMs = 5000;
+    clock.observe(firstIncarnation, 7000 - pauseMs, { askedAt: 5990, now: 6010 });
+    assert.equal(clock.reckon(6010), 7000 - pauseMs);
 });
 
-test("gate clock: never later than the truth by more than a reading was on its way, for as long as both live, if the gate's goes slower", () => {
-    const hour = 3_600_000;
-    const slower = 1 - 50e-6;
+test("gate clock: with a slower gate clock, the estimate is ahead by at most the request's transit time, for a day", () => {
+    const hourMs = 3_600_000;
+    const clockRate = 1 - 50e-6;
     const clock = new GateClock();
-    for (let now = 0; now <= 24 * hour; now += hour) {
-        clock.observe(life, (now + 10) * slower, { askedAt: now, now: now + 20 });
+    for (let now = 0; now <= 24 * hourMs; now += hourMs) {
+        clock.observe(firstIncarnation, (now + 10) * clockRate, { askedAt: now, now: now + 20 });
     }
-    assert.ok(clock.reckon(24 * hour + 20)! <= (24 * hour + 20) * slower + 10);
+    assert.ok(clock.reckon(24 * hourMs + 20)! <= (24 * hourMs + 20) * clockRate + 10);
 });
 
 const readings = fc.array(
     fc.record({
-        restMs: fc.nat(500),
-        thereMs: fc.nat(200),
-        backMs: fc.nat(200),
-        stillMs: fc.constantFrom(0, 0, 0, 3000),
+        idleMs: fc.nat(500),
+        requestMs: fc.nat(200),
+        responseMs: fc.nat(200),
+        pausedMs: fc.constantFrom(0, 0, 0, 3000),
     }),
     { minLength: 1, maxLength: 30 },
 );
 
-test("gate clock: after a reading it is later than the truth by no more than the reading took, and earlier by no more than it was on its way", () => {
+test("gate clock: after a reading, the error is at most the transit time of its request or response", () => {
     fc.assert(
-        fc.property(readings, all => {
+        fc.property(readings, sequence => {
             const clock = new GateClock();
             let [now, gateTime] = [0, 700];
-            for (const { restMs, thereMs, backMs, stillMs } of all) {
-                now += restMs;
-                gateTime += Math.max(0, restMs - stillMs);
+            for (const { idleMs, requestMs, responseMs, pausedMs } of sequence) {
+                now += idleMs;
+                gateTime += Math.max(0, idleMs - pausedMs);
                 const askedAt = now;
-                now += thereMs + backMs;
-                clock.observe(life, gateTime + thereMs, { askedAt, now });
-                gateTime += thereMs + backMs;
-                const ahead = clock.reckon(now)! - gateTime;
-                assert.ok(ahead <= thereMs, `${ahead} ms later than the truth`);
-                assert.ok(-ahead <= backMs, `${-ahead} ms earlier than the truth`);
+                now += requestMs + responseMs;
+                clock.observe(firstIncarnation, gateTime + requestMs, { askedAt, now });
+                gateTime += requestMs + responseMs;
+                const aheadMs = clock.reckon(now)! - gateTime;
+                assert.ok(aheadMs <= requestMs, `${aheadMs} ms ahead of the gate's clock`);
+                assert.ok(-aheadMs <= responseMs, `${-aheadMs} ms behind the gate's clock`);
             }
         }),
         { seed: 34, numRuns: 2000 },
--- a/src/hop/gateclock.ts
+++ b/src/hop/gateclock.ts
@@ -1,33 +1,38 @@
-/** What an ingress knows of a gate's life and clock. */
+/** Tracks the incarnation and the clock of a gate, as known to an ingress. */
 import type { Incarnation } from "../ids/incarnation.js";
 
-/** A reading of the gate's clock: it showed `gateTime` no later than own time `seenAt`. */
+/** A reading of the gate's clock: it showed `gateTime` at or before `seenAt` on this daemon's clock. */
 type Reading = { readonly incarnation: Incarnation; readonly gateTime: number; readonly seenAt: number; };
 
-/** When a reading was asked for and when it came, on this daemon's clock, in milliseconds. */
-type Span = { readonly askedAt: number; readonly now: number; };
+/** When a reading was requested and when it arrived, in milliseconds on this daemon's clock. */
+type ReadingTimes = { readonly askedAt: number; readonly now: number; };
 
 /**
- * Reckons a gate's present time, never later than the truth while both clocks go alike, since a reading is old when it arrives. The gate's may
- * have stood still, with its host, or go slower: then the next reading says so.
+ * Estimates a gate's present time. A reading is already old when it arrives, so the estimate is never ahead of the
+ * gate's clock while both clocks run at the same rate. If the gate's clock was paused with its host, or runs slower,
+ * the next reading corrects the estimate.
  */
 export class GateClock {
     #reading: Reading | undefined;
 
+    /** The gate's incarnation, or undefined before the first reading. */
     get incarnation(): Incarnation | undefined {
         return this.#reading?.incarnation;
     }
 
-    /** The gate's time now; undefined before the first reading. */
+    /** Returns the gate's estimated present time, or undefined before the first reading. */
     reckon(now: number): number | undefined {
         return this.#reading === undefined ? undefined : this.#reading.gateTime + now - this.#reading.seenAt;
     }
 
-    /** Records a reading; of two of the same life the one that gives the later time is the closer, unless the gate can't have come to it. */
-    observe(incarnation: Incarnation, gateTime: number, { askedAt, now }: Span): void {
-        const reckoned = this.#reading?.incarnation === incarnation ? this.reckon(now)! : -Infinity;
+    /**
+     * Records a reading. Of two readings from one incarnation, the one that gives the later time is closer to the
+     * gate's clock and is kept, unless the gate's clock can't have reached that time yet.
+     */
+    observe(incarnation: Incarnation, gateTime: number, { askedAt, now }: ReadingTimes): void {
+        const estimated = this.#reading?.incarnation === incarnation ? this.reckon(now)! : -Infinity;
         const latest = gateTime + now - askedAt;
-        if (gateTime > reckoned || reckoned > latest) {
+        if (gateTime > estimated || estimated > latest) {
             this.#reading = { incarnation, gateTime, seenAt: now };
         }
     }
--- a/src/hop/hop.ts
+++ b/src/hop/hop.ts
@@ -1,17 +1,17 @@
-/** The way from an ingress to one gate. */
+/** The transport from an ingress to one gate. */
 import type { RevokeResult } from "../ledger/revokeresult.js";
 import type { CallHead } from "../wire/callhead.js";
 import type { GateAnswer } from "./gateanswer.js";
 import type { GateCall } from "./gatecall.js";
 
-/** In the same process, or over the network. */
+/** Sends requests to a gate in the same process or over the network. */
 export abstract class Hop {
-    /** Sends a request once; throws a HopError. */
+    /** Sends a request once, without retries; throws a HopError. */
     abstract send(call: GateCall): Promise<GateAnswer>;
-    /** Takes a request back; `unknown` when the gate can't be reached. */
+    /** Asks the gate to revoke a request; resolves with `unknown` if the gate is unreachable. */
     abstract revoke(head: CallHead): Promise<RevokeResult>;
-    /** Learns the gate's life and clock; throws a HopError. */
+    /** Asks the gate for its incarnation and clock; throws a HopError. */
     abstract greet(): Promise<void>;
-    /** Ends idle connections, after what is in flight. */
+    /** Closes connections as soon as they are idle; requests in flight are completed. */
     abstract close(): Promise<void>;
 }
--- a/src/hop/hoperror.ts
+++ b/src/hop/hoperror.ts
@@ -1,11 +1,15 @@
-/** The error of a hop. */
+/** The error of an attempt that ended without a response from the upstream. */
 import type { Reason } from "../policy/retry/reason.js";
 import type { AnswerNote } from "../wire/answernote.js";
 
-/** `not-run` is proven; `broken` means that no answer came and the gate may be asked; `unknown` is final. */
+/**
+ * `not-run`: the request has provably not run. `broken`: no response arrived, and the gate can be asked whether the
+ * request has run. `unknown`: the request may have run, and asking the gate would not show
+ * whether it has.
+ */
 type HopOutcome = "not-run" | "unknown" | "broken";
 
-/** An attempt that brought no answer of the upstream. */
+/** Thrown by a hop or a gate; `note` is the gate's note, if the gate sent one. */
 export class HopError extends Error {
     constructor(
         readonly outcome: HopOutcome,
@@ -13,7 +17,7 @@
         readonly note?: AnswerNote,
         options?: ErrorOptions,
     ) {
-        super(`${outcome}: ${reason}`, options);
+        super(`attempt failed (${outcome}): ${reason}`, options);
         this.name = "HopError";
     }
 }
--- a/src/ingress/readbody.ts
+++ b/src/ingress/readbody.ts
@@ -41,7 +41,8 @@
 };
 
 /**
- * Reads a body up to `keepBytes` and streams a longer one; rejects with a BodyError if it is too large or incomplete.
+ * Reads a body up to `keepBytes` and streams a longer one. A body that is too large or incomplete raises a BodyError:
+ * the promise rejects with it, or the stream ends with it once streaming has begun.
  */
 export async function readBody(req: IncomingMessage, limits: BodyLimits): Promise<RequestBody> {
     if (!hasBody(req)) {
