--- a/src/dialect/dialect.ts
+++ b/src/dialect/dialect.ts
@@ -1,71 +1,80 @@
-/** The header fields of callers and upstreams that concern winglock: their names, and how their values are read. */
+/**
+ * Defines the header fields that winglock exchanges with callers and upstreams: their names and the reading of their
+ * values.
+ */
 import type { HttpHeaders } from "../http/httpheaders.js";
 import type { StatedLimit } from "../policy/rate/statedlimit.js";
 import { readLimit } from "./readlimit.js";
 import { readLoad } from "./readload.js";
 import type { UpstreamLoad } from "./upstreamload.js";
 
-/** Names are in lower case; what an upstream sends proves something only where a method here says so. */
+/** Names are in lower case. A field from an upstream is proof only where the comment of a method says so. */
 export abstract class Dialect {
-    /** On requests: the id of the attempt, which an upstream may send back. */
+    /** On requests: the id of the attempt, which an upstream may return in its response. */
     abstract readonly requestId: string;
-    /** True when callers give each attempt an id of their own, which goes on to the upstream. */
+    /** True if callers give each attempt an id of their own, which is passed on to the upstream. */
     abstract readonly callersGiveIds: boolean;
-    /** From callers: milliseconds that they will wait; undefined where they have no say. */
+    /** From callers: their time limit in milliseconds; undefined if callers can't give one. */
     abstract readonly callerTimeLimit: string | undefined;
-    /** To upstreams: milliseconds that are left. */
+    /** To upstreams: the milliseconds left until the deadline. */
     abstract readonly timeLimit: string;
-    /** To upstreams: the name of the upstream that is meant. */
+    /** To upstreams: the name of the upstream that the request is for. */
     abstract readonly upstream: string;
-    /** To upstreams: the service from whose host the request comes. */
+    /** To upstreams: the service on the host that the request comes from. */
     abstract readonly callerService: string;
-    /** To upstreams, and back from them on their own calls: ties a call to its request. */
+    /** To upstreams, and back from them on the calls that they make: links a call to its request. */
     abstract readonly context: string;
-    /** From upstreams: what they report of their load. */
+    /** From upstreams: their load report. */
     abstract readonly upstreamLoad: string;
-    /** From upstreams in need: how many requests a second they take. */
+    /** From upstreams that limit their rate: the requests per second that they accept. */
     abstract readonly requestLimit: string;
-    /** From upstreams, on their health endpoints: their own names. */
+    /** From upstreams, on their health endpoints: their own name. */
     abstract readonly ownName: string;
-    /** From callers: whose request it is, as far as they say. */
+    /** From callers: fields that identify who sends the request, if present. */
     readonly callerFields: readonly string[] = ["authorization", "cookie"];
-    /** To callers: `not-run` or `unknown`. */
+    /** To callers, on problems: `not-run` or `unknown`. */
     abstract readonly outcome: string;
 
-    /** The id by which callers and upstreams know a request: the caller's own where callers give one, else `own`. */
-    idOf(headers: HttpHeaders, own: string): string {
+    /**
+     * Returns the id by which callers and upstreams know a request: the caller's if callers give one, otherwise
+     * `ownId`.
+     */
+    idOf(headers: HttpHeaders, ownId: string): string {
         const given = this.callersGiveIds ? headers[this.requestId] : undefined;
-        return typeof given === "string" ? given : own;
+        return typeof given === "string" ? given : ownId;
     }
 
-    /** What the upstream reports of its load; undefined when it reports nothing that can be read. */
+    /** Returns the upstream's load report, or undefined if there is none or it is unreadable. */
     load(headers: HttpHeaders): UpstreamLoad | undefined {
         return readLoad(headers[this.upstreamLoad]);
     }
 
-    /** How many requests a second the upstream takes, as far as it says. */
+    /** Returns the upstream's stated rate limit. */
     limit(headers: HttpHeaders): StatedLimit {
         return readLimit(headers[this.requestLimit]);
     }
 
-    /** The name that an upstream gives itself; undefined when it gives none. */
+    /** Returns the upstream's name as it states it, or undefined if it states none. */
     upstreamName(headers: HttpHeaders): string | undefined {
         const name = headers[this.ownName];
         return typeof name === "string" ? name : undefined;
     }
 
-    /** For how much longer the upstream is cold by its health endpoint, in milliseconds; undefined when it does not say. */
+    /** Returns for how many milliseconds the upstream stays cold by its health endpoint, or undefined if not stated. */
     abstract coldMs(headers: HttpHeaders): number | undefined;
-    /** Why the upstream has certainly not run the request, undefined when it may have. */
+    /** Returns why the upstream has provably not run the request, or undefined if it may have run it. */
     abstract notRun(status: number, headers: HttpHeaders): "shed" | "leaving" | "misdirected" | undefined;
-    /** True when the answer is the upstream's own to the request with this id. */
+    /** Returns true if the response is the upstream's own response to the request with this id. */
     abstract isOwnAnswer(status: number, headers: HttpHeaders, id: string): boolean;
-    /** The id of the request for which an upstream makes this call, as far as the call shows. */
+    /**
+     * Returns the id of the request during which an upstream makes this call, or undefined if the call does not show
+     * it.
+     */
     abstract parentOf(headers: HttpHeaders): string | undefined;
-    /** True when the upstream reports that it is about to stop. */
+    /** Returns true if the upstream reports that it is about to stop. */
     abstract isLeaving(headers: HttpHeaders): boolean;
-    /** True where an upstream that leaves does not come back under its name. */
+    /** True if an upstream that leaves never comes back under its name. */
     abstract readonly leavesForGood: boolean;
-    /** The value of `retry-after`. */
+    /** Returns the value of `retry-after` for a time in milliseconds. */
     abstract retryAfter(ms: number): string;
 }
--- a/src/dialect/headername.ts
+++ b/src/dialect/headername.ts
@@ -1,27 +1,27 @@
-/** The header fields that are winglock's own. */
+/** The names of winglock's own header fields. */
 
-/** All start with `winglock-`, so that one test strips them from what callers send. */
+/** All start with `winglock-`, so that one check of the prefix strips them from callers' requests. */
 export const headerName = {
-    /** On every peer call: the key that daemons share. */
+    /** On every call between daemons: the key that they share. */
     key: "winglock-key",
-    /** To callers on refusals, and from upstreams that shed: `not-run` or `unknown`. */
+    /** To callers on problems, and from upstreams that shed load: `not-run` or `unknown`. */
     outcome: "winglock-outcome",
-    /** To upstreams, and back from them on calls that they make to their own daemon. */
+    /** To upstreams, and back from them on calls through their own daemon: links a call to its request. */
     context: "winglock-context",
-    /** To upstreams: milliseconds that are left for the request. */
+    /** To upstreams: the milliseconds left until the request's deadline. */
     timeout: "winglock-timeout-ms",
-    /** To upstreams: the request's id; an upstream that echoes it has its answers checked. */
+    /** To upstreams: the request's id; if a response returns an id, it must be this one. */
     requestId: "winglock-request-id",
-    /** To upstreams: the name of the upstream that is meant. */
+    /** To upstreams: the name of the upstream that the request is for. */
     upstream: "winglock-upstream",
-    /** To upstreams: the service from whose host the request comes. */
+    /** To upstreams: the service on the host that the request comes from. */
     caller: "winglock-caller",
-    /** From upstreams: running, waiting, slots and pace in hundredths, joined by commas. */
+    /** From upstreams: running requests, queued requests, slots and pace in hundredths, separated by commas. */
     load: "winglock-load",
-    /** From upstreams, on their health endpoints: for how many milliseconds more they are cold. */
+    /** From upstreams, on their health endpoints: for how many more milliseconds they are cold. */
     cold: "winglock-cold-ms",
-    /** From upstreams in need: how many requests a second they take, a decimal number. */
+    /** From upstreams that limit their rate: the requests per second that they accept, a decimal number. */
     limit: "winglock-limit",
-    /** From upstreams: present when they are about to stop. */
+    /** From upstreams: present if they are about to stop. */
     leaving: "winglock-leaving",
 } as const;
--- a/src/dialect/owndialect.ts
+++ b/src/dialect/owndialect.ts
@@ -1,14 +1,13 @@
-/** Winglock's own names, for callers and upstreams that know winglock. */
+/** The dialect of callers and upstreams that use winglock's own header fields. */
 import type { HttpHeaders } from "../http/httpheaders.js";
 import { httpStatus } from "../http/httpstatus.js";
 import { Dialect } from "./dialect.js";
 import { headerName } from "./headername.js";
 import { readMs } from "./readms.js";
 
-/** Milliseconds. */
 const MS_PER_SECOND = 1000;
 
-/** As docs/SETTINGS.md and headername.ts list them. */
+/** Uses the fields that headername.ts and docs/SETTINGS.md list. */
 export class OwnDialect extends Dialect {
     readonly requestId = headerName.requestId;
     readonly callersGiveIds = false;
@@ -34,13 +33,13 @@
         return this.isLeaving(headers) ? "leaving" : "shed";
     }
 
-    /** An upstream need not echo the id. */
+    /** Accepts a response without an id, since an upstream need not return it. */
     isOwnAnswer(_status: number, headers: HttpHeaders, id: string): boolean {
         const echo = headers[headerName.requestId];
         return echo === undefined || echo === id;
     }
 
-    /** The context ties a call to its request. */
+    /** Returns undefined: the context field links a call to its request instead. */
     parentOf(): undefined {
         return undefined;
     }
@@ -49,7 +48,7 @@
         return headers[headerName.leaving] !== undefined;
     }
 
-    /** Whole seconds (RFC 9110, 10.2.3). */
+    /** Returns whole seconds, at least 1 (RFC 9110, 10.2.3). */
     retryAfter(ms: number): string {
         return String(Math.max(1, Math.ceil(ms / MS_PER_SECOND)));
     }
--- a/src/dialect/readlimit.ts
+++ b/src/dialect/readlimit.ts
@@ -1,9 +1,9 @@
-/** Reads the limit of requests a second that an upstream states. */
+/** Reads the rate limit that an upstream states, in requests per second. */
 import type { StatedLimit } from "../policy/rate/statedlimit.js";
 
 const DECIMAL = /^\d+(\.\d+)?$/;
 
-/** A decimal number from 0 up; a field that is there twice is unreadable. */
+/** Accepts a decimal number that is 0 or greater; a field that is present twice is unreadable. */
 export function readLimit(value: string | string[] | undefined): StatedLimit {
     if (value === undefined) {
         return { type: "none" };
--- a/src/dialect/readload.ts
+++ b/src/dialect/readload.ts
@@ -1,20 +1,23 @@
-/** Reads an upstream's report of its load: running, waiting, slots, and pace in hundredths, joined by commas. */
+/**
+ * Reads an upstream's load report: running requests, queued requests, slots and pace in hundredths, separated by
+ * commas.
+ */
 import type { UpstreamLoad } from "./upstreamload.js";
 
-/** In hundredths: work takes as long as usual. */
-const USUAL_PACE = 100;
-/** The pace may be left out. */
-const MIN_FIGURES = 3;
+/** The pace of an upstream whose service time is its usual one. */
+const USUAL_PACE_HUNDREDTHS = 100;
+/** All fields but the pace, which is optional. */
+const MIN_FIELDS = 3;
 
-/** Undefined for anything else; no fourth figure means the usual pace. */
+/** Returns the report, or undefined if it is unreadable; the pace is the usual one if it is omitted. */
 export function readLoad(text: string | string[] | undefined): UpstreamLoad | undefined {
     if (typeof text !== "string") {
         return undefined;
     }
-    const figures = text.split(",").map(Number);
-    const [running, waiting, slots, pace = USUAL_PACE] = figures;
-    if (figures.length < MIN_FIGURES || !figures.every(figure => Number.isFinite(figure) && figure >= 0)) {
+    const fields = text.split(",").map(Number);
+    const [running, waiting, slots, pace = USUAL_PACE_HUNDREDTHS] = fields;
+    if (fields.length < MIN_FIELDS || !fields.every(field => Number.isFinite(field) && field >= 0)) {
         return undefined;
     }
-    return { running: running!, waiting: waiting!, slots: slots!, pace: pace / USUAL_PACE };
+    return { running: running!, waiting: waiting!, slots: slots!, pace: pace / USUAL_PACE_HUNDREDTHS };
 }
--- a/src/dialect/requestkeyof.ts
+++ b/src/dialect/requestkeyof.ts
@@ -1,4 +1,4 @@
-/** The key by which a request is known again when its caller sends it once more, at whichever host. */
+/** Computes the key that identifies a request when its caller sends it again, to the same host or another. */
 import { createHash } from "node:crypto";
 import { isIP } from "node:net";
 import type { Readable } from "node:stream";
@@ -6,11 +6,11 @@
 import type { RequestKey } from "../ids/requestkey.js";
 import type { Dialect } from "./dialect.js";
 
-/** Of the digest, in bytes: too many for two requests to share a key by chance. */
+/** The part of the digest that is used: long enough that two requests do not share a key by chance. */
 const KEY_BYTES = 8;
 
-/** As it goes from an ingress to a gate. */
-type Sent = {
+/** The parts of a request that are used, as an ingress sends them to a gate. */
+type KeyedRequest = {
     readonly method: string;
     readonly path: string;
     readonly headers: HttpHeaders;
@@ -18,10 +18,11 @@
 };
 
 /**
- * Ingress and gate each find it by themselves, so that no byte of it goes between data halls; it takes some 5 microseconds. Undefined
- * for a body that is passed on as it comes: what it holds is not known before it is sent.
+ * Returns the key, or undefined for a request with a streamed body, since its content is not known before it is sent.
+ * Ingress and gate each compute the key, which takes about 5 microseconds, so that it adds no traffic between data
+ * halls.
  */
-export function requestKeyOf({ method, path, headers, body }: Sent, dialect: Dialect): RequestKey | undefined {
+export function requestKeyOf({ method, path, headers, body }: KeyedRequest, dialect: Dialect): RequestKey | undefined {
     if (body !== undefined && !Buffer.isBuffer(body)) {
         return undefined;
     }
@@ -35,7 +36,10 @@
 
 const PORT = /:\d+$/;
 
-/** The site that a caller names. One that calls a daemon by its number names none: the number is another at each host. */
+/**
+ * Returns the site named in the `host` field, or an empty string for an IP address. Callers that address a daemon by IP
+ * address use a different one for each host, so it must not change the key.
+ */
 const siteOf = (host: string | string[] | undefined): string => {
     const name = String(host ?? "").toLowerCase().replace(PORT, "").replace(/^\[|\]$/g, "");
     return isIP(name) === 0 ? name : "";
--- a/src/dialect/upstreamload.ts
+++ b/src/dialect/upstreamload.ts
@@ -1,6 +1,9 @@
-/** What an upstream tells of itself. */
+/** An upstream's own load report. */
 
-/** Requests that run and wait there; `pace` is how long work takes now, 1 as usual, 2 twice as long. */
+/**
+ * `running` and `waiting` are the numbers of requests that run and that are queued at the upstream. `pace` is its
+ * present service time relative to its usual one: 1 is as usual, 2 is twice as long.
+ */
 export type UpstreamLoad = {
     readonly running: number;
     readonly waiting: number;
