--- a/src/hop/gateclock.test.ts
+++ b/src/hop/gateclock.test.ts
@@ -26,7 +26,7 @@
     assert.equal(clock.reckon(6010), 7000 - pauseMs);
 });
 
-test("gate clock: with a slower gate clock, the estimate is ahead by at most the request's transit time, for a day", () => {
+test("gate clock: with a slower gate clock, the estimate is ahead by at most the request's transit time", () => {
     const hourMs = 3_600_000;
     const clockRate = 1 - 50e-6;
     const clock = new GateClock();
--- a/src/ingress/attempt.ts
+++ b/src/ingress/attempt.ts
@@ -82,7 +82,6 @@
         this.#cancel.abort();
     }
 
-    /** Makes the attempt. */
     async run(): Promise<Result> {
         const { target } = this;
         const { ingress, plan, requestCancel } = this.parts;
@@ -120,7 +119,7 @@
             cancel: this.#cancel,
         });
         const now = ingress.clock();
-        target.recordAnswer(response.note, now - sentAt, now);
+        target.recordResponse(response.note, now - sentAt, now);
         if (response.status >= httpStatus.internalServerError) {
             target.recordFailure(now);
             const { status, note } = response;
--- a/src/ingress/deliver.test.ts
+++ b/src/ingress/deliver.test.ts
@@ -6,12 +6,12 @@
 import { test } from "node:test";
 import { deliver } from "./deliver.js";
 
-const BOUND = 5;
+const BUFFER_BYTES = 5;
 
 test("deliver: a response that exceeds the buffer but ends while it is read is sent whole", async () => {
     const server = createServer((_req, res) => {
         const body = Readable.from([Buffer.from("0123456789")], { objectMode: false });
-        void deliver(res, { status: 200, headers: {}, body, note: undefined }, true, false, BOUND);
+        void deliver(res, { status: 200, headers: {}, body, note: undefined }, true, false, BUFFER_BYTES);
     });
     server.listen(0, "127.0.0.1");
     await once(server, "listening");
--- a/src/ingress/deliver.ts
+++ b/src/ingress/deliver.ts
@@ -25,7 +25,7 @@
 
 /**
  * Makes the response end with its connection, as the upstream's did. With a length or chunked framing, the caller would
- * take a response for complete that may have been cut off.
+ * take a truncated response for a complete one.
  */
 const endByClosing = (res: ServerResponse): void => {
     res.shouldKeepAlive = false;
--- a/src/ingress/ingress.ts
+++ b/src/ingress/ingress.ts
@@ -116,7 +116,10 @@
             }
         }
         catch (err) {
-            logger.warn("An unexpected error ended the handling of a request.", err);
+            logger.warn(
+                "An unexpected error ended a request; its caller gets status 500 unless a response has begun.",
+                err,
+            );
             callerResponse.sendProblem("internal", { outcome: "unknown", detail: "internal" });
         }
         finally {
--- a/src/ingress/targetselector.ts
+++ b/src/ingress/targetselector.ts
@@ -25,7 +25,7 @@
             return holder;
         }
         const targets = selectTargets(views, this.tried, now);
-        return targets.find(view => view.isDue(now))
+        return targets.find(view => view.isRateProbeDue(now))
             ?? placement.choose(targets, now, random) as UpstreamView | undefined;
     }
 
--- a/src/ingress/upstreamstatements.ts
+++ b/src/ingress/upstreamstatements.ts
@@ -40,7 +40,7 @@
     }
 
     /** Records the note of an upstream's response; a note without a statement revokes a stated rate limit. */
-    recordAnswer(upstream: UpstreamName, note: StatementNote): void {
+    recordResponse(upstream: UpstreamName, note: StatementNote): void {
         const known = this.#byName.get(upstream);
         if (this.#hasStatement(note)) {
             this.#record(upstream, note);
--- a/src/ingress/upstreamview.ts
+++ b/src/ingress/upstreamview.ts
@@ -126,7 +126,7 @@
     }
 
     /** True if the next request should go to this upstream to find out whether its stated rate limit has ended. */
-    isDue(now: number): boolean {
+    isRateProbeDue(now: number): boolean {
         return this.#rateShare.isDue(now);
     }
 
@@ -175,11 +175,11 @@
     }
 
     /** Records the note of an upstream's response; `elapsedMs` is the time from sending to the response's head. */
-    recordAnswer(note: AnswerNote | undefined, elapsedMs: number, now: number): void {
+    recordResponse(note: AnswerNote | undefined, elapsedMs: number, now: number): void {
         this.recordAlive(now);
         this.recordReport(note?.report, now);
         if (note !== undefined) {
-            this.parts.statements.recordAnswer(this.upstream, note);
+            this.parts.statements.recordResponse(this.upstream, note);
         }
         this.#rateShare.follow(this.limitPerSecond, now);
         this.#rateShare.recordAnswer();
@@ -189,8 +189,8 @@
     }
 
     /**
-     * Records that a response has not arrived after `elapsedMs`. The delay shows a longer service time than the last
-     * load report, and is newer.
+     * Records that a response has not arrived after `elapsedMs`: raises the service time of the last load report to at
+     * least that, since the delay is newer evidence than the report.
      */
     recordOverdue(elapsedMs: number, now: number): void {
         if (this.report !== undefined && atLeast(this.report, elapsedMs) !== this.report) {
