--- a/src/ingress/upstreamtable.ts
+++ b/src/ingress/upstreamtable.ts
@@ -20,20 +20,19 @@
     readonly #byName = new Map<UpstreamName, UpstreamView>();
     readonly #statements = new UpstreamStatements();
     readonly #byService = new Map<ServiceName, UpstreamView[]>();
-    /** Upstreams that the failure detector has to check. */
-    readonly #unsettled = new Set<UpstreamView>();
+    readonly #monitored = new Set<UpstreamView>();
     #upstreams: readonly Upstream[] = [];
 
     constructor(private readonly openHop: OpenHop, private readonly evacuations: Evacuations) {}
 
-    /** Upstreams that requests were sent to since their last `settle`. */
+    /** The upstreams that requests were sent to and that the failure detector still has to check. */
     get unsettled(): Iterable<UpstreamView> {
-        return this.#unsettled;
+        return this.#monitored;
     }
 
-    /** Removes an upstream from `unsettled` until the next request is sent to it. */
+    /** Excludes an upstream from failure detection until the next request is sent to it. */
     settle(view: UpstreamView): void {
-        this.#unsettled.delete(view);
+        this.#monitored.delete(view);
     }
 
     /** Replaces the list of upstreams; the views of those with an unchanged gate and service are kept. */
@@ -48,7 +47,7 @@
             }
             else {
                 this.#byName.delete(name);
-                this.#unsettled.delete(view);
+                this.#monitored.delete(view);
             }
         }
     }
@@ -85,7 +84,7 @@
             local,
             statements: this.#statements,
             isEvacuated: () => this.evacuations.isEvacuated(upstream.hall),
-            onSent: sent => this.#unsettled.add(sent),
+            onSent: sent => this.#monitored.add(sent),
         });
         this.#byName.set(upstream.name, view);
         return view;
