--- a/src/policy/placement/atleast.ts
+++ b/src/policy/placement/atleast.ts
@@ -1,12 +1,15 @@
 /**
- * What does work that has not ended say of an upstream's service time? That it is at least as long as the work has run.
+ * Raises the service time of a load report to the age of requests that are still running.
  *
- * A gate counts the mean age of what it runs, an ingress the time that an answer is overdue: an upstream that answers nothing
- * at all would else keep the times of its last answers.
+ * A request that has run for some milliseconds without a response shows that the service time is at least that long. A
+ * gate passes the mean age of its running requests, an ingress the age of an overdue attempt. Without this, an
+ * unresponsive upstream would keep the service time of its last responses.
  */
 import type { LoadReport } from "./loadreport.js";
 
-/** The report with its service time raised to `elapsedMs` milliseconds, the report itself where that is no more. */
+/**
+ * Returns the report with `serviceMs` raised to `elapsedMs`, or the same object if `serviceMs` is at least that long.
+ */
 export function atLeast(report: LoadReport, elapsedMs: number): LoadReport {
     return elapsedMs > report.serviceMs ? { ...report, serviceMs: elapsedMs } : report;
 }
--- a/src/policy/placement/availability.ts
+++ b/src/policy/placement/availability.ts
@@ -1,8 +1,14 @@
-/** Whether an upstream may be sent requests. */
+/** States whether an upstream may be sent requests, and if not, why. */
 
 /**
- * `draining`: operators or the upstream said so; `leaving`: its gate did; `evacuated`: its hall is; `suspected`: its gate does not answer; `full`: it has just
- * turned a request away; `cold`: its gate has, since it is cold; `limited`: this daemon's share of the requests a second that it takes is used.
+ * - `available`: it may be sent requests.
+ * - `draining`: an operator or the upstream itself is draining it.
+ * - `leaving`: its gate reported that it is leaving.
+ * - `evacuated`: operators have evacuated its data hall.
+ * - `suspected`: its gate is unresponsive.
+ * - `full`: it has just refused a request.
+ * - `cold`: its gate refused a request because the upstream is cold.
+ * - `limited`: this daemon has used its share of the stated rate limit.
  */
 export type Availability =
     | "available"
--- a/src/policy/placement/availableof.ts
+++ b/src/policy/placement/availableof.ts
@@ -1,11 +1,11 @@
-/** Which upstreams has a request not been sent to, and could be? */
+/** Selects the available upstreams that a request has not been sent to. */
 import type { Selectable } from "./selectable.js";
 
-/** In the order of `all`. */
+/** Returns the targets that are available at `now` and not in `attempted`, in the order of `all`. */
 export function availableOf<Target extends Selectable>(
     all: readonly Target[],
-    tried: ReadonlySet<Target>,
+    attempted: ReadonlySet<Target>,
     now: number,
 ): Target[] {
-    return all.filter(target => !tried.has(target) && target.availability(now) === "available");
+    return all.filter(target => !attempted.has(target) && target.availability(now) === "available");
 }
--- a/src/policy/placement/avoidance.ts
+++ b/src/policy/placement/avoidance.ts
@@ -1,35 +1,39 @@
 /**
- * For how long is an upstream left out of placement after its gate said that it takes no request?
+ * Decides for how long an upstream is excluded from placement after its gate reported that it accepts no requests.
  *
- * Each cause has its own time, in milliseconds; of two that overlap the later end counts. Suspicion (failure/suspicion.ts) is
- * another matter: it ends with a sign of life.
+ * Each cause has its own duration in milliseconds; if periods overlap, the latest end counts. Unresponsive gates are
+ * handled by policy/failure/suspicion.ts instead, because that exclusion ends as soon as the gate responds.
  */
 
-/** `leaving`: the gate said so; `absent`: the gate knows no such upstream; `stopping`: the gate's daemon is about to stop;
- * `cold`: it was sent all that a cold upstream takes. */
+/**
+ * - `leaving`: the gate reported that the upstream is leaving.
+ * - `absent`: the gate does not know the upstream.
+ * - `stopping`: the gate's daemon is shutting down.
+ * - `cold`: the upstream is cold and has received all requests that it can serve for now.
+ */
 type Cause = "leaving" | "absent" | "stopping" | "cold";
 
-const AVOID_MS: Readonly<Record<Cause, number>> = {
-    /** Asked again after this, since a drain may be taken back. */
+const EXCLUSION_MS: Readonly<Record<Cause, number>> = {
+    /** Limited, because a drain can be cancelled; the upstream then gets requests again. */
     leaving: 2000,
-    /** A gate that has just started learns its upstream at once. */
+    /** Short, because a gate that has just started learns its upstream at once. */
     absent: 100,
-    /** Other daemons send it what it takes in this time; without the pause each that was refused would try again at once. */
+    /** Other daemons use the upstream's capacity meanwhile; without a pause each refused daemon would retry at once. */
     cold: 300,
-    /** Longer than the idle connections to a stopping daemon last. */
+    /** Longer than idle connections to a stopping daemon stay open. */
     stopping: 5000,
 };
 
-/** Of one upstream; times are on the daemon's clock. */
+/** Holds the exclusion period of one upstream; times are milliseconds on the daemon's clock. */
 export class Avoidance {
-    #until = 0;
+    #activeUntil = 0;
 
-    /** Records that the gate takes no request, for a cause. */
+    /** Excludes the upstream from `now` for the duration of the cause, unless it is already excluded for longer. */
     avoid(cause: Cause, now: number): void {
-        this.#until = Math.max(this.#until, now + AVOID_MS[cause]);
+        this.#activeUntil = Math.max(this.#activeUntil, now + EXCLUSION_MS[cause]);
     }
 
     isActive(now: number): boolean {
-        return now < this.#until;
+        return now < this.#activeUntil;
     }
 }
--- a/src/policy/placement/candidate.ts
+++ b/src/policy/placement/candidate.ts
@@ -1,22 +1,28 @@
-/** What an ingress knows of an upstream when it places a request. */
+/** Describes an upstream as an ingress sees it when it places a request. */
 import type { UpstreamName } from "../../ids/upstreamname.js";
 import type { LoadReport } from "./loadreport.js";
 
-/** Times in milliseconds; `reportAt` is on the ingress's own clock. */
+/** Times are milliseconds; moments are on the ingress's own clock. */
 export type Candidate = {
     readonly upstream: UpstreamName;
+    /** Requests that the upstream serves at a time. */
     readonly slots: number;
-    /** In the ingress's own data hall. */
+    /** True if the upstream is in the ingress's own data hall. */
     readonly near: boolean;
-    /** Path round trip to the gate. */
+    /** Network round trip to the gate, without the time that the gate takes. */
     readonly roundTripMs: number;
-    /** Requests of this daemon that were sent there and have not ended. */
+    /** Requests that this daemon has sent to the upstream and that have not ended. */
     readonly outstanding: number;
     readonly report: LoadReport | undefined;
+    /** When the report was received. */
     readonly reportAt: number;
-    /** `outstanding` when the report came. */
+    /** Value of `outstanding` when the report was received. */
     readonly outstandingAtReport: number;
-    /** Added to the expected time, for an upstream that fails: a fast failure must not look fast. Fades. */
+    /**
+     * Added to the expected time of an upstream that fails, so that fast failures do not look like fast responses.
+     * Decays.
+     */
     readonly penaltyMs: number;
+    /** When the upstream last failed. */
     readonly penaltyAt: number;
 };
--- a/src/policy/placement/expectedtime.test.ts
+++ b/src/policy/placement/expectedtime.test.ts
@@ -5,7 +5,7 @@
 import type { Candidate } from "./candidate.js";
 import { ExpectedTime } from "./expectedtime.js";
 
-const candidate = (name: string, more: Partial<Candidate> = {}): Candidate => ({
+const candidate = (name: string, overrides: Partial<Candidate> = {}): Candidate => ({
     upstream: name as UpstreamName,
     slots: 10,
     near: true,
@@ -16,38 +16,39 @@
     outstandingAtReport: 0,
     penaltyMs: 0,
     penaltyAt: 0,
-    ...more,
+    ...overrides,
 });
 
 const choose = (candidates: Candidate[], now: number): string =>
     new ExpectedTime().choose(candidates, now, () => 0)!.upstream;
 
-test("placement: own requests outstanding weigh more than an old report", () => {
+test("placement: own outstanding requests outweigh a stale report", () => {
     assert.equal(choose([candidate("a", { outstanding: 4 }), candidate("b")], 50), "b");
 });
 
-test("placement: the near hall is preferred only while it is faster", () => {
+test("placement: an upstream in the same hall is preferred only while it is faster", () => {
     const near = candidate("near", { roundTripMs: 0.5 });
     const far = candidate("far", { roundTripMs: 4 });
     assert.equal(choose([far, near], 50), "near");
     assert.equal(choose([far, { ...near, outstanding: 5 }], 50), "far");
 });
 
-test("placement: a fast failure does not look fast, and is forgiven with time", () => {
+test("placement: an upstream that fails fast is avoided until its penalty decays", () => {
     const failing = candidate("a", { penaltyMs: 50, penaltyAt: 0, roundTripMs: 0 });
     assert.equal(choose([failing, candidate("b")], 10), "b");
     assert.equal(choose([failing, candidate("b")], 10_000), "a");
 });
 
-test("placement: reported slowness is believed for a while", () => {
+test("placement: a reported slow service time counts until the report is stale", () => {
     const slow = { running: 2, waiting: 0, limit: 10, serviceMs: 100, baseMs: 10 };
     const candidates = [candidate("a", { report: slow, roundTripMs: 0 }), candidate("b")];
     assert.equal(choose(candidates, 100), "b");
     assert.equal(choose(candidates, 5000), "a");
 });
 
-/** Where one ingress sends to few of many: 19 upstreams in each of five halls, of which it knows two in its own. */
-test("placement: in a service of many, one that nothing is known of draws nobody out of the hall", () => {
+// An ingress that has reports of two upstreams only, both in its own hall, must not treat the other 93 as faster. There
+// are 19 upstreams in each of five halls.
+test("placement: in a large service, upstreams without a report attract no requests from other halls", () => {
     const report = { running: 1, waiting: 0, limit: 6, serviceMs: 400, baseMs: 400 };
     const unknown = Array.from(
         { length: 95 },
@@ -58,8 +59,8 @@
     const random = seededRandom(1);
     const chosen = Array.from({ length: 200 }, () => placement.choose(known, 10_000, random)!);
     assert.deepEqual(chosen.filter(item => !item.near), []);
-    assert.ok(chosen.some(item => item.report === undefined), "they get their part");
+    assert.ok(chosen.some(item => item.report === undefined), "upstreams without a report get requests too");
     const busy = known.map(item => item.near ? { ...item, outstanding: 12 } : item);
     const whenBusy = Array.from({ length: 50 }, () => placement.choose(busy, 10_000, random)!);
-    assert.ok(whenBusy.filter(item => !item.near).length > 40, "where the hall is busy they leave it");
+    assert.ok(whenBusy.filter(item => !item.near).length > 40, "requests leave a busy hall");
 });
--- a/src/policy/placement/expectedtime.ts
+++ b/src/policy/placement/expectedtime.ts
@@ -1,28 +1,36 @@
 /**
- * Which upstream? The one with the least expected time until the answer, among a few drawn at random.
+ * Places a request on the upstream with the lowest expected response time among a few that are sampled at random.
  *
- * The requests of this daemon that are outstanding are exact and never stale, so they weigh most. What others sent is known from
- * reports only, and a report fades in a few milliseconds, since a herd of ingresses that all believe the same stale report is
- * worse than none. How long work takes changes less fast, so that part of a report fades later. All times are milliseconds.
+ * The inputs are, for each upstream, this daemon's outstanding requests, the gate's load report and its age, the
+ * network round trip and the failure penalty. All times are milliseconds.
+ *
+ * The daemon's own outstanding requests are exact and never stale, so they weigh most. The load from other ingresses is
+ * known from reports only. That part of a report decays within a few milliseconds, because many ingresses that act on
+ * the same stale report overload one upstream, which is worse than no report. Service times change more slowly, so they
+ * decay later.
  */
 import type { RandomSource } from "../randomsource.js";
 import type { Candidate } from "./candidate.js";
 import { Placement } from "./placement.js";
 import { sample } from "./sample.js";
 
-/** What operators may set, as docs/SETTINGS.md describes `policy.placementOptions`. */
+/**
+ * Options of the policy; operators set them in `policy.placementOptions` (docs/SETTINGS.md), except `serviceFadeMs`.
+ */
 type Options = {
-    /** How many candidates are drawn. */
+    /** Number of candidates that are sampled. */
     readonly choices: number;
-    /** For how long a report of the load is believed. */
+    /** Time constant with which a reported load decays. */
     readonly loadFadeMs: number;
-    /** For how long a report of service times and of the limit is believed; not among the settings. */
+    /** Time constant with which reported service times and concurrency limits decay; not a setting. */
     readonly serviceFadeMs: number;
-    /** How many requests of others one of this daemon stands for, when no report is fresh. */
+    /**
+     * Number of requests that each own outstanding request stands for when no fresh report shows the load of others.
+     */
     readonly ownWeight: number;
-    /** For how long an upstream's report of its pace is believed. */
+    /** Time constant with which a reported pace decays. */
     readonly paceFadeMs: number;
-    /** What it costs to leave the data hall, in usual service times. */
+    /** Cost of leaving the data hall, as a multiple of the usual service time. */
     readonly leaveHallCost: number;
 };
 
@@ -35,39 +43,47 @@
     leaveHallCost: 0,
 };
 
-/** Assumed where no upstream of a service has a report yet, in milliseconds. */
-const UNKNOWN_SERVICE_MS = 5;
+/** Service time that is assumed while no upstream of a service has a report. */
+const DEFAULT_SERVICE_MS = 5;
 
-/** What all slots in use but one cost, in service times: enough to spread, too little to leave the hall. */
-const BUSY_SHARE = 0.5;
+/**
+ * Cost, in service times, of an upstream whose slots are all in use: enough to spread requests, too little to leave the
+ * hall.
+ */
+const UTILIZATION_COST = 0.5;
 
 /**
- * Costs that differ by less are noise, and all ingresses see the same noise: to take the least of them would send all
- * to one upstream.
+ * Costs within this ratio of the lowest count as equal. Smaller differences are noise, and all ingresses see the same
+ * noise: if each took the lowest cost, all would choose the same upstream.
  */
-const ALIKE = 1.1;
+const SIMILAR_COST_RATIO = 1.1;
 
-/** The fast average of service times is believed from this many times the slow one on; less is noise too. */
+/**
+ * Ratio of the fast to the slow average of service times from which the fast one is used; smaller differences are
+ * noise.
+ */
 const SLOW_RATIO = 1.5;
 
-/** An upstream that failed is tried again within about this time, in milliseconds. */
-const PENALTY_FADE_MS = 1000;
+/** Time constant of a failure penalty; a failed upstream gets a request again within about this time. */
+const PENALTY_DECAY_MS = 1000;
 
 /**
- * How long a request takes at the usual pace, by what upstreams of the service have reported. One that has reported nothing is no quicker
- * than the others: in a service of many, of which each ingress sends to few, it would draw nearly each request, and from another hall.
- * Of the requests of 11 ingresses among 195 nine in ten went to one that had reported nothing while 5 ms were assumed, and 39 in 100 left
- * their hall.
+ * Returns the mean usual service time that the candidates have reported; it is assumed for candidates without a report.
+ *
+ * A shorter assumption attracts requests to upstreams without a report, also from other halls, where each ingress sends
+ * to few upstreams of a large service. With an assumed 5 ms, 90 % of the requests of 11 ingresses among 195 went to an
+ * upstream without a report, and 39 % left their hall.
  */
 const usualServiceMs = (candidates: readonly Candidate[]): number => {
-    const known = candidates.filter(candidate => candidate.report !== undefined);
-    const sumMs = known.reduce((sum, { report }) => sum + report!.baseMs, 0);
-    return known.length === 0 ? UNKNOWN_SERVICE_MS : sumMs / known.length;
+    const reported = candidates.filter(candidate => candidate.report !== undefined);
+    const sumMs = reported.reduce((sum, { report }) => sum + report!.baseMs, 0);
+    return reported.length === 0 ? DEFAULT_SERVICE_MS : sumMs / reported.length;
 };
 
-const faded = (ageMs: number, fadeMs: number): number => Math.exp(-Math.max(0, ageMs) / fadeMs);
+/** Returns the weight of a value of the given age: 1 for a new one, falling exponentially. */
+const decay = (ageMs: number, timeConstantMs: number): number => Math.exp(-Math.max(0, ageMs) / timeConstantMs);
 
-/** Chooses the least expected time among a few candidates drawn at random. */
+/** Chooses the candidate with the lowest expected response time among a few that are sampled at random. */
 export class ExpectedTime extends Placement {
     readonly #options: Options;
 
@@ -77,57 +93,60 @@
     }
 
     choose(candidates: readonly Candidate[], now: number, random: RandomSource): Candidate | undefined {
-        const drawn = this.#draw(candidates, random);
+        const sampled = this.#sampleCandidates(candidates, random);
         const usualMs = usualServiceMs(candidates);
-        const costs = new Map(drawn.map(candidate => [candidate, this.expectedMs(candidate, now, usualMs)]));
-        const least = Math.min(...costs.values());
-        const alike = drawn.filter(candidate => costs.get(candidate)! <= least * ALIKE);
-        return alike[Math.floor(random() * alike.length)];
+        const costs = new Map(sampled.map(candidate => [candidate, this.expectedMs(candidate, now, usualMs)]));
+        const lowestCost = Math.min(...costs.values());
+        const similar = sampled.filter(candidate => costs.get(candidate)! <= lowestCost * SIMILAR_COST_RATIO);
+        return similar[Math.floor(random() * similar.length)];
     }
 
-    /** Expected time from sending to the answer, in milliseconds; `usualMs` is assumed of one that has reported nothing. */
-    expectedMs(candidate: Candidate, now: number, usualMs = UNKNOWN_SERVICE_MS): number {
+    /**
+     * Returns the expected time from sending to the response; `usualMs` is the service time of a candidate without a
+     * report.
+     */
+    expectedMs(candidate: Candidate, now: number, usualMs = DEFAULT_SERVICE_MS): number {
         const ageMs = now - candidate.reportAt;
         const limit = Math.max(1, this.#limit(candidate, ageMs));
         const load = this.#load(candidate, ageMs);
         const baseMs = candidate.report?.baseMs ?? usualMs;
         const serviceMs = this.#serviceMs(candidate, ageMs) ?? baseMs;
-        const rounds = Math.max(0, load + 1 - limit) / limit;
-        const spread = BUSY_SHARE * Math.min(1, load / limit);
-        const leaveMs = candidate.near ? 0 : this.#options.leaveHallCost * baseMs;
-        const pathMs = candidate.roundTripMs + leaveMs;
-        return pathMs + serviceMs * (1 + rounds + spread) + this.#penaltyMs(candidate, now);
+        const queueRounds = Math.max(0, load + 1 - limit) / limit;
+        const utilizationCost = UTILIZATION_COST * Math.min(1, load / limit);
+        const leaveHallMs = candidate.near ? 0 : this.#options.leaveHallCost * baseMs;
+        const pathMs = candidate.roundTripMs + leaveHallMs;
+        return pathMs + serviceMs * (1 + queueRounds + utilizationCost) + this.#penaltyMs(candidate, now);
     }
 
-    /** Where it costs to leave the hall, upstreams of the hall are always among those drawn. */
-    #draw(candidates: readonly Candidate[], random: RandomSource): Candidate[] {
+    /** Samples candidates; if leaving the hall has a cost, about half of the sample is taken from the own hall. */
+    #sampleCandidates(candidates: readonly Candidate[], random: RandomSource): Candidate[] {
         const { choices, leaveHallCost } = this.#options;
-        const near = leaveHallCost === 0 ? [] : candidates.filter(candidate => candidate.near);
-        const drawn = sample(near, Math.ceil(choices / 2), random);
-        const rest = drawn.length === 0 ? candidates : candidates.filter(candidate => !drawn.includes(candidate));
-        return [...drawn, ...sample(rest, choices - drawn.length, random)];
+        const sameHall = leaveHallCost === 0 ? [] : candidates.filter(candidate => candidate.near);
+        const sampled = sample(sameHall, Math.ceil(choices / 2), random);
+        const rest = sampled.length === 0 ? candidates : candidates.filter(candidate => !sampled.includes(candidate));
+        return [...sampled, ...sample(rest, choices - sampled.length, random)];
     }
 
-    /** It fades, since an upstream that nothing is sent to can't show that it works again. */
+    /** The penalty decays because an upstream that receives no requests cannot show that it works again. */
     #penaltyMs(candidate: Candidate, now: number): number {
-        return candidate.penaltyMs === 0 ? 0 : candidate.penaltyMs * faded(now - candidate.penaltyAt, PENALTY_FADE_MS);
+        return candidate.penaltyMs === 0 ? 0 : candidate.penaltyMs * decay(now - candidate.penaltyAt, PENALTY_DECAY_MS);
     }
 
     #limit(candidate: Candidate, ageMs: number): number {
-        const weight = faded(ageMs, this.#options.serviceFadeMs);
+        const freshness = decay(ageMs, this.#options.serviceFadeMs);
         const reported = candidate.report?.limit ?? candidate.slots;
-        return weight * reported + (1 - weight) * candidate.slots;
+        return freshness * reported + (1 - freshness) * candidate.slots;
     }
 
     #load(candidate: Candidate, ageMs: number): number {
         const { report } = candidate;
-        const own = candidate.outstanding * this.#options.ownWeight;
+        const ownLoad = candidate.outstanding * this.#options.ownWeight;
         if (report === undefined) {
-            return own;
+            return ownLoad;
         }
-        const others = Math.max(0, report.running + report.waiting - candidate.outstandingAtReport);
-        const weight = faded(ageMs, this.#options.loadFadeMs);
-        return weight * (others + candidate.outstanding) + (1 - weight) * own;
+        const othersLoad = Math.max(0, report.running + report.waiting - candidate.outstandingAtReport);
+        const freshness = decay(ageMs, this.#options.loadFadeMs);
+        return freshness * (othersLoad + candidate.outstanding) + (1 - freshness) * ownLoad;
     }
 
     #serviceMs({ report }: Candidate, ageMs: number): number | undefined {
@@ -135,12 +154,12 @@
             return undefined;
         }
         if (report.pace !== undefined) {
-            return report.baseMs * (1 + (report.pace - 1) * faded(ageMs, this.#options.paceFadeMs));
+            return report.baseMs * (1 + (report.pace - 1) * decay(ageMs, this.#options.paceFadeMs));
         }
         if (report.serviceMs < report.baseMs * SLOW_RATIO) {
             return report.baseMs;
         }
-        const weight = faded(ageMs, this.#options.serviceFadeMs);
-        return weight * report.serviceMs + (1 - weight) * report.baseMs;
+        const freshness = decay(ageMs, this.#options.serviceFadeMs);
+        return freshness * report.serviceMs + (1 - freshness) * report.baseMs;
     }
 }
--- a/src/policy/placement/failurepenalty.ts
+++ b/src/policy/placement/failurepenalty.ts
@@ -1,37 +1,39 @@
 /**
- * How much longer does an upstream that fails count as taking? A fast failure must not look like a fast answer.
+ * Decides how many milliseconds are added to the expected response time of an upstream that fails, so that fast
+ * failures do not look like fast responses.
  *
- * Each failure adds, each success takes off a share; placement lets what is left fade with time (expectedtime.ts). Milliseconds.
+ * Each failure adds to the penalty and each success reduces it by a share. Placement lets it decay with time
+ * (expectedtime.ts).
  */
 
-/** More than a usual service time. */
-const FAILURE_MS = 50;
-/** Bounds a long row of failures. */
-const MAX_MS = 1000;
-/** What a success leaves of the penalty. */
-const KEPT_SHARE = 0.7;
-/** Less counts as none. */
-const LEAST_MS = 1;
+/** Longer than a usual service time. */
+const PENALTY_PER_FAILURE_MS = 50;
+/** Bounds the penalty of many failures in a row. */
+const MAX_PENALTY_MS = 1000;
+/** Share of the penalty that remains after a success. */
+const RETAINED_SHARE = 0.7;
+/** A smaller penalty is reset to 0 by a success. */
+const MIN_PENALTY_MS = 1;
 
-/** Of one upstream; `at` is the time of the last failure, on the daemon's clock. */
+/** Holds the penalty of one upstream and the moment of its last failure, in milliseconds on the daemon's clock. */
 export class FailurePenalty {
     #ms = 0;
-    #at = 0;
+    #lastFailureAt = 0;
 
     get ms(): number {
         return this.#ms;
     }
 
     get at(): number {
-        return this.#at;
+        return this.#lastFailureAt;
     }
 
     failed(now: number): void {
-        this.#at = now;
-        this.#ms = Math.min(MAX_MS, this.#ms + FAILURE_MS);
+        this.#lastFailureAt = now;
+        this.#ms = Math.min(MAX_PENALTY_MS, this.#ms + PENALTY_PER_FAILURE_MS);
     }
 
     succeeded(): void {
-        this.#ms = this.#ms < LEAST_MS ? 0 : this.#ms * KEPT_SHARE;
+        this.#ms = this.#ms < MIN_PENALTY_MS ? 0 : this.#ms * RETAINED_SHARE;
     }
 }
--- a/src/policy/placement/fullness.ts
+++ b/src/policy/placement/fullness.ts
@@ -1,36 +1,37 @@
 /**
- * For how long does an upstream count as full after it has turned a request away unserved?
+ * Decides for how long, in milliseconds, an upstream counts as full after it refused a request unserved.
  *
- * One that sheds answers at once, so nothing runs or waits there and it looks idle: each next try would go to it. What it turned
- * away is load that it could not take, whatever its reports say. Each try there costs a repeat of the budget, so one that sheds again
- * when it is tried next is left out for twice as long. Of 333 payments in a service of three where one sheds all, 5 were refused with
- * the budget spent while it was tried again every 200 ms, and 2 to 5 while only a penalty in time told of it; none with this.
+ * An upstream that sheds load refuses at once. Nothing runs or queues there, so it looks idle and would attract every
+ * next attempt. Each of these attempts costs a repeat from the budget, so the period doubles if the upstream refuses
+ * again at the next attempt. In a service of three upstreams, one of which shed everything, 5 of 333 payments were
+ * refused with the budget spent if it was attempted again every 200 ms, and 2 to 5 if only a time penalty was added;
+ * none with this backoff.
  */
 
-/** Until a slot may have become free: several usual service times; milliseconds. */
-const FIRST_MS = 200;
-/** One that takes requests again gets some within this time; milliseconds. */
-const LONGEST_MS = 3200;
+/** Several usual service times, after which a slot may have become free. */
+const INITIAL_BACKOFF_MS = 200;
+/** Bounds how long an upstream that accepts requests again stays without any. */
+const MAX_BACKOFF_MS = 3200;
 
-/** Of one upstream; times are on the daemon's clock. */
+/** Holds the backoff of one upstream; times are milliseconds on the daemon's clock. */
 export class Fullness {
-    #nextMs = FIRST_MS;
-    #until = -Infinity;
+    #nextBackoffMs = INITIAL_BACKOFF_MS;
+    #activeUntil = -Infinity;
 
-    /** Records that the upstream has turned a request away; several that were on their way together count once. */
+    /** Records that the upstream refused a request. Further refusals while the backoff is active do not count. */
     turnedAway(now: number): void {
         if (!this.isActive(now)) {
-            this.#until = now + this.#nextMs;
-            this.#nextMs = Math.min(LONGEST_MS, this.#nextMs * 2);
+            this.#activeUntil = now + this.#nextBackoffMs;
+            this.#nextBackoffMs = Math.min(MAX_BACKOFF_MS, this.#nextBackoffMs * 2);
         }
     }
 
-    /** Records that the upstream has served a request. */
+    /** Records that the upstream served a request, which resets the next backoff. */
     served(): void {
-        this.#nextMs = FIRST_MS;
+        this.#nextBackoffMs = INITIAL_BACKOFF_MS;
     }
 
     isActive(now: number): boolean {
-        return now < this.#until;
+        return now < this.#activeUntil;
     }
 }
--- a/src/policy/placement/isworthreporting.ts
+++ b/src/policy/placement/isworthreporting.ts
@@ -1,20 +1,22 @@
 /**
- * Is a change of an upstream's load worth telling those who sent work there lately, unasked?
+ * Decides whether a gate sends a new load report, unsolicited, to the ingresses that recently sent it requests.
  *
- * Reports ride on answers, so only a change of the service time that an ingress would act on is: twofold, either way (docs/EXPERIMENTS.md has the frugal profile, which reports nothing unasked).
+ * Reports are also carried by responses. An unsolicited one is therefore sent only for a change that an ingress would
+ * act on: a service time that has doubled or halved since the last report. docs/EXPERIMENTS.md describes the frugal
+ * profile, which sends no unsolicited reports.
  */
 import type { LoadReport } from "./loadreport.js";
 
-/** Times as long, or as short. */
-const CHANGE = 2;
-/** Keeps the ratio of very short times from jumping, in milliseconds. */
-const LEAST_MS = 0.1;
+/** Ratio of the new service time to the reported one, or its inverse, above which the change is reported. */
+const CHANGE_RATIO = 2;
+/** Lower bound of the reported service time, so that very short times do not yield large ratios. */
+const MIN_SERVICE_MS = 0.1;
 
-/** `reported` is what was reported last. */
-export function isWorthReporting(report: LoadReport, reported: LoadReport | undefined): boolean {
-    if (reported === undefined) {
+/** Returns true if there was no report yet, or if the service time has changed enough since `lastReport`. */
+export function isWorthReporting(report: LoadReport, lastReport: LoadReport | undefined): boolean {
+    if (lastReport === undefined) {
         return true;
     }
-    const ratio = report.serviceMs / Math.max(reported.serviceMs, LEAST_MS);
-    return ratio > CHANGE || ratio < 1 / CHANGE;
+    const ratio = report.serviceMs / Math.max(lastReport.serviceMs, MIN_SERVICE_MS);
+    return ratio > CHANGE_RATIO || ratio < 1 / CHANGE_RATIO;
 }
--- a/src/policy/placement/leastoutstanding.ts
+++ b/src/policy/placement/leastoutstanding.ts
@@ -1,13 +1,13 @@
-/** Which upstream? A baseline: one with the fewest requests of this daemon outstanding. */
+/** Baseline policy: places a request on the upstream with the fewest outstanding requests of this daemon. */
 import type { RandomSource } from "../randomsource.js";
 import type { Candidate } from "./candidate.js";
 import { Placement } from "./placement.js";
 
-/** At random among equals. */
+/** Chooses at random among the candidates with the fewest outstanding requests. */
 export class LeastOutstanding extends Placement {
     choose(candidates: readonly Candidate[], _now: number, random: RandomSource): Candidate | undefined {
-        const least = Math.min(...candidates.map(candidate => candidate.outstanding));
-        const best = candidates.filter(candidate => candidate.outstanding === least);
-        return best[Math.floor(random() * best.length)];
+        const fewest = Math.min(...candidates.map(candidate => candidate.outstanding));
+        const leastLoaded = candidates.filter(candidate => candidate.outstanding === fewest);
+        return leastLoaded[Math.floor(random() * leastLoaded.length)];
     }
 }
--- a/src/policy/placement/loadreport.ts
+++ b/src/policy/placement/loadreport.ts
@@ -1,8 +1,11 @@
-/** What a gate reports of its upstream. */
+/** Defines the load of an upstream as its gate reports it. */
 
 /**
- * Counts of requests and times in milliseconds; `serviceMs` is a fast average, `baseMs` a slow one; `pace` is the
- * upstream's own report of how long work takes now, 1 as usual, undefined when it never reports it.
+ * - `running`, `waiting`: numbers of running and queued requests.
+ * - `limit`: number of requests that may run at a time.
+ * - `serviceMs`, `baseMs`: a fast and a slow moving average of the service time, in milliseconds.
+ * - `pace`: the upstream's own report of its present service time relative to its usual one, 1 as usual; undefined if
+ *   the upstream does not report it.
  */
 export type LoadReport = {
     readonly running: number;
--- /dev/null
+++ b/src/policy/placement/minby.ts
@@ -0,0 +1,15 @@
+/** Finds the item with the lowest cost. */
+
+/** Returns the first item with the lowest cost, or undefined if there are no items. */
+export function minBy<Item>(items: readonly Item[], cost: (item: Item) => number): Item | undefined {
+    let best: Item | undefined;
+    let bestCost = Infinity;
+    for (const item of items) {
+        const itemCost = cost(item);
+        if (best === undefined || itemCost < bestCost) {
+            best = item;
+            bestCost = itemCost;
+        }
+    }
+    return best;
+}
--- a/src/policy/placement/placement.ts
+++ b/src/policy/placement/placement.ts
@@ -1,9 +1,11 @@
-/** How an ingress chooses an upstream. */
+/** Defines the interface of the policies by which an ingress chooses an upstream. */
 import type { RandomSource } from "../randomsource.js";
 import type { Candidate } from "./candidate.js";
 
-/** A policy of placement; holds no more than its own counters. */
+/** Base class of placement policies; a policy holds no state except its own counters. */
 export abstract class Placement {
-    /** Chooses one of the candidates, undefined when there are none. */
+    /**
+     * Returns one of the candidates, or undefined if there are none. `now` is in milliseconds on the daemon's clock.
+     */
     abstract choose(candidates: readonly Candidate[], now: number, random: RandomSource): Candidate | undefined;
 }
--- a/src/policy/placement/rateshare.test.ts
+++ b/src/policy/placement/rateshare.test.ts
@@ -4,50 +4,51 @@
 import { RequestLimit } from "../rate/requestlimit.js";
 import { RateShare } from "./rateshare.js";
 
-const ANSWER_MS = 80;
+const RESPONSE_MS = 80;
 
-type Shared = { readonly ingresses: number; readonly perSecond: number; readonly requestsPerSecond: number; };
+type Scenario = { readonly ingresses: number; readonly perSecond: number; readonly requestsPerSecond: number; };
 
-/** Requests that were taken and turned away in ten seconds, after five in which the ingresses found their shares. */
-const share = ({ ingresses, perSecond, requestsPerSecond }: Shared): { taken: number; refused: number; } => {
+/** Returns the numbers of served and refused requests in ten seconds, after five seconds in which the shares settle. */
+const simulate = ({ ingresses, perSecond, requestsPerSecond }: Scenario): { taken: number; refused: number; } => {
     const random = seededRandom(1);
     const limit = new RequestLimit();
     limit.recordAnswer({ type: "perSecond", perSecond }, { sentAt: -1, isHealth: false }, 0);
     const shares = Array.from({ length: ingresses }, () => new RateShare());
     shares.forEach(each => each.follow(perSecond, 0));
-    const answers: { readonly at: number; readonly to: RateShare; }[] = [];
-    const count = { taken: 0, refused: 0 };
+    const responses: { readonly at: number; readonly to: RateShare; }[] = [];
+    const counts = { taken: 0, refused: 0 };
     for (let now = 1; now < 15_000; now += 1) {
-        while (answers.length > 0 && answers[0]!.at <= now) {
-            answers.shift()!.to.recordAnswer();
+        while (responses.length > 0 && responses[0]!.at <= now) {
+            responses.shift()!.to.recordAnswer();
         }
-        const open = shares.filter(each => random() < requestsPerSecond / 1000 && each.isOpen(now));
-        for (const each of open) {
+        const senders = shares.filter(each => random() < requestsPerSecond / 1000 && each.isOpen(now));
+        for (const each of senders) {
             each.recordSent(now);
             if (limit.opensAt(1, now) <= now) {
                 limit.recordSent(now);
-                answers.push({ at: now + ANSWER_MS, to: each });
-                count.taken += now < 5000 ? 0 : 1;
+                responses.push({ at: now + RESPONSE_MS, to: each });
+                counts.taken += now < 5000 ? 0 : 1;
             }
             else {
                 each.recordRefusal(now);
-                count.refused += now < 5000 ? 0 : 1;
+                counts.refused += now < 5000 ? 0 : 1;
             }
         }
     }
-    return count;
+    return counts;
 };
 
-// Guards against hosts that all take a limited upstream for idle and send most of their requests there in vain.
-test("rate share: ingresses that know nothing of each other use the limit, and few go there in vain", () => {
+// Guards against ingresses that all treat an upstream with a stated rate limit as idle, because few requests run there
+// and none are queued, and send it most of their requests, which it then refuses.
+test("rate share: independent ingresses use the stated rate limit with few refusals", () => {
     for (const [ingresses, perSecond] of [[4, 4], [13, 8], [40, 8]] as const) {
-        const { taken, refused } = share({ ingresses, perSecond, requestsPerSecond: 10 });
-        assert.ok(taken >= perSecond * 10 * 0.8, `${taken} of ${perSecond * 10} by ${ingresses}`);
-        assert.ok(refused <= ingresses * 10 * 10 * 0.05, `${refused} in vain of ${ingresses * 100}`);
+        const { taken, refused } = simulate({ ingresses, perSecond, requestsPerSecond: 10 });
+        assert.ok(taken >= perSecond * 10 * 0.8, `served ${taken} of ${perSecond * 10}, ingresses: ${ingresses}`);
+        assert.ok(refused <= ingresses * 10 * 10 * 0.05, `refused ${refused} of ${ingresses * 100}`);
     }
 });
 
-test("rate share: without a limit all is open, and refusals that were on their way together count once", () => {
+test("rate share: sends freely without a stated rate limit, and counts concurrent refusals once", () => {
     const share = new RateShare();
     share.recordSent(0);
     assert.equal(share.isOpen(0), true);
--- a/src/policy/placement/rateshare.ts
+++ b/src/policy/placement/rateshare.ts
@@ -1,70 +1,76 @@
 /**
- * How often does this ingress send to an upstream that states a limit of requests a second?
+ * Decides how often this ingress sends requests to an upstream with a stated rate limit, in requests a second.
  *
- * Nobody knows how many ingresses share the limit. Each begins as if it were alone, sends half as often after its gate has turned it away,
- * and a little more often after each answer. So few requests go there in vain, and the limit is used. By slots and times such an
- * upstream looks idle: few run there, none wait.
+ * The number of ingresses that share the limit is unknown. Each ingress starts with the full rate, halves its rate when
+ * the gate refuses a request, and raises it a little with each response. So the limit is used, and few requests are
+ * refused. Slots and service times do not show the limit: such an upstream looks idle, because few requests run there
+ * and none are queued.
  */
 
-/** Milliseconds. */
 const MS_PER_SECOND = 1000;
-/** After the gate has turned one away. */
-const BACK_OFF = 2;
-/** After an answer. */
-const SPEED_UP = 0.8;
-/** An ingress that was turned away again and again tries this often all the same; milliseconds. */
-const LONGEST_MS = 5000;
-/** An ingress that has sent none for this long though it might sends the next one there, quick as others may be; milliseconds. */
-const DUE_AFTER_MS = 2000;
+/** Multiplies the interval between requests after a refusal by the gate. */
+const BACKOFF_FACTOR = 2;
+/** Multiplies the interval between requests after a response. */
+const RECOVERY_FACTOR = 0.8;
+/** Longest interval between requests, also after many refusals. */
+const MAX_INTERVAL_MS = 5000;
+/**
+ * An ingress that has not used its share for this long sends its next request there, even if other upstreams are
+ * faster.
+ */
+const PROBE_AFTER_MS = 2000;
 
-/** Of one upstream at one ingress; times are milliseconds on the daemon's clock. */
+/** Holds the share that one ingress uses of one upstream's limit; times are milliseconds on the daemon's clock. */
 export class RateShare {
     #perSecond: number | undefined;
-    #everyMs = 0;
-    #nextAt = -Infinity;
+    #intervalMs = 0;
+    #nextSendAt = -Infinity;
     #backedOffUntil = -Infinity;
 
-    /** Follows what the upstream states; undefined while it states no limit. */
+    /**
+     * Sets the stated rate limit; undefined while the upstream states none. A changed limit starts again with the full
+     * rate.
+     */
     follow(perSecond: number | undefined, now: number): void {
         if (perSecond === this.#perSecond) {
             return;
         }
         this.#perSecond = perSecond;
-        this.#everyMs = this.#leastMs;
-        this.#nextAt = perSecond === undefined ? -Infinity : now + this.#everyMs;
+        this.#intervalMs = this.#minIntervalMs;
+        this.#nextSendAt = perSecond === undefined ? -Infinity : now + this.#intervalMs;
     }
 
-    /** False while this ingress has used its share. */
+    /** Returns false while this ingress has used its share. */
     isOpen(now: number): boolean {
-        return now >= this.#nextAt;
+        return now >= this.#nextSendAt;
     }
 
-    /** True when it has sent none for so long that it would not learn of the limit's end. */
+    /** Returns true if this ingress has sent nothing for so long that it would not notice that the limit was lifted. */
     isDue(now: number): boolean {
-        return this.#perSecond !== undefined && now >= this.#nextAt + DUE_AFTER_MS;
+        return this.#perSecond !== undefined && now >= this.#nextSendAt + PROBE_AFTER_MS;
     }
 
     recordSent(now: number): void {
         if (this.#perSecond !== undefined) {
-            this.#nextAt = now + this.#everyMs;
+            this.#nextSendAt = now + this.#intervalMs;
         }
     }
 
     recordAnswer(): void {
-        this.#everyMs = Math.max(this.#leastMs, this.#everyMs * SPEED_UP);
+        this.#intervalMs = Math.max(this.#minIntervalMs, this.#intervalMs * RECOVERY_FACTOR);
     }
 
-    /** Several that were on their way together count once. */
+    /** Records a refusal by the gate; refusals of requests that were in flight together count once. */
     recordRefusal(now: number): void {
         if (now >= this.#backedOffUntil) {
-            this.#everyMs = Math.min(LONGEST_MS, this.#everyMs * BACK_OFF);
-            this.#backedOffUntil = now + this.#everyMs;
+            this.#intervalMs = Math.min(MAX_INTERVAL_MS, this.#intervalMs * BACKOFF_FACTOR);
+            this.#backedOffUntil = now + this.#intervalMs;
         }
         this.recordSent(now);
     }
 
-    /** Between two requests of one that is alone. */
-    get #leastMs(): number {
-        return this.#perSecond === undefined ? 0 : Math.min(LONGEST_MS, MS_PER_SECOND / this.#perSecond);
+    /** Interval between two requests of an ingress that does not share the limit. */
+    get #minIntervalMs(): number {
+        return this.#perSecond === undefined ? 0 : Math.min(MAX_INTERVAL_MS, MS_PER_SECOND / this.#perSecond);
     }
 }
--- a/src/policy/placement/roundrobin.ts
+++ b/src/policy/placement/roundrobin.ts
@@ -1,13 +1,13 @@
-/** A baseline: one after the other. */
+/** Baseline policy: places requests on the upstreams in turn. */
 import type { Candidate } from "./candidate.js";
 import { Placement } from "./placement.js";
 
-/** Chooses in turn. */
+/** Chooses the candidates in turn. */
 export class RoundRobin extends Placement {
-    #turn = 0;
+    #position = 0;
 
     choose(candidates: readonly Candidate[]): Candidate | undefined {
-        this.#turn = (this.#turn + 1) % Math.max(1, candidates.length);
-        return candidates[this.#turn];
+        this.#position = (this.#position + 1) % Math.max(1, candidates.length);
+        return candidates[this.#position];
     }
 }
--- a/src/policy/placement/roundtrip.ts
+++ b/src/policy/placement/roundtrip.ts
@@ -1,20 +1,26 @@
-/** How long is the way to a gate and back? A moving mean, in milliseconds, of what an answer took less what the gate took. */
+/**
+ * Estimates the network round trip to a gate in milliseconds: a moving average of the response time, less the time that
+ * the gate took.
+ */
 
-/** Assumed before the first answer: between data halls of one region. */
-const START_MS = 1;
-/** Of the newest answer. */
-const WEIGHT = 0.1;
+/** Assumed before the first response: a round trip between data halls of one region. */
+const INITIAL_ROUND_TRIP_MS = 1;
+/** Weight of the newest response in the moving average. */
+const NEWEST_WEIGHT = 0.1;
 
-/** Of one gate. */
+/** Holds the estimated round trip to one gate. */
 export class RoundTrip {
-    #ms = START_MS;
+    #ms = INITIAL_ROUND_TRIP_MS;
 
     get ms(): number {
         return this.#ms;
     }
 
-    /** Records an answer: from sending to its head, and from its request's arrival at the gate to its note. */
-    observe(elapsedMs: number, tookMs: number): void {
-        this.#ms += WEIGHT * (Math.max(0, elapsedMs - tookMs) - this.#ms);
+    /**
+     * Records a response: the time from sending the request to the response head, and the time that the gate reports it
+     * took.
+     */
+    observe(elapsedMs: number, gateMs: number): void {
+        this.#ms += NEWEST_WEIGHT * (Math.max(0, elapsedMs - gateMs) - this.#ms);
     }
 }
--- a/src/policy/placement/sample.ts
+++ b/src/policy/placement/sample.ts
@@ -1,15 +1,15 @@
-/** Draws a few of many. */
+/** Samples items at random without replacement. */
 import type { RandomSource } from "../randomsource.js";
 
-/** Draws `count` different items, all of them when there are no more. */
+/** Returns `count` different items in random order, or all items if there are fewer. */
 export function sample<Item>(items: readonly Item[], count: number, random: RandomSource): Item[] {
     const pool = [...items];
-    const drawn: Item[] = [];
-    while (drawn.length < count && pool.length > 0) {
-        const at = Math.floor(random() * pool.length);
-        drawn.push(pool[at]!);
-        pool[at] = pool[pool.length - 1]!;
+    const sampled: Item[] = [];
+    while (sampled.length < count && pool.length > 0) {
+        const index = Math.floor(random() * pool.length);
+        sampled.push(pool[index]!);
+        pool[index] = pool[pool.length - 1]!;
         pool.pop();
     }
-    return drawn;
+    return sampled;
 }
--- a/src/policy/placement/selectable.ts
+++ b/src/policy/placement/selectable.ts
@@ -1,5 +1,5 @@
-/** What the selection of upstreams needs to know of each. */
+/** Defines what the selection of targets needs to know of an upstream. */
 import type { Availability } from "./availability.js";
 
-/** Asked at a time on the daemon's clock, in milliseconds. */
+/** An upstream that states its availability at a moment, in milliseconds on the daemon's clock. */
 export type Selectable = { availability(now: number): Availability; };
--- a/src/policy/placement/selecttargets.test.ts
+++ b/src/policy/placement/selecttargets.test.ts
@@ -11,7 +11,7 @@
 const [suspected, draining] = [target("suspected"), target("draining")];
 const [full, alsoFull] = [target("full"), target("full")];
 
-test("targets: available ones that were not tried, or else suspected ones, or else tried ones; draining ones never", () => {
+test("targets: unattempted available ones first, then suspected, then attempted ones; draining ones never", () => {
     const all = [one, other, suspected, draining];
     assert.deepEqual(selectTargets(all, new Set([one]), 0), [other]);
     assert.deepEqual(selectTargets(all, new Set([one, other]), 0), [suspected]);
@@ -19,16 +19,16 @@
     assert.deepEqual(selectTargets([draining], new Set(), 0), []);
 });
 
-test("targets: one that has just turned a request away comes after those that the request was sent to", () => {
+test("targets: full upstreams come after those that were already attempted", () => {
     assert.deepEqual(selectTargets([one, full, other], new Set([one]), 0), [other]);
     assert.deepEqual(selectTargets([one, full, other], new Set([one, other]), 0), [one, other]);
     assert.deepEqual(selectTargets([full, suspected, alsoFull], new Set(), 0), [suspected]);
     assert.deepEqual(selectTargets([full, alsoFull, draining], new Set([full]), 0), [full, alsoFull]);
 });
 
-test("fullness: one that turns away again is left out for longer, one that has served is not", () => {
+test("full backoff: doubles with each refusal up to a maximum, and resets when the upstream serves a request", () => {
     const fullness = new Fullness();
-    const lastsUntil = (from: number): number => {
+    const activeUntil = (from: number): number => {
         let now = from;
         while (fullness.isActive(now)) {
             now += 100;
@@ -38,17 +38,17 @@
     assert.equal(fullness.isActive(0), false);
     fullness.turnedAway(1000);
     fullness.turnedAway(1100);
-    assert.equal(lastsUntil(1000), 1200);
+    assert.equal(activeUntil(1000), 1200);
     fullness.turnedAway(1200);
-    assert.equal(lastsUntil(1200), 1600);
+    assert.equal(activeUntil(1200), 1600);
     [2000, 4000, 8000, 16_000].forEach(now => fullness.turnedAway(now));
-    assert.equal(lastsUntil(16_000), 19_200);
+    assert.equal(activeUntil(16_000), 19_200);
     fullness.served();
     fullness.turnedAway(20_000);
-    assert.equal(lastsUntil(20_000), 20_200);
+    assert.equal(activeUntil(20_000), 20_200);
 });
 
-test("avoidance: each cause has its own time, and the later end counts", () => {
+test("exclusion: each cause has its own duration, and the latest end counts", () => {
     const avoidance = new Avoidance();
     assert.equal(avoidance.isActive(0), false);
     avoidance.avoid("leaving", 0);
--- a/src/policy/placement/selecttargets.ts
+++ b/src/policy/placement/selecttargets.ts
@@ -1,27 +1,31 @@
 /**
- * Which upstreams may a request be placed on?
+ * Decides on which upstreams a request may be placed, from their availability and from those it was already sent to.
  *
- * Available ones that it has not been sent to; or else suspected ones, so that suspicion alone never empties a service; or else
- * available ones that it has been sent to, which may take it by now; or else full, cold and limited ones. Draining, leaving and evacuated ones never.
+ * The first of these groups that is not empty is used:
+ * 1. available upstreams that the request has not been sent to;
+ * 2. suspected ones that it has not been sent to, so that suspicion alone never leaves a service without upstreams;
+ * 3. available ones that it has been sent to, which may accept it now;
+ * 4. full, cold and limited ones.
+ * Draining, leaving and evacuated upstreams are never used.
  */
 import type { Availability } from "./availability.js";
 import { availableOf } from "./availableof.js";
 import type { Selectable } from "./selectable.js";
 
-/** They take something now and then. */
+/** Upstreams that refuse most requests but still accept some. */
 const lastResort: ReadonlySet<Availability> = new Set(["full", "cold", "limited"]);
 
-/** Empty when no upstream may be sent the request now. */
+/** Returns the targets for the next attempt; empty if no upstream may be sent the request at `now`. */
 export function selectTargets<Target extends Selectable>(
     all: readonly Target[],
-    tried: ReadonlySet<Target>,
+    attempted: ReadonlySet<Target>,
     now: number,
 ): Target[] {
-    const untried = availableOf(all, tried, now);
-    if (untried.length > 0) {
-        return untried;
+    const unattempted = availableOf(all, attempted, now);
+    if (unattempted.length > 0) {
+        return unattempted;
     }
-    const suspected = all.filter(target => !tried.has(target) && target.availability(now) === "suspected");
+    const suspected = all.filter(target => !attempted.has(target) && target.availability(now) === "suspected");
     if (suspected.length > 0) {
         return suspected;
     }
