--- a/src/policy/placement/minby.ts
+++ b/src/policy/placement/minby.ts
@@ -1,6 +1,6 @@
 /** Finds the item with the lowest cost. */
 
-/** Returns the first item with the lowest cost, or undefined if there are no items. */
+/** Returns the first of the items with the lowest cost, or undefined when there are none. */
 export function minBy<Item>(items: readonly Item[], cost: (item: Item) => number): Item | undefined {
     let best: Item | undefined;
     let bestCost = Infinity;
--- a/src/policy/transfer/decideoffer.ts
+++ b/src/policy/transfer/decideoffer.ts
@@ -1,12 +1,14 @@
 /**
- * How many slots does a gate hold for a sibling in need? A part of those that are free, since slots held for many gates at once
- * would make it queue, and ask in turn.
+ * Decides how many of its free slots a gate holds for requests that a sibling hands back.
+ *
+ * Only a share of the free slots is offered. If a gate held all of them for several siblings at once, its own requests
+ * would queue, and it would ask siblings for slots itself.
  */
 
-/** Of the free slots. */
+/** Share of the free slots that is offered to one sibling. */
 const OFFERED_SHARE = 0.5;
 
-/** Slots, for `count` requests that the sibling would like to hand over. */
-export function decideOffer(count: number, free: number): number {
-    return Math.min(count, Math.floor(free * OFFERED_SHARE));
+/** Returns the number of slots to offer to a sibling that wants to hand back `requested` requests. */
+export function decideOffer(requested: number, freeSlots: number): number {
+    return Math.min(requested, Math.floor(freeSlots * OFFERED_SHARE));
 }
--- a/src/policy/transfer/isworthmoving.ts
+++ b/src/policy/transfer/isworthmoving.ts
@@ -1,12 +1,15 @@
 /**
- * Is what waits at a gate worth moving to siblings? When its wait is longer than a usual service time, and than a move costs.
+ * Decides whether a gate hands back queued requests so that siblings serve them.
+ *
+ * The input is the gate's load report. Requests are handed back only if the expected wait is at least as long as a
+ * usual service time and as handing back takes; otherwise, they are served sooner where they are.
  */
 import type { LoadReport } from "../placement/loadreport.js";
 
-/** Moving a request costs about two hops: a shorter wait is waited out, in milliseconds. */
-const WORTH_MS = 6;
+/** Handing back a request costs about two hops; a shorter wait is not worth it. */
+const MIN_WAIT_MS = 6;
 
-/** By the gate's own report. */
+/** Returns true if the wait that the gate's own report shows is long enough to hand requests back. */
 export function isWorthMoving({ waiting, limit, serviceMs, baseMs }: LoadReport): boolean {
-    return waiting > 0 && waiting * serviceMs / limit >= Math.max(WORTH_MS, baseMs);
+    return waiting > 0 && waiting * serviceMs / limit >= Math.max(MIN_WAIT_MS, baseMs);
 }
--- a/src/policy/transfer/needpersibling.ts
+++ b/src/policy/transfer/needpersibling.ts
@@ -1,12 +1,13 @@
 /**
- * For how many of its waiting requests does a gate ask each sibling? For its part only, since moves feed on themselves at high
- * load.
+ * Decides how many of its queued requests a gate asks each sibling to take.
+ *
+ * Each sibling is asked for an equal share only, because at high load redirected requests cause further redirects.
  */
 
-/** Of one sibling at the most; the message has room for 64. */
-const MAX_COUNT = 16;
+/** Most requests that one sibling is asked to take; the message has room for 64. */
+const MAX_PER_SIBLING = 16;
 
-/** Requests; 0 where there is no sibling. */
-export function needPerSibling(waiting: number, siblings: number): number {
-    return siblings === 0 ? 0 : Math.min(MAX_COUNT, Math.ceil(waiting / siblings));
+/** Returns the number of requests to ask each sibling to take; 0 if there are no siblings. */
+export function needPerSibling(queued: number, siblingCount: number): number {
+    return siblingCount === 0 ? 0 : Math.min(MAX_PER_SIBLING, Math.ceil(queued / siblingCount));
 }
--- a/src/policy/transfer/transfer.test.ts
+++ b/src/policy/transfer/transfer.test.ts
@@ -6,7 +6,7 @@
 
 const load = { running: 4, waiting: 6, limit: 4, serviceMs: 20, baseMs: 20 };
 
-test("transfer: what waits longer than a usual service time, and than a move costs, is worth moving", () => {
+test("transfer: requests are handed back only for waits as long as a usual service time and two hops", () => {
     assert.equal(isWorthMoving(load), true);
     assert.equal(isWorthMoving({ ...load, waiting: 3 }), false);
     assert.equal(isWorthMoving({ ...load, waiting: 0 }), false);
@@ -14,14 +14,14 @@
     assert.equal(isWorthMoving({ ...load, serviceMs: 4, baseMs: 1 }), true);
 });
 
-test("transfer: each sibling is asked for its part", () => {
+test("transfer: each sibling is asked to take an equal share, up to a maximum", () => {
     assert.equal(needPerSibling(6, 3), 2);
     assert.equal(needPerSibling(7, 3), 3);
     assert.equal(needPerSibling(600, 3), 16);
     assert.equal(needPerSibling(6, 0), 0);
 });
 
-test("transfer: half of the free slots are offered", () => {
+test("transfer: at most half of the free slots are offered", () => {
     assert.equal(decideOffer(10, 4), 2);
     assert.equal(decideOffer(1, 4), 1);
     assert.equal(decideOffer(10, 1), 0);
