--- a/src/policy/failure/brokenruns.test.ts
+++ b/src/policy/failure/brokenruns.test.ts
@@ -5,7 +5,7 @@
 
 const [a, b, c] = ["a", "b", "c"] as RequestKey[] as [RequestKey, RequestKey, RequestKey];
 
-test("broken runs: those that broke off shortly before the end were under way, each is told once", () => {
+test("interrupted runs: requests interrupted shortly before a crash were in progress, each returned once", () => {
     const runs = new BrokenRuns();
     runs.record(a, false, 0);
     runs.record(b, false, 1500);
@@ -15,14 +15,14 @@
     assert.deepEqual(runs.takeUnderWay(2500), []);
 });
 
-test("broken runs: what was called off is under way for a while longer", () => {
+test("interrupted runs: a cancelled request counts as in progress for a short time", () => {
     const runs = new BrokenRuns();
     runs.record(a, true, 0);
     runs.record(b, true, 400);
     assert.deepEqual(runs.takeUnderWay(800), [b]);
 });
 
-test("broken runs: an answer to what was sent later proves that the upstream had not ended", () => {
+test("interrupted runs: a response to a request sent later proves that the upstream had not crashed", () => {
     const runs = new BrokenRuns();
     runs.record(a, false, 10);
     runs.record(b, false, 30);
--- a/src/policy/failure/brokenruns.ts
+++ b/src/policy/failure/brokenruns.ts
@@ -1,48 +1,50 @@
 /**
- * Which requests were under way when an upstream crashed?
+ * Decides which requests were in progress when an upstream crashed.
  *
- * Those whose runs broke off without an answer shortly before it was found gone, and those that were called off then: the upstream
- * may have been at work on them still. A run that broke off proves nothing by itself: a connection may be reset, and a full upstream may
- * hang up. An answer to what was sent later proves that the upstream lived on.
+ * The inputs are runs of requests that ended without a response, and when. Requests count as in progress if they were
+ * interrupted shortly before the crash was found, or cancelled then, because the upstream may still have worked on
+ * them. An interrupted run proves no crash by itself: a connection can be reset, and a full upstream may close it. A
+ * response to a request that was sent later proves that the upstream had not crashed.
  */
 import type { RequestKey } from "../../ids/requestkey.js";
 
 /**
- * An upstream that crashes takes all its connections with it at once, and a question finds nobody there within milliseconds; a daemon that
- * is out of processor time may be a second late. Milliseconds.
+ * A crash closes all connections of the upstream at once, and a probe finds within milliseconds that the upstream is
+ * gone; a daemon that is short of processor time may be a second late.
  */
-const BROKE_BEFORE_MS = 2000;
-/** Upstreams drop what is called off within a few times their way; milliseconds. */
-const CALLED_OFF_BEFORE_MS = 500;
-/** As many as an upstream has under way at the most, and more; bounds what a broken one can have kept. */
+const INTERRUPTED_WINDOW_MS = 2000;
+/** Upstreams stop the work on a cancelled request within a few network round trips. */
+const CANCELLED_WINDOW_MS = 500;
+/** More than an upstream has in progress at a time; bounds the memory that a faulty upstream can occupy. */
 const MAX_RUNS = 256;
 
-type Broken = { readonly request: RequestKey; readonly at: number; readonly calledOff: boolean; };
+/** A run that ended without a response: interrupted by its connection, or cancelled. */
+type InterruptedRun = { readonly request: RequestKey; readonly at: number; readonly cancelled: boolean; };
 
-/** Of one upstream; times are milliseconds on the daemon's clock. */
+/** Holds the recently interrupted runs of one upstream; times are milliseconds on the daemon's clock. */
 export class BrokenRuns {
-    #runs: Broken[] = [];
+    #runs: InterruptedRun[] = [];
 
-    /** Records a run that broke off, or was called off. */
-    record(request: RequestKey, calledOff: boolean, now: number): void {
-        this.#runs = [...this.#recent(now).slice(1 - MAX_RUNS), { request, at: now, calledOff }];
+    /** Records a run that was interrupted, or cancelled. */
+    record(request: RequestKey, cancelled: boolean, now: number): void {
+        this.#runs = [...this.#recent(now).slice(1 - MAX_RUNS), { request, at: now, cancelled }];
     }
 
-    /** Records that the upstream has answered what was sent at this time. */
+    /** Records a response to a request sent at `sentAt`; runs that ended earlier were not ended by a crash. */
     lived(sentAt: number): void {
         this.#runs = this.#runs.filter(({ at }) => at > sentAt);
     }
 
-    /** Those that were under way at a crash that is found now; they are told once. */
+    /** Returns the requests that were in progress at a crash found at `now`, and forgets them. */
     takeUnderWay(now: number): RequestKey[] {
-        const found = this.#recent(now).map(({ request }) => request);
+        const requests = this.#recent(now).map(({ request }) => request);
         this.#runs = [];
-        return [...new Set(found)];
+        return [...new Set(requests)];
     }
 
-    #recent(now: number): Broken[] {
-        return this.#runs.filter(({ at, calledOff }) =>
-            now - at <= (calledOff ? CALLED_OFF_BEFORE_MS : BROKE_BEFORE_MS)
+    #recent(now: number): InterruptedRun[] {
+        return this.#runs.filter(({ at, cancelled }) =>
+            now - at <= (cancelled ? CANCELLED_WINDOW_MS : INTERRUPTED_WINDOW_MS)
         );
     }
 }
--- a/src/policy/failure/pace.ts
+++ b/src/policy/failure/pace.ts
@@ -1,94 +1,99 @@
 /**
- * How fast does an upstream work at this moment, by its own report, and for how long is a report believed?
+ * Decides whether an upstream is slow at the moment, by how much and for how much longer.
  *
- * The pace is how many times longer than usual work takes there, 1 as usual. A cold upstream is as slow as its siblings, which
- * were started with it, so an upstream is slow against its own best only. Times are milliseconds on the daemon's clock.
+ * The inputs are the upstream's own reports of its pace: its present service time relative to its usual one, 1 as
+ * usual. A report counts for a short time only. An upstream is compared with its own best pace only, because a cold
+ * upstream is as slow as its siblings, which were started with it. Times are milliseconds on the daemon's clock.
  */
 
-/** An upstream this many times slower than it has been is worth avoiding: moving a request costs far less. */
-const SLOW = 1.5;
-/** Work takes as long as usual. */
-const USUAL = 1;
-/** A report is the present for so long: a tenth of the time between changes of pace at the users' (about 300 ms). */
-const BELIEVE_MS = 30;
-/** How long an upstream stays slow, assumed before it was seen, in milliseconds: of the order of the users'. */
-const START_SPELL_MS = 150;
-/** Of the newest spell in their mean: the last ten, about. */
-const SPELL_WEIGHT = 0.1;
-/** A spell between whose reports lay more time was not watched, in milliseconds. */
-const WATCHED_MS = 100;
+/** Ratio to its best pace from which an upstream is slow; redirecting a request costs far less than such a slowdown. */
+const SLOW_RATIO = 1.5;
+/** Pace at which service times are as usual. */
+const USUAL_PACE = 1;
+/** A tenth of the time between changes of pace at the users' upstreams, which is about 300 ms. */
+const MAX_REPORT_AGE_MS = 30;
+/** Length of a slow period that is assumed before one was observed, in the order of those at the users' upstreams. */
+const INITIAL_SLOW_PERIOD_MS = 150;
+/** Weight of the newest slow period in the moving average, which covers about the last ten. */
+const NEWEST_WEIGHT = 0.1;
+/** Slow periods with a longer time between two reports are not used for the moving average. */
+const MAX_REPORT_GAP_MS = 100;
 
-/** Of one upstream. */
+/** Holds the reported pace of one upstream. */
 export class Pace {
-    #pace = USUAL;
-    #best = Infinity;
-    #at = -Infinity;
-    #known = false;
-    /** Since when all reports were slow; undefined while the last one was not. */
+    #pace = USUAL_PACE;
+    #bestPace = Infinity;
+    #reportedAt = -Infinity;
+    #hasReported = false;
+    /** When the current slow period began; undefined if the last report was not slow. */
     #slowSince: number | undefined;
-    /** The spell was watched from its begin on, without a gap between reports. */
-    #isWatched = false;
-    #spellMs = START_SPELL_MS;
-    #slowdownInSpells = USUAL;
+    /** True if reports came without a gap since before the current slow period began. */
+    #isFullyObserved = false;
+    #meanSlowPeriodMs = INITIAL_SLOW_PERIOD_MS;
+    #lastSlowdown = USUAL_PACE;
 
-    /** Records a report that was true at `now`. */
+    /** Records the pace that the upstream reported at `now`. */
     observe(pace: number, now: number): void {
         this.#pace = pace;
-        this.#best = Math.max(USUAL, Math.min(this.#best, pace));
-        this.#observeSpell(now);
-        this.#at = now;
-        this.#known = true;
+        this.#bestPace = Math.max(USUAL_PACE, Math.min(this.#bestPace, pace));
+        this.#observeSlowPeriod(now);
+        this.#reportedAt = now;
+        this.#hasReported = true;
     }
 
     /**
-     * How much longer an upstream that is slow stays so, in milliseconds: as long as such spells mostly last, or as long again as
-     * this one has lasted. So a moment is waited for, and an upstream that stays slow is used as it is.
+     * Returns how much longer a slow upstream is expected to stay slow, in milliseconds: the mean length of slow
+     * periods, or the time that the current one has lasted if that is longer. So requests wait for the end of a short
+     * period, but use an upstream that stays slow.
      */
     spellMs(now: number): number {
-        return Math.max(this.#spellMs, now - (this.#slowSince ?? now));
+        return Math.max(this.#meanSlowPeriodMs, now - (this.#slowSince ?? now));
     }
 
-    /** How many times as long work took in the last slow spell; 1 before there was one. */
-    get slowdownInSpells(): number {
-        return this.#slowdownInSpells;
+    /** Ratio of the pace to the best one at the last slow report; 1 if there was none. */
+    get lastSlowdown(): number {
+        return this.#lastSlowdown;
     }
 
-    /** How many times as long work takes that begins now, by a report that is still believed; 1 where there is none. */
+    /**
+     * Returns the ratio of the current pace to the best one if the upstream is slow by a fresh report, and 1 otherwise.
+     */
     slowdown(now: number): number {
-        return this.isSlow(now) ? this.#pace / this.#best : USUAL;
+        return this.isSlow(now) ? this.#pace / this.#bestPace : USUAL_PACE;
     }
 
-    /** The last report; undefined of an upstream that never reports. */
+    /** Pace that was last reported; undefined if the upstream has not reported any. */
     get last(): number | undefined {
-        return this.#known ? this.#pace : undefined;
+        return this.#hasReported ? this.#pace : undefined;
     }
 
-    /** True when the upstream reports its pace and the last report is too old to decide by. */
+    /** Returns true if the upstream reports its pace and the last report is stale. */
     isStale(now: number): boolean {
-        return this.#known && now - this.#at > BELIEVE_MS;
+        return this.#hasReported && now - this.#reportedAt > MAX_REPORT_AGE_MS;
     }
 
-    /** True when the upstream is slow by a report not older than `at`. */
+    /** Returns true if the upstream is slow by a report received at `at` or later. */
     isSlowSince(at: number): boolean {
-        return this.#at >= at && this.#pace >= SLOW * this.#best;
+        return this.#reportedAt >= at && this.#pace >= SLOW_RATIO * this.#bestPace;
     }
 
-    #observeSpell(now: number): void {
-        const isSlow = this.#pace >= SLOW * this.#best;
-        this.#isWatched = now - this.#at <= WATCHED_MS && (this.#slowSince === undefined || this.#isWatched);
+    #observeSlowPeriod(now: number): void {
+        const isSlow = this.#pace >= SLOW_RATIO * this.#bestPace;
+        this.#isFullyObserved = now - this.#reportedAt <= MAX_REPORT_GAP_MS
+            && (this.#slowSince === undefined || this.#isFullyObserved);
         if (isSlow) {
-            this.#slowdownInSpells = this.#pace / this.#best;
+            this.#lastSlowdown = this.#pace / this.#bestPace;
             this.#slowSince ??= now;
             return;
         }
-        if (this.#slowSince !== undefined && this.#isWatched) {
-            this.#spellMs += SPELL_WEIGHT * (now - this.#slowSince - this.#spellMs);
+        if (this.#slowSince !== undefined && this.#isFullyObserved) {
+            this.#meanSlowPeriodMs += NEWEST_WEIGHT * (now - this.#slowSince - this.#meanSlowPeriodMs);
         }
         this.#slowSince = undefined;
     }
 
-    /** True when the upstream is slow by a report that is still believed. */
+    /** Returns true if the upstream is slow by a fresh report. */
     isSlow(now: number): boolean {
-        return this.#known && !this.isStale(now) && this.#pace >= SLOW * this.#best;
+        return this.#hasReported && !this.isStale(now) && this.#pace >= SLOW_RATIO * this.#bestPace;
     }
 }
--- a/src/policy/failure/pacecheck.ts
+++ b/src/policy/failure/pacecheck.ts
@@ -1,22 +1,30 @@
 /**
- * Is an upstream slow at this moment, so that a request which could go elsewhere should?
+ * Decides whether a request is served here, or redirected because the upstream is slow at the moment.
  *
- * The question is worth asking for a request with other choices, and for one whose work is so long that it would wait here for a
- * faster moment. A report of the upstream's pace is the present for a while; an older one says nothing, and then the upstream is
- * asked, under a budget.
+ * The inputs are the upstream's pace, the number of other upstreams that the request could still go to, and its usual
+ * service time in milliseconds. The pace matters only to a request with other upstreams, or to one that takes so long
+ * that it would wait here until the upstream is faster. If the last report is stale, the upstream is asked for a new
+ * one first, within a budget.
  */
 import { isWorthWaiting } from "../admission/isworthwaiting.js";
 import type { Pace } from "./pace.js";
 
-/** What to do: serve the request, send it on, or ask the upstream first. */
-type PaceCheck = "serve" | "slow" | "ask";
+/**
+ * - `serve`: the upstream serves the request.
+ * - `slow`: the request is redirected, because the upstream is slow.
+ * - `ask`: the upstream is asked for its pace first.
+ */
+type PaceDecision = "serve" | "slow" | "ask";
 
-/** `choices`: other upstreams to which the request could still go; `workMs`: how long its work takes at the usual pace. */
-type Checked = { readonly choices: number; readonly workMs: number; };
+/**
+ * - `choices`: number of other upstreams that the request could still be sent to.
+ * - `workMs`: service time of the request at the usual pace, in milliseconds.
+ */
+type PaceCheckInput = { readonly choices: number; readonly workMs: number; };
 
-/** `now` is on the daemon's clock, in milliseconds. */
-export function checkPace(pace: Pace, { choices, workMs }: Checked, now: number): PaceCheck {
-    const mayWait = isWorthWaiting({ workMs, slowdown: pace.slowdownInSpells, spellMs: pace.spellMs(now) });
+/** Returns what to do with a request at `now`, in milliseconds on the daemon's clock. */
+export function checkPace(pace: Pace, { choices, workMs }: PaceCheckInput, now: number): PaceDecision {
+    const mayWait = isWorthWaiting({ workMs, slowdown: pace.lastSlowdown, spellMs: pace.spellMs(now) });
     if (choices === 0 && !mayWait) {
         return "serve";
     }
--- a/src/policy/failure/silence.test.ts
+++ b/src/policy/failure/silence.test.ts
@@ -4,50 +4,54 @@
 
 const known = { outstanding: 1, serviceMs: 10, answersPings: true, isSuspected: false };
 
-test("silence: a gate that owes no answer is not asked", () => {
-    const silence = new Silence();
-    assert.deepEqual(silence.decide({ ...known, outstanding: 0 }, 10_000), { type: "none" });
+test("liveness: a gate without outstanding requests is not pinged", () => {
+    const liveness = new Silence();
+    assert.deepEqual(liveness.decide({ ...known, outstanding: 0 }, 10_000), { type: "none" });
 });
 
-test("silence: a gate that owes one is asked after an unusual silence, twice, and then suspected", () => {
-    const silence = new Silence();
-    silence.sent(0);
-    assert.deepEqual(silence.decide(known, 150), { type: "none" });
-    assert.deepEqual(silence.decide(known, 151), { type: "ping", why: "silent" });
-    silence.pinged(151);
-    assert.deepEqual(silence.decide(known, 301), { type: "none" });
-    assert.deepEqual(silence.decide(known, 302), { type: "ping", why: "unanswered" });
-    silence.pinged(302);
-    assert.deepEqual(silence.decide(known, 453), { type: "suspect" });
+test("liveness: an unresponsive gate is pinged twice and then suspected", () => {
+    const liveness = new Silence();
+    liveness.sent(0);
+    assert.deepEqual(liveness.decide(known, 150), { type: "none" });
+    assert.deepEqual(liveness.decide(known, 151), { type: "ping", why: "silent" });
+    liveness.pinged(151);
+    assert.deepEqual(liveness.decide(known, 301), { type: "none" });
+    assert.deepEqual(liveness.decide(known, 302), { type: "ping", why: "unanswered" });
+    liveness.pinged(302);
+    assert.deepEqual(liveness.decide(known, 453), { type: "suspect" });
 });
 
-test("silence: where answers usually take long, it begins later", () => {
-    const silence = new Silence();
-    silence.sent(0);
-    assert.deepEqual(silence.decide({ ...known, serviceMs: 400 }, 600), { type: "none" });
-    assert.deepEqual(silence.decide({ ...known, serviceMs: 400 }, 601), { type: "ping", why: "silent" });
+test("liveness: a gate whose upstream has long service times is pinged later", () => {
+    const liveness = new Silence();
+    liveness.sent(0);
+    assert.deepEqual(liveness.decide({ ...known, serviceMs: 400 }, 600), { type: "none" });
+    assert.deepEqual(liveness.decide({ ...known, serviceMs: 400 }, 601), { type: "ping", why: "silent" });
 });
 
-test("silence: nothing is due where nothing is owed, asked or doubted", () => {
-    const silence = new Silence();
-    const quiet = { ...known, outstanding: 0 };
-    assert.equal(silence.isSettled(quiet), true);
-    assert.equal(silence.isSettled(known), false);
-    assert.equal(silence.isSettled({ ...quiet, isSuspected: true }), false);
-    silence.pinged(0);
-    assert.equal(silence.isSettled(quiet), false);
-    silence.heard(0, 10);
-    assert.equal(silence.isSettled(quiet), true);
-    assert.equal(silence.isSettled({ ...quiet, answersPings: false }), false, "heard, and never asked");
+test("liveness: nothing is due without outstanding requests, unanswered pings and suspicion", () => {
+    const liveness = new Silence();
+    const idle = { ...known, outstanding: 0 };
+    assert.equal(liveness.isSettled(idle), true);
+    assert.equal(liveness.isSettled(known), false);
+    assert.equal(liveness.isSettled({ ...idle, isSuspected: true }), false);
+    liveness.pinged(0);
+    assert.equal(liveness.isSettled(idle), false);
+    liveness.heard(0, 10);
+    assert.equal(liveness.isSettled(idle), true);
+    assert.equal(
+        liveness.isSettled({ ...idle, answersPings: false }),
+        false,
+        "the gate responded but never answered a ping",
+    );
 });
 
-test("silence: a sign of life ends it, and a gate that never answered a ping is not suspected", () => {
-    const silence = new Silence();
-    silence.sent(0);
-    silence.heard(1, 100);
-    assert.deepEqual(silence.decide(known, 250), { type: "none" });
-    const stranger = { ...known, answersPings: false };
-    assert.deepEqual(silence.decide(stranger, 250), { type: "ping", why: "never-asked" });
-    silence.pinged(251);
-    assert.deepEqual(silence.decide(stranger, 402), { type: "none" });
+test("liveness: a response restarts the timeout, and a gate that never answered a ping is not suspected", () => {
+    const liveness = new Silence();
+    liveness.sent(0);
+    liveness.heard(1, 100);
+    assert.deepEqual(liveness.decide(known, 250), { type: "none" });
+    const neverAnswered = { ...known, answersPings: false };
+    assert.deepEqual(liveness.decide(neverAnswered, 250), { type: "ping", why: "never-asked" });
+    liveness.pinged(251);
+    assert.deepEqual(liveness.decide(neverAnswered, 402), { type: "none" });
 });
--- a/src/policy/failure/silence.ts
+++ b/src/policy/failure/silence.ts
@@ -1,61 +1,71 @@
 /**
- * When is a gate asked whether it is there, and when does its silence become suspicion?
+ * Decides when a gate is pinged, and when an unresponsive gate becomes suspected.
  *
- * Answers are signs of life by themselves, so only a gate that owes an answer is asked, and only after a silence that is
- * unusual there; a suspected one is asked until it answers; and one that has answered requests but never a ping is asked now and
- * then, so that it is known whether datagrams reach it. Only a gate that has answered a ping before can become suspected: else it
- * may be the datagrams that are lost. Times are milliseconds on the daemon's clock.
+ * The inputs are the outstanding requests, the moments of responses and pings, and the upstream's service time; times
+ * are milliseconds on the daemon's clock. Responses show that a gate is alive, so a gate is pinged in these cases only:
+ * - It has outstanding requests and has not responded for an unusually long time.
+ * - It is suspected; it is then pinged until it responds.
+ * - It has responded to requests but never to a ping; it is then pinged now and then, to find out whether datagrams
+ *   reach it.
+ *
+ * Only a gate that has answered a ping before can become suspected; otherwise, the datagrams may be lost.
  */
 
-/** Shorter silences are what the network and a busy host do now and then. */
-const SILENT_MS = 150;
-/** An answer that takes no longer than this many times what is usual there is no silence. */
-const USUAL_TIMES = 1.5;
-/** Datagrams are lost now and then: so many pings in a row must go unanswered. */
+/** Shorter delays occur now and then on the network and on busy hosts. */
+const MIN_UNRESPONSIVE_MS = 150;
+/** Multiple of the upstream's service time that a response may take before its gate counts as unresponsive. */
+const SERVICE_TIME_FACTOR = 1.5;
+/** Number of pings in a row that must go unanswered; one may be lost, because datagrams are unreliable. */
 const MAX_UNANSWERED = 2;
-/** How long a ping may go unanswered: the answer's way through two busy processes. */
+/** Long enough for the response to a ping to pass through two busy processes. */
 const PING_TIMEOUT_MS = 150;
 
-/** What is known of the gate besides; `serviceMs` is the upstream's service time as reported last. */
-type SilenceInput = {
+/** Further facts about the gate; `serviceMs` is the upstream's last reported service time. */
+type LivenessInput = {
     readonly outstanding: number;
     readonly serviceMs: number;
-    /** It has answered a ping before. */
+    /** True if the gate has answered a ping before. */
     readonly answersPings: boolean;
     readonly isSuspected: boolean;
 };
 
-/** `why` a ping: the one before went unanswered, the gate is suspected, it is silent, or it was never asked. */
-type SilenceAction =
+/**
+ * What to do about the gate. `why` is the reason of a ping:
+ * - `unanswered`: the previous ping was not answered.
+ * - `suspected`: the gate is suspected.
+ * - `silent`: the gate is unresponsive.
+ * - `never-asked`: the gate has never answered a ping.
+ */
+type LivenessAction =
     | { readonly type: "none"; }
     | { readonly type: "ping"; readonly why: "unanswered" | "suspected" | "silent" | "never-asked"; }
     | { readonly type: "suspect"; };
 
-const NONE: SilenceAction = { type: "none" };
+const NO_ACTION: LivenessAction = { type: "none" };
 
-/** Of one gate, as far as one upstream's requests go. */
+/** Holds the liveness of one gate, as far as requests to one upstream show it. */
 export class Silence {
-    #heardAt: number | undefined;
-    #since: number | undefined;
+    #lastAliveAt: number | undefined;
+    #outstandingSince: number | undefined;
     #pingedAt: number | undefined;
-    #unanswered = 0;
+    #unansweredPings = 0;
 
-    /** Records that a request was sent there. */
+    /** Records that a request was sent to the gate. */
     sent(now: number): void {
-        this.#since ??= now;
+        this.#outstandingSince ??= now;
     }
 
-    /** Records that no request is outstanding there any more. */
+    /** Records that no request is outstanding any more. */
     settled(): void {
-        this.#since = undefined;
+        this.#outstandingSince = undefined;
     }
 
-    /** Records a sign of life. */
+    /** Records a response to a request or a ping; `outstanding` is the number of requests still outstanding. */
     heard(outstanding: number, now: number): void {
-        this.#heardAt = now;
-        this.#since = outstanding > 0 ? now : undefined;
+        this.#lastAliveAt = now;
+        this.#outstandingSince = outstanding > 0 ? now : undefined;
         this.#pingedAt = undefined;
-        this.#unanswered = 0;
+        this.#unansweredPings = 0;
     }
 
     /** Records that a ping was sent. */
@@ -63,35 +73,37 @@
         this.#pingedAt = now;
     }
 
-    /** True while nothing is due here, until the next request is sent. */
-    isSettled({ outstanding, answersPings, isSuspected }: SilenceInput): boolean {
-        const isKnown = answersPings || this.#heardAt === undefined;
+    /** Returns true if nothing is to be decided until the next request is sent. */
+    isSettled({ outstanding, answersPings, isSuspected }: LivenessInput): boolean {
+        const isKnown = answersPings || this.#lastAliveAt === undefined;
         return outstanding === 0 && isKnown && !isSuspected && this.#pingedAt === undefined;
     }
 
-    /** What to do now; a ping that timed out is counted. */
-    decide(input: SilenceInput, now: number): SilenceAction {
+    /** Returns what to do now; counts a ping that has timed out. */
+    decide(input: LivenessInput, now: number): LivenessAction {
         if (this.#pingedAt !== undefined) {
-            return now - this.#pingedAt > PING_TIMEOUT_MS ? this.#timedOut(input, now) : NONE;
+            return now - this.#pingedAt > PING_TIMEOUT_MS ? this.#onPingTimeout(input, now) : NO_ACTION;
         }
         if (input.isSuspected) {
             return { type: "ping", why: "suspected" };
         }
-        const patienceMs = Math.max(SILENT_MS, USUAL_TIMES * input.serviceMs);
-        if (this.#since !== undefined && now - this.#since > patienceMs) {
+        const unresponsiveMs = Math.max(MIN_UNRESPONSIVE_MS, SERVICE_TIME_FACTOR * input.serviceMs);
+        if (this.#outstandingSince !== undefined && now - this.#outstandingSince > unresponsiveMs) {
             return { type: "ping", why: "silent" };
         }
-        return this.#heardAt !== undefined && !input.answersPings ? { type: "ping", why: "never-asked" } : NONE;
+        return this.#lastAliveAt !== undefined && !input.answersPings
+            ? { type: "ping", why: "never-asked" }
+            : NO_ACTION;
     }
 
-    #timedOut({ outstanding, answersPings }: SilenceInput, now: number): SilenceAction {
+    #onPingTimeout({ outstanding, answersPings }: LivenessInput, now: number): LivenessAction {
         this.#pingedAt = undefined;
-        this.#unanswered += 1;
-        if (this.#unanswered < MAX_UNANSWERED && answersPings) {
+        this.#unansweredPings += 1;
+        if (this.#unansweredPings < MAX_UNANSWERED && answersPings) {
             return { type: "ping", why: "unanswered" };
         }
-        this.#unanswered = 0;
-        this.#since = outstanding > 0 ? now : undefined;
-        return answersPings ? { type: "suspect" } : NONE;
+        this.#unansweredPings = 0;
+        this.#outstandingSince = outstanding > 0 ? now : undefined;
+        return answersPings ? { type: "suspect" } : NO_ACTION;
     }
 }
--- a/src/policy/failure/silentafter.ts
+++ b/src/policy/failure/silentafter.ts
@@ -1,17 +1,22 @@
 /**
- * After how long is a request given up whose connection to the upstream may have gone silent?
+ * Decides after how many milliseconds a request is cancelled if its connection to the upstream may be unresponsive.
  *
- * Asked only when another connection of this daemon was just found to carry nothing any more: then an answer that takes several times what
- * is usual is more likely never to come. HTTP has no way to ask on the connection itself. Without such a finding a
- * request has all of its time.
+ * Used only after another connection of this daemon was found to be unresponsive. Then a response that takes several
+ * times the usual service time is more likely never to come. HTTP offers no way to check the connection itself. Without
+ * such a finding, a request may use all of its time limit.
  */
 
-/** Of the usual service time: rules differ by some five times, noisy neighbours slow work by four at times. */
-const USUAL_TIMES = 10;
-/** Milliseconds; shorter waits are what a busy host does now and then. */
-const LEAST_MS = 300;
+/**
+ * Multiple of the mean service time. Service times of rules differ about fivefold, and noisy neighbours slow work up to
+ * fourfold.
+ */
+const SERVICE_TIME_FACTOR = 10;
+/** Shorter delays occur now and then on a busy host. */
+const MIN_TIMEOUT_MS = 300;
 
-/** Milliseconds from when the request was sent; `usualMs` is the mean service time of its upstream. */
-export function silentAfter(usualMs: number): number {
-    return Math.max(LEAST_MS, USUAL_TIMES * usualMs);
+/**
+ * Returns the time from sending the request, in milliseconds; `meanServiceMs` is the mean service time of its upstream.
+ */
+export function silentAfter(meanServiceMs: number): number {
+    return Math.max(MIN_TIMEOUT_MS, SERVICE_TIME_FACTOR * meanServiceMs);
 }
--- a/src/policy/failure/suspicion.test.ts
+++ b/src/policy/failure/suspicion.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { Suspicion } from "./suspicion.js";
 
-test("suspicion: after the pause one request tries, and no other follows", () => {
+test("suspicion: after the pause, a single request probes the gate", () => {
     const suspicion = new Suspicion();
     suspicion.fail(0);
     assert.equal(suspicion.active(999), true);
@@ -11,7 +11,7 @@
     assert.equal(suspicion.active(1001), true);
 });
 
-test("suspicion: a sign of life ends it at once", () => {
+test("suspicion: a response ends it at once", () => {
     const suspicion = new Suspicion();
     suspicion.fail(0);
     suspicion.clear();
--- a/src/policy/failure/suspicion.ts
+++ b/src/policy/failure/suspicion.ts
@@ -1,53 +1,55 @@
 /**
- * For how long is nothing sent to a gate that does not answer?
+ * Decides for how long no requests are sent to an unresponsive gate.
  *
- * Until a sign of life, such as the answer to a ping. Without one, a single request tries the gate after a pause that doubles with
- * each failure in a row. Times are milliseconds on the daemon's clock.
+ * The pause ends with any response of the gate, such as the one to a ping. Without a response, a single request probes
+ * the gate after a pause that doubles with each failure in a row. Times are milliseconds on the daemon's clock.
  */
 
-/** The first pause; pings mostly find the gate sooner. */
-const FIRST_MS = 1000;
-/** The longest: a host that was restarted is found again within it. */
-const LONGEST_MS = 8000;
+/** The first pause; pings mostly find sooner that the gate responds again. */
+const INITIAL_PAUSE_MS = 1000;
+/** The longest pause, within which a restarted host is found again. */
+const MAX_PAUSE_MS = 8000;
 
-/** Of one gate. */
+/** Holds the suspicion of one gate. */
 export class Suspicion {
     #failures = 0;
-    #until = 0;
+    #pausedUntil = 0;
 
-    /** True from the first failure to the next sign of life. */
+    /** True from the first failure to the next response. */
     get suspected(): boolean {
         return this.#failures > 0;
     }
 
-    /** True while nothing should be sent there. */
+    /** Returns true while no requests should be sent to the gate. */
     active(now: number): boolean {
-        return now < this.#until;
+        return now < this.#pausedUntil;
     }
 
-    /** Records that it did not answer. */
+    /** Records that the gate did not respond; further failures during a pause do not count. */
     fail(now: number): void {
         if (this.active(now) && this.suspected) {
             return;
         }
-        this.#until = now + this.#pauseMs();
+        this.#pausedUntil = now + this.#pauseMs();
         this.#failures += 1;
     }
 
-    /** Records that a request is sent there; while it is suspected, no other follows for a while. */
+    /**
+     * Records that a request is sent to the gate; if the gate is suspected, no other is sent for the length of a pause.
+     */
     probe(now: number): void {
         if (this.suspected) {
-            this.#until = Math.max(this.#until, now + this.#pauseMs());
+            this.#pausedUntil = Math.max(this.#pausedUntil, now + this.#pauseMs());
         }
     }
 
-    /** Records a sign of life. */
+    /** Records a response, which ends the suspicion. */
     clear(): void {
         this.#failures = 0;
-        this.#until = 0;
+        this.#pausedUntil = 0;
     }
 
     #pauseMs(): number {
-        return Math.min(LONGEST_MS, FIRST_MS * 2 ** this.#failures);
+        return Math.min(MAX_PAUSE_MS, INITIAL_PAUSE_MS * 2 ** this.#failures);
     }
 }
