--- a/src/policy/quarantine/crashhistory.ts
+++ b/src/policy/quarantine/crashhistory.ts
@@ -1,13 +1,17 @@
 /**
- * Which requests crash the upstreams that run them?
+ * Decides which requests are suspected of crashing upstreams, and which are quarantined.
  *
- * An upstream crashes under all that it has under way. The proper requests among them are soon served well somewhere, which clears them;
- * what is under way again at the next crash, and at the one after that, and was not served well between, is taken for the cause and
- * quarantined, at all daemons. So crashes are counted over all daemons: each tells the others what it saw, and a history is the union of
- * what was told, in whichever order. Histories that hold the same have the same mark.
+ * The inputs are records of requests that were in progress when an upstream crashed, and of requests that were served
+ * successfully. At a crash, harmless requests are in progress as well. They are soon served successfully elsewhere,
+ * which clears them of the crash. A request that is in progress at three crashes and is not served successfully in
+ * between is taken for the cause.
  *
- * One request at ten tries a second, four upstreams, eight daemons: 3 crashes in 12 s, 39 without (test/crashing.test.ts).
- * How many crashes are enough, and for how long, stands in crashlimits.ts.
+ * Crashes are counted across daemons, so that a request is quarantined at all of them. Each daemon notifies the others
+ * of the crashes that it observed, and a history is the union of all received records, in any order. Histories with the
+ * same content have the same digest.
+ *
+ * With one crashing request sent ten times a second, four upstreams and eight daemons, there are 3 crashes in 12 s, and
+ * 39 without the quarantine (test/crashing.test.ts). The thresholds and times are in crashlimits.ts.
  */
 import type { CrashId } from "../../ids/crashid.js";
 import type { RequestKey } from "../../ids/requestkey.js";
@@ -16,74 +20,85 @@
 import { hashText } from "./hashtext.js";
 import type { Standing } from "./standing.js";
 
-/** `changedAt` is the count of changes by then. */
-type Entry = { readonly crashes: Set<CrashId>; readonly cleared: Set<CrashId>; lastAt: number; changedAt: number; };
+/**
+ * What is known of one request. `changeNumber` is the history's count of changes after the last change of this entry.
+ */
+type Entry = {
+    readonly crashes: Set<CrashId>;
+    readonly cleared: Set<CrashId>;
+    lastCrashAt: number;
+    changeNumber: number;
+};
 
-const notCleared = ({ crashes, cleared }: Entry): number => [...crashes].filter(crash => !cleared.has(crash)).length;
+const countUncleared = ({ crashes, cleared }: Entry): number =>
+    [...crashes].filter(crash => !cleared.has(crash)).length;
 
-/** Of all that is known, and of the suspect requests alone. */
-type Marks = { readonly all: number; readonly suspect: number; };
+/** Digests of all entries, and of those of suspect and quarantined requests only. */
+type Digests = { readonly all: number; readonly suspect: number; };
 
-/** Of ids that differ, all daemons keep the same ones. */
-const keepFirst = (ids: Set<CrashId>): void => {
+/** Drops all but the lowest ids, so that all daemons keep the same ones. */
+const keepLowestIds = (ids: Set<CrashId>): void => {
     [...ids].sort().slice(crashLimits.maxCrashes).forEach(id => ids.delete(id));
 };
 
-const markOf = (request: RequestKey, { crashes, cleared }: Entry): number => {
-    let mark = 0;
-    crashes.forEach(crash => mark ^= hashText(`${request} ${crash}`));
-    cleared.forEach(crash => mark ^= hashText(`${request} ${crash} cleared`));
-    return mark;
+const digestOf = (request: RequestKey, { crashes, cleared }: Entry): number => {
+    let digest = 0;
+    crashes.forEach(crash => digest ^= hashText(`${request} ${crash}`));
+    cleared.forEach(crash => digest ^= hashText(`${request} ${crash} cleared`));
+    return digest;
 };
 
-/** Pure; times are milliseconds on the daemon's clock. */
+/** Holds the crash records of all requests, without side effects; times are milliseconds on the daemon's clock. */
 export class CrashHistory {
     readonly #entries = new Map<RequestKey, Entry>();
-    #changes = 0;
-    /** Undefined while they must be found anew. */
-    #marks: Marks | undefined;
+    #changeCount = 0;
+    /** Cached digests; undefined if they have to be computed again. */
+    #digests: Digests | undefined;
 
     get isEmpty(): boolean {
         return this.#entries.size === 0;
     }
 
-    /** The same wherever the same is known; undefined of an empty history. */
+    /** Digest of the history, equal for equal content; undefined if the history is empty. */
     get mark(): number | undefined {
-        return this.isEmpty ? undefined : this.#findMarks().all;
+        return this.isEmpty ? undefined : this.#currentDigests().all;
     }
 
-    /** The same wherever the same is known of suspect and quarantined requests; undefined where there are none. */
+    /** Digest of suspect and quarantined requests, equal for equal content; undefined if there are none. */
     get suspectMark(): number | undefined {
-        const { suspect } = this.#findMarks();
+        const { suspect } = this.#currentDigests();
         return suspect === 0 ? undefined : suspect;
     }
 
-    /** How many changes there have been. */
+    /** Number of changes so far. */
     get changes(): number {
-        return this.#changes;
+        return this.#changeCount;
     }
 
-    /** Applies what is told of requests; returns those of which something is new. */
+    /** Merges records into the history and returns the requests whose records contained something new. */
     merge(records: readonly CrashRecord[], now: number): RequestKey[] {
-        const changed = records.filter(record => record.ageMs < crashLimits.keepMs && this.#mergeOne(record, now));
+        const changed = records.filter(record => record.ageMs < crashLimits.retentionMs && this.#mergeOne(record, now));
         this.forgetOld(now);
-        this.#bound();
+        this.#evictExcess();
         return changed.map(({ request }) => request);
     }
 
-    /** Forgets requests whose last crash is too long ago. */
+    /** Evicts requests whose retention period after the last crash has expired. */
     forgetOld(now: number): void {
-        for (const [request, { lastAt }] of this.#entries) {
-            if (now - lastAt >= crashLimits.keepMs) {
+        for (const [request, { lastCrashAt }] of this.#entries) {
+            if (now - lastCrashAt >= crashLimits.retentionMs) {
                 this.#delete(request);
             }
         }
     }
 
-    /** Records that a request was served well: the crashes that are known so far were not its doing. False when there were none. */
+    /**
+     * Records that a request was served successfully, which clears it of all crashes known so far. Returns false if
+     * there was nothing to clear.
+     */
     clear(request: RequestKey): boolean {
         const entry = this.#entries.get(request);
-        if (entry === undefined || notCleared(entry) === 0) {
+        if (entry === undefined || countUncleared(entry) === 0) {
             return false;
         }
         entry.crashes.forEach(crash => entry.cleared.add(crash));
@@ -91,25 +106,27 @@
         return true;
     }
 
-    /** For how long the request is quarantined yet, in milliseconds; undefined for one that is not. */
+    /**
+     * Returns how much longer the request stays quarantined, in milliseconds, or undefined if it is not quarantined.
+     */
     quarantinedForMs(request: RequestKey, now: number): number | undefined {
         const entry = this.#entries.get(request);
-        if (entry === undefined || notCleared(entry) < crashLimits.quarantineAt) {
+        if (entry === undefined || countUncleared(entry) < crashLimits.quarantineAt) {
             return undefined;
         }
-        const leftMs = entry.lastAt + crashLimits.holdMs - now;
-        return leftMs > 0 ? leftMs : undefined;
+        const remainingMs = entry.lastCrashAt + crashLimits.holdMs - now;
+        return remainingMs > 0 ? remainingMs : undefined;
     }
 
     standing(request: RequestKey, now: number): Standing {
         const entry = this.#entries.get(request);
-        if (entry === undefined || notCleared(entry) < crashLimits.suspectAt) {
+        if (entry === undefined || countUncleared(entry) < crashLimits.suspectThreshold) {
             return "free";
         }
         return this.quarantinedForMs(request, now) === undefined ? "suspect" : "quarantined";
     }
 
-    /** How many requests are quarantined. */
+    /** Returns the number of quarantined requests. */
     countQuarantined(now: number): number {
         return [...this.#entries.keys()].filter(request => this.quarantinedForMs(request, now) !== undefined).length;
     }
@@ -119,68 +136,68 @@
         if (entry === undefined) {
             return undefined;
         }
-        const ageMs = Math.max(0, Math.round(now - entry.lastAt));
+        const ageMs = Math.max(0, Math.round(now - entry.lastCrashAt));
         return { request, crashes: [...entry.crashes], cleared: [...entry.cleared], ageMs };
     }
 
-    /** What has changed after so many changes; all that is known after none. */
-    changedAfter(changes: number, now: number): CrashRecord[] {
-        const changed = [...this.#entries].filter(([, { changedAt }]) => changedAt > changes);
+    /** Returns the records that changed after the first `changeCount` changes; for 0, all records. */
+    changedAfter(changeCount: number, now: number): CrashRecord[] {
+        const changed = [...this.#entries].filter(([, { changeNumber }]) => changeNumber > changeCount);
         return changed.map(([request]) => this.find(request, now)!);
     }
 
     #mergeOne({ request, crashes, cleared, ageMs }: CrashRecord, now: number): boolean {
         const entry = this.#entries.get(request)
-            ?? { crashes: new Set(), cleared: new Set(), lastAt: now - ageMs, changedAt: 0 };
-        const before = [...entry.crashes, "/", ...entry.cleared].join();
-        // Only a crash that is new here moves the time: what lies in the store has the age that it was written with.
+            ?? { crashes: new Set(), cleared: new Set(), lastCrashAt: now - ageMs, changeNumber: 0 };
+        const idsBefore = [...entry.crashes, "/", ...entry.cleared].join();
+        // Only a new crash updates the time, because records in the store keep the age that they were written with.
         if (crashes.some(crash => !entry.crashes.has(crash))) {
-            entry.lastAt = Math.max(entry.lastAt, now - ageMs);
+            entry.lastCrashAt = Math.max(entry.lastCrashAt, now - ageMs);
         }
         crashes.forEach(crash => entry.crashes.add(crash));
         cleared.forEach(crash => entry.cleared.add(crash));
-        keepFirst(entry.crashes);
-        keepFirst(entry.cleared);
+        keepLowestIds(entry.crashes);
+        keepLowestIds(entry.cleared);
         this.#entries.set(request, entry);
-        const isChanged = before !== [...entry.crashes, "/", ...entry.cleared].join();
+        const isChanged = idsBefore !== [...entry.crashes, "/", ...entry.cleared].join();
         if (isChanged) {
             this.#recordChange(entry);
         }
         return isChanged;
     }
 
-    #bound(): void {
+    #evictExcess(): void {
         const excess = this.#entries.size - crashLimits.maxRequests;
         if (excess > 0) {
-            const order = [...this.#entries].sort(([, a], [, b]) =>
-                notCleared(a) - notCleared(b) || a.lastAt - b.lastAt
+            const fewestCrashesFirst = [...this.#entries].sort(([, a], [, b]) =>
+                countUncleared(a) - countUncleared(b) || a.lastCrashAt - b.lastCrashAt
             );
-            order.slice(0, excess).forEach(([request]) => this.#delete(request));
+            fewestCrashesFirst.slice(0, excess).forEach(([request]) => this.#delete(request));
         }
     }
 
     #delete(request: RequestKey): void {
         this.#entries.delete(request);
-        this.#marks = undefined;
+        this.#digests = undefined;
     }
 
     #recordChange(entry: Entry): void {
-        this.#changes += 1;
-        entry.changedAt = this.#changes;
-        this.#marks = undefined;
+        this.#changeCount += 1;
+        entry.changeNumber = this.#changeCount;
+        this.#digests = undefined;
     }
 
-    /** Whatever the order. */
-    #findMarks(): Marks {
-        return this.#marks ??= this.#makeMarks();
+    /** Returns the cached digests; they do not depend on the order of entries. */
+    #currentDigests(): Digests {
+        return this.#digests ??= this.#computeDigests();
     }
 
-    #makeMarks(): Marks {
+    #computeDigests(): Digests {
         let [all, suspect] = [0, 0];
         for (const [request, entry] of this.#entries) {
-            const mark = markOf(request, entry);
-            all ^= mark;
-            suspect ^= notCleared(entry) >= crashLimits.suspectAt ? mark : 0;
+            const digest = digestOf(request, entry);
+            all ^= digest;
+            suspect ^= countUncleared(entry) >= crashLimits.suspectThreshold ? digest : 0;
         }
         return { all: all >>> 0, suspect: suspect >>> 0 };
     }
--- a/src/policy/quarantine/crashlimits.ts
+++ b/src/policy/quarantine/crashlimits.ts
@@ -1,21 +1,28 @@
-/** How many crashes are enough, how long they count, and how much is kept of them. */
+/** Defines how many crashes quarantine a request, how long crashes count, and how many of them are kept. */
 export const crashLimits = {
     /**
-     * Crashes under a request from which on it is quarantined: it is not run. A proper request is under way at one now and then; at three,
-     * and not served well between, only where the upstreams crash for another reason over and over. The users' operators allow three.
+     * Number of uncleared crashes from which a request is quarantined, so that it no longer runs. A harmless request is
+     * in progress at one crash now and then, but at three without being served successfully in between only if
+     * upstreams crash repeatedly for another reason. The users' operators allow three crashes.
      */
     quarantineAt: 3,
-    /** From so many on winglock itself does not send it again: the next crash would be the one too many. */
-    suspectAt: 2,
     /**
-     * Quarantined for so long after the last crash, in milliseconds; then it is tried again, since a release may have mended the upstreams,
-     * and one more crash quarantines it again: longer than callers go on asking, shorter than a release is awaited.
+     * Number of uncleared crashes from which winglock itself does not retry a request; the next would be one too many.
+     */
+    suspectThreshold: 2,
+    /**
+     * How long a request stays quarantined after its last crash. It may run again afterwards, because a release may
+     * have fixed the upstreams; one more crash quarantines it again. The time is longer than callers keep retrying, and
+     * shorter than the wait for a release.
      */
     holdMs: 600_000,
-    /** A crash is remembered for so long, in milliseconds: several holds. */
-    keepMs: 3_600_000,
-    /** Requests that are kept at the most: what is under way at twenty crashes. Those with the fewest go first, of these the oldest. */
+    /** How long a request is kept after its last crash: several times as long as a quarantine. */
+    retentionMs: 3_600_000,
+    /**
+     * Maximum number of requests, about those in progress at twenty crashes. Requests with the fewest crashes are
+     * evicted first, and of these the ones with the oldest crash.
+     */
     maxRequests: 256,
-    /** Crashes that are kept of one request at the most: five times as many as are enough. */
+    /** Maximum number of crashes that are kept for a request: five times as many as quarantine it. */
     maxCrashes: 16,
 } as const;
--- a/src/policy/quarantine/crashrecord.ts
+++ b/src/policy/quarantine/crashrecord.ts
@@ -1,12 +1,15 @@
-/** What daemons tell each other of one request. */
+/** Defines the record of one request that daemons send each other. */
 import type { CrashId } from "../../ids/crashid.js";
 import type { RequestKey } from "../../ids/requestkey.js";
 
-/** The crashes of upstreams under a request; those that were not its doing, since it was served well later, are `cleared`. */
+/**
+ * The crashes of upstreams that had the request in progress. Crashes in `cleared` were not caused by the request,
+ * because it was served successfully later.
+ */
 export type CrashRecord = {
     readonly request: RequestKey;
     readonly crashes: readonly CrashId[];
     readonly cleared: readonly CrashId[];
-    /** Milliseconds since the last of the crashes. */
+    /** Time since the last crash, in milliseconds. */
     readonly ageMs: number;
 };
--- a/src/policy/quarantine/hashtext.ts
+++ b/src/policy/quarantine/hashtext.ts
@@ -1,15 +1,15 @@
-/** A short hash of a text, for comparing what two daemons know: 32 bits, FNV-1a. */
+/** Computes a 32-bit FNV-1a hash of a text, by which two daemons compare their crash records. */
 
-/** The offset basis of FNV-1a with 32 bits, by its authors. */
-const START = 0x811c9dc5;
-/** Its prime, by the same. */
+/** The offset basis that FNV-1a defines for 32 bits. */
+const OFFSET_BASIS = 0x811c9dc5;
+/** The prime that FNV-1a defines for 32 bits. */
 const PRIME = 0x01000193;
 
-/** An integer of 32 bits. */
+/** Returns the hash as a 32-bit integer. */
 export function hashText(text: string): number {
-    let hash = START;
-    for (let at = 0; at < text.length; at++) {
-        hash = Math.imul(hash ^ text.charCodeAt(at), PRIME);
+    let hash = OFFSET_BASIS;
+    for (let index = 0; index < text.length; index++) {
+        hash = Math.imul(hash ^ text.charCodeAt(index), PRIME);
     }
     return hash;
 }
--- a/src/policy/quarantine/standing.ts
+++ b/src/policy/quarantine/standing.ts
@@ -1,4 +1,8 @@
-/** What is held of a request by the crashes of upstreams under it. */
+/** Defines the status of a request by the crashes at which it was in progress. */
 
-/** `suspect`: it may be the cause, and winglock itself does not send it again; `quarantined`: it is not run. */
+/**
+ * - `free`: the request is not suspected.
+ * - `suspect`: the request may have caused crashes, and winglock itself does not retry it.
+ * - `quarantined`: the request is not run.
+ */
 export type Standing = "free" | "suspect" | "quarantined";
