--- a/src/policy/failure/pace.ts
+++ b/src/policy/failure/pace.ts
@@ -10,7 +10,7 @@
 const SLOW_RATIO = 1.5;
 /** Pace at which service times are as usual. */
 const USUAL_PACE = 1;
-/** A tenth of the time between changes of pace at the users' upstreams, which is about 300 ms. */
+/** A report is stale after a tenth of the time between changes of pace at the users' upstreams (about 300 ms). */
 const MAX_REPORT_AGE_MS = 30;
 /** Length of a slow period that is assumed before one was observed, in the order of those at the users' upstreams. */
 const INITIAL_SLOW_PERIOD_MS = 150;
--- a/src/policy/failure/silence.test.ts
+++ b/src/policy/failure/silence.test.ts
@@ -28,7 +28,7 @@
     assert.deepEqual(liveness.decide({ ...known, serviceMs: 400 }, 601), { type: "ping", why: "silent" });
 });
 
-test("liveness: nothing is due without outstanding requests, unanswered pings and suspicion", () => {
+test("liveness: nothing is due without outstanding requests, unanswered pings or suspicion", () => {
     const liveness = new Silence();
     const idle = { ...known, outstanding: 0 };
     assert.equal(liveness.isSettled(idle), true);
--- a/src/policy/placement/availability.ts
+++ b/src/policy/placement/availability.ts
@@ -1,4 +1,4 @@
-/** States whether an upstream may be sent requests, and if not, why. */
+/** Defines whether an upstream may be sent requests, and if not, why. */
 
 /**
  * - `available`: it may be sent requests.
--- a/src/policy/placement/candidate.ts
+++ b/src/policy/placement/candidate.ts
@@ -18,10 +18,7 @@
     readonly reportAt: number;
     /** Value of `outstanding` when the report was received. */
     readonly outstandingAtReport: number;
-    /**
-     * Added to the expected time of an upstream that fails, so that fast failures do not look like fast responses.
-     * Decays.
-     */
+    /** Added to the expected time, so that fast failures do not look like fast responses; decays with time. */
     readonly penaltyMs: number;
     /** When the upstream last failed. */
     readonly penaltyAt: number;
--- a/src/policy/placement/rateshare.test.ts
+++ b/src/policy/placement/rateshare.test.ts
@@ -38,8 +38,8 @@
     return counts;
 };
 
-// Guards against ingresses that all treat an upstream with a stated rate limit as idle, because few requests run there
-// and none are queued, and send it most of their requests, which it then refuses.
+// Guards against ingresses that send most requests to an upstream with a stated rate limit, although it refuses them.
+// Such an upstream looks idle, because few requests run there and none are queued.
 test("rate share: independent ingresses use the stated rate limit with few refusals", () => {
     for (const [ingresses, perSecond] of [[4, 4], [13, 8], [40, 8]] as const) {
         const { taken, refused } = simulate({ ingresses, perSecond, requestsPerSecond: 10 });
--- a/src/policy/quarantine/crashlimits.ts
+++ b/src/policy/quarantine/crashlimits.ts
@@ -19,8 +19,8 @@
     /** How long a request is kept after its last crash: several times as long as a quarantine. */
     retentionMs: 3_600_000,
     /**
-     * Maximum number of requests, about those in progress at twenty crashes. Requests with the fewest crashes are
-     * evicted first, and of these the ones with the oldest crash.
+     * Maximum number of requests that are kept, enough for those in progress at twenty crashes. Requests with the
+     * fewest crashes are evicted first, and of these the ones with the oldest crash.
      */
     maxRequests: 256,
     /** Maximum number of crashes that are kept for a request: five times as many as quarantine it. */
