--- a/src/gate/runningrequests.ts
+++ b/src/gate/activeruns.ts
@@ -3,17 +3,17 @@
 import type { UpstreamRun } from "./upstreamrun.js";
 
 /** Counts since the gate was made. */
-export class RunningRequests {
+export class ActiveRuns {
     readonly #runs = new Set<UpstreamRun>();
-    #finished = 0;
+    #finishedCount = 0;
 
     get finished(): number {
-        return this.#finished;
+        return this.#finishedCount;
     }
 
     /** Those that are not the first of their request. */
-    get repeated(): number {
-        return [...this.#runs].filter(run => run.repeated).length;
+    get repeatCount(): number {
+        return [...this.#runs].filter(run => run.isRepeat).length;
     }
 
     add(run: UpstreamRun): void {
@@ -22,17 +22,17 @@
 
     remove(run: UpstreamRun): void {
         this.#runs.delete(run);
-        this.#finished += 1;
+        this.#finishedCount += 1;
     }
 
     /** Has each given up that has no answer so long after its start. */
-    suspect(afterMs: number): void {
-        this.#runs.forEach(run => run.suspect(afterMs));
+    abortUnanswered(afterMs: number): void {
+        this.#runs.forEach(run => run.abortIfUnanswered(afterMs));
     }
 
     /** Calls off the runs of a request. */
-    giveUp(request: RequestKey): void {
-        this.#runs.forEach(run => run.key === request && run.callOff());
+    cancel(request: RequestKey): void {
+        this.#runs.forEach(run => run.key === request && run.cancel());
     }
 
     /** How long what runs has run, on average; 0 while nothing runs. */
--- a/src/gate/callcontexts.ts
+++ b/src/gate/callcontexts.ts
@@ -20,7 +20,7 @@
     retriedBelow: boolean;
 };
 
-type Run = Pick<CallContext, "deadline" | "depth" | "repeated" | "work">;
+type RunDetails = Pick<CallContext, "deadline" | "depth" | "repeated" | "work">;
 
 /** The contexts of what runs, by token; a token can't be guessed, so a caller can't set its own depth or time. */
 export class CallContexts {
@@ -28,7 +28,7 @@
     readonly #byRequest = new Map<string, CallContext>();
 
     /** `requestId` is the id by which the upstream knows the request. */
-    open(requestId: string, { deadline, depth, repeated, work }: Run): CallContext {
+    open(requestId: string, { deadline, depth, repeated, work }: RunDetails): CallContext {
         const token = randomBytes(TOKEN_BYTES).toString("base64url");
         const context = { token, requestId, deadline, depth, repeated, work, calls: new Map(), retriedBelow: false };
         this.#byToken.set(token, context);
--- a/src/gate/coldprobe.ts
+++ b/src/gate/coldprobe.ts
@@ -11,14 +11,14 @@
     readonly upstream: string;
     readonly clock: Clock;
     readonly limits: () => ColdLimits | undefined;
-    readonly mayAsk: () => boolean;
-    readonly ask: () => Promise<void>;
+    readonly mayProbe: () => boolean;
+    readonly probe: () => Promise<void>;
 };
 
 /** Questions at the same time share one. */
 export class ColdProbe {
     readonly guard: ColdGuard;
-    #asking: Promise<void> | undefined;
+    #pending: Promise<void> | undefined;
 
     constructor(private readonly parts: ColdProbeParts) {
         this.guard = new ColdGuard(parts.clock(), parts.limits());
@@ -35,9 +35,9 @@
     }
 
     /** Records what the upstream has said when it was asked at `askedAt`. */
-    record(coldMs: number | undefined, askedAt: number): void {
+    record(coldMs: number | undefined, probedAt: number): void {
         const wasCold = this.isCold;
-        this.guard.recordAnswer(coldMs, askedAt, this.parts.clock());
+        this.guard.recordAnswer(coldMs, probedAt, this.parts.clock());
         if (this.isCold !== wasCold) {
             const { upstream } = this.parts;
             logger.change(wasCold ? "The upstream is no longer cold." : "The upstream is cold.", { upstream, coldMs });
@@ -45,28 +45,28 @@
     }
 
     /** Resolves at once, unless the upstream may be sent no more before it has said that it is not cold. */
-    async learn(): Promise<void> {
-        const asking = this.askInTime();
+    async waitUntilKnown(): Promise<void> {
+        const probe = this.probeIfDue();
         const now = this.parts.clock();
         if (!this.guard.isOpen(now) && !this.guard.isCold(now)) {
-            await asking;
+            await probe;
         }
     }
 
     /** Asks where it is time to, under the budget; resolves with the answer, or at once where nothing is asked. */
-    async askInTime(): Promise<void> {
-        const { clock, mayAsk } = this.parts;
+    async probeIfDue(): Promise<void> {
+        const { clock, mayProbe } = this.parts;
         const now = clock();
-        if (this.#asking === undefined && this.guard.shouldAsk(now) && mayAsk()) {
+        if (this.#pending === undefined && this.guard.shouldAsk(now) && mayProbe()) {
             this.guard.recordQuestion(now);
-            this.#asking = this.#ask().finally(() => this.#asking = undefined);
+            this.#pending = this.#probe().finally(() => this.#pending = undefined);
         }
-        await this.#asking;
+        await this.#pending;
     }
 
-    async #ask(): Promise<void> {
+    async #probe(): Promise<void> {
         try {
-            await this.parts.ask();
+            await this.parts.probe();
         }
         catch (err) {
             const { upstream } = this.parts;
--- /dev/null
+++ b/src/gate/crashdetector.test.ts
@@ -0,0 +1,64 @@
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import type { RequestKey } from "../ids/requestkey.js";
+import { sleep } from "../time/sleep.js";
+import { CrashDetector } from "./crashdetector.js";
+
+const [bad, good] = ["bad", "proper"] as RequestKey[] as [RequestKey, RequestKey];
+const refused = (): Promise<void> => Promise.reject(Object.assign(new Error("refused"), { code: "ECONNREFUSED" }));
+const responds = (): Promise<void> => Promise.resolve();
+
+/** A watch of an upstream that answers questions so, and all that it has told and asked. */
+const createDetector = (
+    probe: () => Promise<void>,
+    mayProbe = (): boolean => true,
+): { readonly detector: CrashDetector; readonly reported: RequestKey[][]; readonly probeCount: () => number; } => {
+    const reported: RequestKey[][] = [];
+    let probeCount = 0;
+    const detector = new CrashDetector({
+        upstream: "u",
+        clock: () => performance.now(),
+        mayProbe,
+        probe: () => {
+            probeCount += 1;
+            return probe();
+        },
+        onCrash: (_crash, requests) => reported.push([...requests]),
+    });
+    return { detector, reported, probeCount: () => probeCount };
+};
+
+test("crash watch: what broke off with its upstream is told once, by one question", async () => {
+    const { detector, reported, probeCount } = createDetector(refused);
+    [bad, good, bad].forEach(request => detector.recordBrokenRun(request, false));
+    await sleep(30);
+    detector.recordUnreachable();
+    assert.deepEqual([reported, probeCount()], [[[bad, good]], 1]);
+});
+
+test("crash watch: what broke off while the upstream lives is not told, also not at its next crash", async () => {
+    const { detector, reported } = createDetector(responds);
+    detector.recordBrokenRun(bad, false);
+    await sleep(30);
+    detector.recordUnreachable();
+    assert.deepEqual(reported, []);
+});
+
+test("crash watch: connections that break off over and over ask no more than the budget has", async () => {
+    let left = 3;
+    const { detector, probeCount } = createDetector(responds, () => left-- > 0);
+    for (let time = 0; time < 40; time++) {
+        detector.recordBrokenRun(bad, false);
+        await sleep(3);
+    }
+    assert.equal(probeCount(), 3);
+    left = 1;
+    await sleep(60);
+});
+
+test("crash watch: a question that tells nothing is put a few times more", async () => {
+    const { detector, probeCount } = createDetector(() => Promise.reject(new Error("reset")));
+    detector.recordBrokenRun(bad, false);
+    await sleep(80);
+    assert.equal(probeCount(), 4);
+});
--- a/src/gate/crashwatch.ts
+++ b/src/gate/crashdetector.ts
@@ -16,108 +16,108 @@
 const logger = log("gate");
 
 /** All runs of an upstream that crashes break off within that time, so that one question settles them; milliseconds. */
-const ASK_AFTER_MS = 5;
+const PROBE_DELAY_MS = 5;
 /** How often it is looked whether there is budget for a question; milliseconds, a fraction of the time in which it comes. */
-const BUDGET_LOOK_MS = 25;
+const BUDGET_POLL_MS = 25;
 /** In a row: an upstream that answers none of them does not tell. */
-const MAX_QUESTIONS = 4;
+const MAX_PROBES = 4;
 /** Enough that no two crashes have the same. */
-const ID_BYTES = 6;
+const CRASH_ID_BYTES = 6;
 /** In one log line. */
-const MAX_LOGGED = 32;
+const MAX_LOGGED_REQUESTS = 32;
 
 /**
  * `mayAsk` spends a question; `ask` asks the upstream anything, and rejects as its connection does; `onCrash` is told of a crash and what
  * was under way.
  */
-type WatchParts = {
+type DetectorParts = {
     readonly upstream: string;
     readonly clock: Clock;
-    readonly mayAsk: () => boolean;
-    readonly ask: () => Promise<void>;
-    readonly onCrash: (crash: CrashId, requests: readonly RequestKey[]) => void;
+    readonly mayProbe: () => boolean;
+    readonly probe: () => Promise<void>;
+    readonly onCrash: (crashId: CrashId, requests: readonly RequestKey[]) => void;
 };
 
 /** Of one upstream, and of the next one in its place where that has the same name. */
-export class CrashWatch {
-    readonly #broken = new BrokenRuns();
+export class CrashDetector {
+    readonly #brokenRuns = new BrokenRuns();
     /** Of the crash that was found last; undefined while the upstream lives. */
-    #crash: CrashId | undefined;
-    #isAsking = false;
+    #crashId: CrashId | undefined;
+    #isProbing = false;
     /** A run has broken off since the last question. */
-    #isUnsettled = false;
+    #isProbeNeeded = false;
 
-    constructor(private readonly parts: WatchParts) {}
+    constructor(private readonly parts: DetectorParts) {}
 
     /** Records a run that broke off, or that was called off before it had an answer. */
-    ended(request: RequestKey | undefined, calledOff: boolean): void {
+    recordBrokenRun(request: RequestKey | undefined, isCancelled: boolean): void {
         if (request === undefined) {
             return;
         }
-        this.#broken.record(request, calledOff, this.parts.clock());
-        if (!calledOff) {
-            void this.#settle();
+        this.#brokenRuns.record(request, isCancelled, this.parts.clock());
+        if (!isCancelled) {
+            void this.#probeUntilSettled();
         }
     }
 
     /** Records that the upstream has answered what was sent at this time. */
-    lived(sentAt: number): void {
-        this.#broken.lived(sentAt);
-        this.#crash = undefined;
+    recordResponse(sentAt: number): void {
+        this.#brokenRuns.lived(sentAt);
+        this.#crashId = undefined;
     }
 
     /** Records that nobody takes connections at the upstream's address, or that another upstream has it. */
-    gone(): void {
-        const requests = this.#broken.takeUnderWay(this.parts.clock());
+    recordUnreachable(): void {
+        const requests = this.#brokenRuns.takeUnderWay(this.parts.clock());
         if (requests.length === 0) {
             return;
         }
-        this.#crash ??= randomBytes(ID_BYTES).toString("base64url") as CrashId;
+        this.#crashId ??= randomBytes(CRASH_ID_BYTES).toString("base64url") as CrashId;
         const { upstream, onCrash } = this.parts;
         logger.change("The upstream has crashed with requests under way.", {
             upstream,
-            crash: this.#crash,
+            crash: this.#crashId,
             underWay: requests.length,
-            requests: requests.slice(0, MAX_LOGGED),
+            requests: requests.slice(0, MAX_LOGGED_REQUESTS),
         });
-        onCrash(this.#crash, requests);
+        onCrash(this.#crashId, requests);
     }
 
     /** What breaks off while a question is under way is settled by one more. */
-    async #settle(): Promise<void> {
-        this.#isUnsettled = true;
-        if (this.#isAsking) {
+    async #probeUntilSettled(): Promise<void> {
+        this.#isProbeNeeded = true;
+        if (this.#isProbing) {
             return;
         }
-        this.#isAsking = true;
-        for (let asked = 0; this.#isUnsettled && asked < MAX_QUESTIONS; asked++) {
-            await sleep(ASK_AFTER_MS);
+        this.#isProbing = true;
+        for (let probes = 0; this.#isProbeNeeded && probes < MAX_PROBES; probes++) {
+            await sleep(PROBE_DELAY_MS);
             await this.#waitForBudget();
-            this.#isUnsettled = false;
-            await this.#ask();
+            this.#isProbeNeeded = false;
+            await this.#probe();
         }
-        this.#isAsking = false;
+        this.#isProbing = false;
     }
 
     async #waitForBudget(): Promise<void> {
-        while (!this.parts.mayAsk()) {
-            await sleep(BUDGET_LOOK_MS);
+        while (!this.parts.mayProbe()) {
+            await sleep(BUDGET_POLL_MS);
         }
     }
 
     /** A connection that broke with the upstream may still be taken for the question; the next one needs a new one. */
-    async #ask(): Promise<void> {
-        const askedAt = this.parts.clock();
+    async #probe(): Promise<void> {
+        const sentAt = this.parts.clock();
         try {
-            await this.parts.ask();
-            this.lived(askedAt);
+            await this.parts.probe();
+            this.recordResponse(sentAt);
         }
         catch (err) {
             if (isConnectError(err)) {
-                this.gone();
+                this.recordUnreachable();
                 return;
             }
-            this.#isUnsettled = true;
+            this.#isProbeNeeded = true;
             logger.warn("Whether the upstream has crashed is not known.", err, { upstream: this.parts.upstream });
         }
     }
--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -27,51 +27,51 @@
 import type { GateParts } from "./gateparts.js";
 import { GateRefusals } from "./gaterefusals.js";
 import { GateRequest } from "./gaterequest.js";
-import { GateRuns } from "./gateruns.js";
+import { RequestRunner } from "./requestrunner.js";
 import { SlotQueue } from "./slotqueue.js";
-import { UpstreamContact } from "./upstreamcontact.js";
+import { UpstreamEndpoint } from "./upstreamendpoint.js";
 
 /** A question of the pace holds a request up: half of the time for which its answer is believed. */
-const ASK_TIMEOUT_MS = 15;
+const PACE_PROBE_TIMEOUT_MS = 15;
 
 /** Serves the requests for one upstream. */
 export class Gate {
     readonly #checks: GateChecks;
     readonly #log: GateLog;
-    readonly #contact: UpstreamContact;
+    readonly #endpoint: UpstreamEndpoint;
     readonly #admission: Admission<GateRequest>;
     readonly #refusals: GateRefusals;
     readonly #queue: SlotQueue;
-    readonly #runs: GateRuns;
+    readonly #runner: RequestRunner;
 
     constructor(readonly upstream: Upstream, private readonly parts: GateParts) {
         const { clock, ledger, dialect } = parts;
         const levels = new LevelClock(upstream.slots, clock());
-        this.#contact = new UpstreamContact(upstream, parts, {
+        this.#endpoint = new UpstreamEndpoint(upstream, parts, {
             onPace: report => this.#checks.recordPace(report),
-            onLess: () => this.#queue.reconsider(),
+            onLimitLowered: () => this.#queue.reevaluate(),
             onLeaving: reason => this.close(reason),
-            onStaying: () => this.reopen("upstream"),
+            onNotLeaving: () => this.reopen("upstream"),
         });
-        const { questions, cold, rate } = this.#contact;
+        const { healthProbe, coldProbe, sendRate } = this.#endpoint;
         this.#log = new GateLog(upstream.name, dialect);
         const pace = new Pace();
-        const times = new RuleTimes();
+        const ruleTimes = new RuleTimes();
         this.#checks = new GateChecks({
             ...parts,
             pace,
-            workMs: rule => times.longMs(rule),
+            workMs: rule => ruleTimes.longMs(rule),
             upstream: upstream.name,
-            mayAsk: () => questions.mayAskForLoad && parts.mayAsk(),
-            ask: () => questions.ask(ASK_TIMEOUT_MS),
-            repeatsUnderWay: () => this.#runs.repeated,
+            mayAsk: () => healthProbe.mayProbeLoad && parts.mayAsk(),
+            probe: () => healthProbe.probe(PACE_PROBE_TIMEOUT_MS),
+            repeatsInFlight: () => this.#runner.repeatCount,
         });
         this.#admission = new Admission(
             makeLimit(parts.limit, upstream.slots, () => parts.usualShare(upstream.service)),
-            times,
+            ruleTimes,
             levels,
             pace,
-            rate,
+            sendRate,
         );
         this.#refusals = new GateRefusals(
             more => this.note(more),
@@ -83,27 +83,27 @@
             admission: this.#admission,
             refusals: this.#refusals,
             refreshPace: () => this.#checks.refreshPace(),
-            askWhetherCold: () => cold.askInTime(),
+            probeCold: () => coldProbe.probeIfDue(),
         });
-        this.#runs = new GateRuns(upstream, {
+        this.#runner = new RequestRunner(upstream, {
             ...parts,
-            contact: this.#contact,
+            endpoint: this.#endpoint,
             levels,
             checks: this.#checks,
             queue: this.#queue,
             refusals: this.#refusals,
             log: this.#log,
             report: () => this.report(),
-            note: more => this.note(more),
+            createNote: fields => this.note(fields),
         });
     }
 
     get cold(): ColdProbe {
-        return this.#contact.cold;
+        return this.#endpoint.coldProbe;
     }
 
     get finished(): number {
-        return this.#runs.finished;
+        return this.#runner.finished;
     }
 
     get refused(): number {
@@ -138,7 +138,7 @@
     report(): LoadReport {
         const now = this.parts.clock();
         const report = { ...this.#admission.report(now), pace: this.#checks.pace };
-        return atLeast(report, this.#runs.meanAgeMs(now));
+        return atLeast(report, this.#runner.meanAgeMs(now));
     }
 
     /** Operators want nothing more to be sent here. */
@@ -148,14 +148,14 @@
 
     /** Requests a second that the upstream takes, as it states; undefined while it states no limit. */
     get limitPerSecond(): number | undefined {
-        return this.#contact.notices.limit.perSecond;
+        return this.#endpoint.signals.rateLimit.perSecond;
     }
 
     /** Takes no new requests for a reason; what runs is finished, and so is what waits, unless it can or must be served elsewhere. */
     close(reason: CloseReason): void {
         this.#checks.close(reason);
         if (reason === "evacuated" || reason === "ending") {
-            this.#queue.sendOn(({ choices }) => reason === "evacuated" || choices > 0);
+            this.#queue.redirect(({ choices }) => reason === "evacuated" || choices > 0);
         }
     }
 
@@ -166,23 +166,23 @@
 
     /** Acts on the finding that open connections of this daemon may carry nothing any more. */
     suspectConnections(): void {
-        this.#contact.client.dropIdle();
-        this.#runs.suspect(silentAfter(this.report().baseMs));
+        this.#endpoint.client.destroyIdle();
+        this.#runner.abortUnanswered(silentAfter(this.report().baseMs));
     }
 
     /** True when the upstream has served the request well in its present life. */
     hasServed(request: RequestKey): boolean {
-        return this.#runs.hasServed(request);
+        return this.#runner.hasServed(request);
     }
 
     /** Calls off what runs of a request, where it may run again. */
     giveUp(request: RequestKey): void {
-        this.#runs.giveUp(request);
+        this.#runner.cancel(request);
     }
 
     /** Ends the connections to the upstream, after what is in flight. */
     end(): Promise<void> {
-        return this.#contact.client.close();
+        return this.#endpoint.client.close();
     }
 
     /** Serves a request; throws a HopError. */
@@ -190,32 +190,32 @@
         const { identity, clock, dialect } = this.parts;
         const request = new GateRequest(call, identity, clock(), requestKeyOf(call, dialect));
         try {
-            this.#contact.notices.recordTold(call.head.limitPerSecond);
-            await this.cold.learn();
+            this.#endpoint.signals.recordPeerLimit(call.head.limitPerSecond);
+            await this.cold.waitUntilKnown();
             await this.#admit(request);
             await this.#queue.enter(request);
-            return await this.#runs.run(request);
+            return await this.#runner.run(request);
         }
         catch (err) {
-            this.#log.refused(request, err, this.report());
+            this.#log.logFailure(request, err, this.report());
             throw err;
         }
     }
 
     /** Asks the upstream's health endpoint, and acts on what it reports of leaving and of its load. */
     askHealth(timeoutMs: number): Promise<void> {
-        return this.#contact.questions.askInTurn(timeoutMs);
+        return this.#endpoint.healthProbe.probeIfAllowed(timeoutMs);
     }
 
     /** Holds a slot for a sibling's request; false when none is free. */
     offer(id: string): boolean {
-        return !this.isClosed && this.#queue.offers.make(id, this.parts.clock());
+        return !this.isClosed && this.#queue.offers.create(id, this.parts.clock());
     }
 
     /** Takes an offer back if it was not used. */
     withdrawOffer(id: string): void {
         if (this.#queue.offers.withdraw(id)) {
-            this.#queue.advance();
+            this.#queue.startNext();
         }
     }
 
@@ -236,13 +236,13 @@
     }
 
     async #admit(request: GateRequest): Promise<void> {
-        const quarantine = this.#runs.quarantineOf(request);
-        if (quarantine !== undefined) {
-            throw quarantine;
+        const refusal = this.#runner.quarantineRefusal(request);
+        if (refusal !== undefined) {
+            throw refusal;
         }
-        const reason = await this.#checks.refusalOf(request);
+        const reason = await this.#checks.refusalReason(request);
         if (reason !== undefined) {
-            throw this.#refusals.make(reason);
+            throw this.#refusals.create(reason);
         }
         this.parts.onChange();
     }
--- a/src/gate/gatechecks.ts
+++ b/src/gate/gatechecks.ts
@@ -25,70 +25,70 @@
     readonly pace: Pace;
     /** How long work on a rule takes at the usual pace, in milliseconds. */
     readonly workMs: (rule: RuleName | undefined) => number;
-    readonly ask: () => Promise<void>;
+    readonly probe: () => Promise<void>;
     /** Runs under way that are not the first of their request. */
-    readonly repeatsUnderWay: () => number;
+    readonly repeatsInFlight: () => number;
 };
 
 /** One for each gate. */
 export class GateChecks {
-    readonly #pace: PaceProbe;
-    readonly #calls = new CallProfile();
+    readonly #paceProbe: PaceProbe;
+    readonly #callProfile = new CallProfile();
     readonly #fullness = new Fullness();
-    readonly #closedFor = new Set<CloseReason>();
+    readonly #closeReasons = new Set<CloseReason>();
 
     constructor(private readonly parts: CheckParts) {
-        this.#pace = new PaceProbe(parts);
+        this.#paceProbe = new PaceProbe(parts);
     }
 
     /** True while no new requests are taken. */
     get isClosed(): boolean {
-        return this.#closedFor.size > 0;
+        return this.#closeReasons.size > 0;
     }
 
     isClosedFor(reason: CloseReason): boolean {
-        return this.#closedFor.has(reason);
+        return this.#closeReasons.has(reason);
     }
 
     /** True while the upstream is about to end as it, or its operators, have announced. */
     get isUpstreamLeaving(): boolean {
-        return (["upstream", "ending", "draining"] as const).some(reason => this.#closedFor.has(reason));
+        return (["upstream", "ending", "draining"] as const).some(reason => this.#closeReasons.has(reason));
     }
 
     /** The upstream's last report of its pace; undefined of one that never reports. */
     get pace(): number | undefined {
-        return this.#pace.last;
+        return this.#paceProbe.last;
     }
 
     /** Takes no new requests for a reason; what waits and runs is finished. */
     close(reason: CloseReason): void {
-        if (!this.#closedFor.has(reason)) {
+        if (!this.#closeReasons.has(reason)) {
             logger.change("The gate takes no new requests.", { upstream: this.parts.upstream, reason });
         }
-        this.#closedFor.add(reason);
+        this.#closeReasons.add(reason);
     }
 
     /** Takes a reason back; the gate takes new requests when none is left. */
     reopen(reason: CloseReason): void {
-        this.#closedFor.delete(reason);
+        this.#closeReasons.delete(reason);
     }
 
     recordPace(pace: number): void {
-        this.#pace.record(pace);
+        this.#paceProbe.record(pace);
     }
 
     /** Asks the upstream for its pace, unless the budget is spent. */
     refreshPace(): Promise<void> {
-        return this.#pace.refresh();
+        return this.#paceProbe.refresh();
     }
 
     /** Records what a run called, whatever became of it. */
     recordCalls(calls: ReadonlyMap<ServiceName, number>): void {
-        this.#calls.observe(calls);
+        this.#callProfile.observe(calls);
     }
 
     /** Records that the upstream has answered a request. */
-    recordAnswer(): void {
+    recordResponse(): void {
         this.#fullness.served();
     }
 
@@ -103,13 +103,13 @@
     }
 
     /** Why the request is refused: it belongs elsewhere, or the ledger does not let it run; undefined when it is not. */
-    async refusalOf(request: GateRequest): Promise<Reason | undefined> {
-        return this.#refusalAtOnce(request) ?? await this.#refusalForPace(request) ?? this.#refusalOfLedger(request);
+    async refusalReason(request: GateRequest): Promise<Reason | undefined> {
+        return this.#immediateRefusal(request) ?? await this.#paceRefusal(request) ?? this.#ledgerRefusal(request);
     }
 
     /** An upstream that is full gets what has no other way only: what it turns away counts as an arrival, and must be paid for. */
-    #refusalAtOnce({ choices, call: { head: { arrival } } }: GateRequest): Reason | undefined {
-        const { repeatsUnderWay, repeatsLeft, clock } = this.parts;
+    #immediateRefusal({ choices, call: { head: { arrival } } }: GateRequest): Reason | undefined {
+        const { repeatsInFlight, repeatsLeft, clock } = this.parts;
         if (this.isClosed) {
             return "leaving";
         }
@@ -117,13 +117,13 @@
             return "busy";
         }
         const isRepeat = arrival === "retry" || arrival === "hedge";
-        return isRepeat && !canAffordCalls(this.#calls.perRun, repeatsUnderWay(), repeatsLeft)
+        return isRepeat && !canAffordCalls(this.#callProfile.perRun, repeatsInFlight(), repeatsLeft)
             ? "calls-spent"
             : undefined;
     }
 
-    async #refusalForPace({ choices, rule, call: { cancel } }: GateRequest): Promise<Reason | undefined> {
-        if (await this.#pace.shouldSendOn({ choices, workMs: this.parts.workMs(rule) })) {
+    async #paceRefusal({ choices, rule, call: { cancel } }: GateRequest): Promise<Reason | undefined> {
+        if (await this.#paceProbe.shouldRedirect({ choices, workMs: this.parts.workMs(rule) })) {
             return "slow";
         }
         if (this.isClosed) {
@@ -132,7 +132,7 @@
         return cancel.aborted ? "caller-left" : undefined;
     }
 
-    #refusalOfLedger({ once, call: { head }, ledgerDeadline, arrivedAt }: GateRequest): Reason | undefined {
+    #ledgerRefusal({ once, call: { head }, ledgerDeadline, arrivedAt }: GateRequest): Reason | undefined {
         if (!once) {
             return undefined;
         }
--- a/src/gate/gatelog.ts
+++ b/src/gate/gatelog.ts
@@ -11,22 +11,22 @@
 export class GateLog {
     constructor(private readonly upstream: string, private readonly dialect: Dialect) {}
 
-    answered(request: GateRequest, status: number, waitedMs: number, tookMs: number, report: LoadReport): void {
-        logger.decision(this.#idOf(request), "The upstream has answered.", {
+    logResponse(request: GateRequest, status: number, queuedMs: number, tookMs: number, report: LoadReport): void {
+        logger.decision(this.#requestId(request), "The upstream has answered.", {
             try: request.call.head.id,
             status,
             arrival: request.call.head.arrival,
-            waitedMs: Math.round(waitedMs),
+            waitedMs: Math.round(queuedMs),
             tookMs: Math.round(tookMs),
-            ...this.#state(report),
+            ...this.#loadFields(report),
         });
     }
 
-    refused(request: GateRequest, err: unknown, report: LoadReport): void {
+    logFailure(request: GateRequest, err: unknown, report: LoadReport): void {
         const { outcome, reason, note } = err instanceof HopError
             ? err
             : { outcome: "unknown", reason: String(err), note: undefined };
-        logger.failure(this.#idOf(request), "The gate has no answer.", {
+        logger.failure(this.#requestId(request), "The gate has no answer.", {
             try: request.call.head.id,
             outcome,
             reason,
@@ -34,15 +34,15 @@
             arrival: request.call.head.arrival,
             arrived: note?.arrived ?? false,
             request: request.key,
-            ...this.#state(report),
+            ...this.#loadFields(report),
         });
     }
 
-    #idOf(request: GateRequest): string {
+    #requestId(request: GateRequest): string {
         return this.dialect.idOf(request.call.headers, request.call.head.id);
     }
 
-    #state({ running, waiting, limit, serviceMs, pace }: LoadReport): object {
+    #loadFields({ running, waiting, limit, serviceMs, pace }: LoadReport): object {
         return { upstream: this.upstream, running, waiting, limit, serviceMs: Math.round(serviceMs), pace };
     }
 }
--- a/src/gate/gaterefusals.ts
+++ b/src/gate/gaterefusals.ts
@@ -13,7 +13,7 @@
 
     /** `note` makes the note of an answer, with the gate's load as it is now. */
     constructor(
-        private readonly note: (more: Partial<AnswerNote>) => AnswerNote,
+        private readonly createNote: (fields: Partial<AnswerNote>) => AnswerNote,
         private readonly onHeldBack: (reason: "cold" | "limited") => void = () => {},
     ) {}
 
@@ -21,12 +21,12 @@
         return this.#count;
     }
 
-    make(reason: Reason, more: Partial<AnswerNote> = {}): HopError {
+    create(reason: Reason, fields: Partial<AnswerNote> = {}): HopError {
         this.#count += 1;
         if (reason === "cold" || reason === "limited") {
             this.onHeldBack(reason);
         }
         const outcome = reasons[reason].proves === "unknown" ? "unknown" : "not-run";
-        return new HopError(outcome, reason, this.note({ outcome, reason, ...more }));
+        return new HopError(outcome, reason, this.createNote({ outcome, reason, ...fields }));
     }
 }
--- a/src/gate/gaterequest.ts
+++ b/src/gate/gaterequest.ts
@@ -36,8 +36,8 @@
         this.team = head.team;
         this.maxWaitMs = head.maxWaitMs;
         this.once = head.kind === "once";
-        const stale = head.incarnation !== undefined && head.incarnation !== identity.incarnation;
-        if (stale || (this.once && (head.incarnation === undefined || head.gateTime === undefined))) {
+        const isOtherIncarnation = head.incarnation !== undefined && head.incarnation !== identity.incarnation;
+        if (isOtherIncarnation || (this.once && (head.incarnation === undefined || head.gateTime === undefined))) {
             const note = { ...identity.note(now), outcome: "not-run" as const, reason: "incarnation" };
             throw new HopError("not-run", "incarnation", note);
         }
@@ -60,7 +60,7 @@
     }
 
     /** False for a request that was handed back once already: it is not handed on again. */
-    get movable(): boolean {
+    get canHandBack(): boolean {
         return this.call.head.offer === undefined;
     }
 
--- a/src/gate/healthquestions.ts
+++ b/src/gate/healthprobe.ts
@@ -10,39 +10,39 @@
 import type { UpstreamClient } from "./upstreamclient.js";
 
 /** What the questions need of their gate. */
-type QuestionParts = {
+type ProbeParts = {
     readonly service: ServiceName;
     readonly clock: Clock;
     readonly dialect: Dialect;
     readonly client: UpstreamClient;
-    readonly limit: RequestLimit;
+    readonly rateLimit: RequestLimit;
     /** Told for how long the upstream says that it is cold, asked at a time. */
-    readonly onColdMs: (coldMs: number | undefined, askedAt: number) => void;
+    readonly onColdReport: (coldMs: number | undefined, sentAt: number) => void;
     readonly healthPath: (service: ServiceName) => string;
 };
 
 /** One for each gate. */
-export class HealthQuestions {
-    constructor(private readonly parts: QuestionParts) {}
+export class HealthProbe {
+    constructor(private readonly parts: ProbeParts) {}
 
     /** False while the upstream states a limit: its answers to requests say how it works. */
-    get mayAskForLoad(): boolean {
-        return this.parts.limit.perSecond === undefined;
+    get mayProbeLoad(): boolean {
+        return this.parts.rateLimit.perSecond === undefined;
     }
 
     /** Asks and acts on the answer; rejects when none comes in time. */
-    async ask(timeoutMs: number): Promise<void> {
-        const { clock, client, limit, dialect, onColdMs, healthPath, service } = this.parts;
-        const askedAt = clock();
-        limit.recordSent(askedAt);
-        const { headers } = await client.ask(healthPath(service), timeoutMs);
-        onColdMs(dialect.coldMs(headers), askedAt);
+    async probe(timeoutMs: number): Promise<void> {
+        const { clock, client, rateLimit, dialect, onColdReport, healthPath, service } = this.parts;
+        const sentAt = clock();
+        rateLimit.recordSent(sentAt);
+        const { headers } = await client.probeHealth(healthPath(service), timeoutMs);
+        onColdReport(dialect.coldMs(headers), sentAt);
     }
 
     /** Asks unless that would take the place of a request; resolves without an answer then. */
-    async askInTurn(timeoutMs: number): Promise<void> {
-        if (this.parts.limit.mayAskHealth(this.parts.clock())) {
-            await this.ask(timeoutMs);
+    async probeIfAllowed(timeoutMs: number): Promise<void> {
+        if (this.parts.rateLimit.mayAskHealth(this.parts.clock())) {
+            await this.probe(timeoutMs);
         }
     }
 }
--- a/src/gate/offers.ts
+++ b/src/gate/offers.ts
@@ -9,7 +9,7 @@
     constructor(private readonly admission: Admission<GateRequest>) {}
 
     /** Holds a slot; false when none is free. */
-    make(id: string, now: number): boolean {
+    create(id: string, now: number): boolean {
         if (!this.admission.hold(now)) {
             return false;
         }
--- a/src/gate/paceprobe.ts
+++ b/src/gate/paceprobe.ts
@@ -11,13 +11,13 @@
     readonly clock: Clock;
     readonly pace: Pace;
     readonly mayAsk: () => boolean;
-    readonly ask: () => Promise<void>;
+    readonly probe: () => Promise<void>;
 };
 
 /** Questions at the same time share one. */
 export class PaceProbe {
     readonly #pace: Pace;
-    #asking: Promise<boolean> | undefined;
+    #pending: Promise<boolean> | undefined;
 
     constructor(private readonly parts: PaceProbeParts) {
         this.#pace = parts.pace;
@@ -33,41 +33,41 @@
     }
 
     /** True when the request should go elsewhere, by a report that is fresh. */
-    async shouldSendOn(request: Parameters<typeof checkPace>[1]): Promise<boolean> {
-        const check = checkPace(this.#pace, request, this.parts.clock());
-        if (check !== "ask") {
-            return check === "slow";
+    async shouldRedirect(request: Parameters<typeof checkPace>[1]): Promise<boolean> {
+        const decision = checkPace(this.#pace, request, this.parts.clock());
+        if (decision !== "ask") {
+            return decision === "slow";
         }
-        return await this.#askIfAllowed() && request.choices > 0;
+        return await this.#probeIfAllowed() && request.choices > 0;
     }
 
     /** Asks the upstream, unless the budget is spent. */
     async refresh(): Promise<void> {
-        await this.#askIfAllowed();
+        await this.#probeIfAllowed();
     }
 
     /** Resolves with false when the budget is spent. */
-    async #askIfAllowed(): Promise<boolean> {
-        if (this.#asking === undefined && !this.parts.mayAsk()) {
+    async #probeIfAllowed(): Promise<boolean> {
+        if (this.#pending === undefined && !this.parts.mayAsk()) {
             return false;
         }
-        this.#asking ??= this.#ask();
-        return await this.#asking;
+        this.#pending ??= this.#probe();
+        return await this.#pending;
     }
 
     /** Resolves with whether the answer reports slow work; judged by the time of the question, so that a stall here ages no answer. */
-    async #ask(): Promise<boolean> {
-        const askedAt = this.parts.clock();
+    async #probe(): Promise<boolean> {
+        const sentAt = this.parts.clock();
         try {
-            await this.parts.ask();
-            return this.#pace.isSlowSince(askedAt);
+            await this.parts.probe();
+            return this.#pace.isSlowSince(sentAt);
         }
         catch (err) {
             logger.warn("The upstream did not report its pace.", err);
             return false;
         }
         finally {
-            this.#asking = undefined;
+            this.#pending = undefined;
         }
     }
 }
--- a/src/gate/slotqueue.test.ts
+++ b/src/gate/slotqueue.test.ts
@@ -20,7 +20,7 @@
 const clock = (): number => performance.now();
 
 /** A queue before an upstream that has turned slow, and reports `paces` when it is asked, one after the other. */
-const queueOf = (paces: number[]): { readonly queue: SlotQueue; readonly asked: () => number; } => {
+const createQueue = (paces: number[]): { readonly queue: SlotQueue; readonly probeCount: () => number; } => {
     const pace = new Pace();
     const admission = new Admission<GateRequest>(
         new FixedLimit(SLOTS),
@@ -30,26 +30,26 @@
         new SendRate(new ColdGuard(clock()), new RequestLimit()),
     );
     const identity = new GateIdentity("i" as never, () => 1);
-    let asked = 0;
+    let probeCount = 0;
     const queue = new SlotQueue({
         clock,
         ledger: new Ledger(10),
         admission,
         refusals: new GateRefusals(() => identity.note(clock())),
         refreshPace: async () => {
-            asked += 1;
+            probeCount += 1;
             pace.observe(paces.shift()!, clock());
         },
-        askWhetherCold: async () => {},
+        probeCold: async () => {},
     });
     pace.observe(1, clock());
-    admission.arrive(request(), clock());
+    admission.arrive(createRequest(), clock());
     admission.finish(WORK_MS, { work: Float64Array.of(0, WORK_MS, 0) }, clock());
     pace.observe(5, clock());
-    return { queue, asked: () => asked };
+    return { queue, probeCount: () => probeCount };
 };
 
-const request = (): GateRequest => {
+const createRequest = (): GateRequest => {
     const head = {
         id: "r",
         kind: "repeatable",
@@ -64,9 +64,9 @@
 };
 
 test("slot queue: while the upstream is slow it asks again and again, and what waits begins when it is not any more", async () => {
-    const { queue, asked } = queueOf([5, 5, 1]);
-    const began = clock();
-    await Promise.all([queue.enter(request()), queue.enter(request())]);
-    assert.equal(asked(), 3);
-    assert.ok(clock() - began >= 50, String(clock() - began));
+    const { queue, probeCount } = createQueue([5, 5, 1]);
+    const startedAt = clock();
+    await Promise.all([queue.enter(createRequest()), queue.enter(createRequest())]);
+    assert.equal(probeCount(), 3);
+    assert.ok(clock() - startedAt >= 50, String(clock() - startedAt));
 });
--- a/src/gate/slotqueue.ts
+++ b/src/gate/slotqueue.ts
@@ -23,22 +23,22 @@
     /** Asks the upstream for its pace, unless the budget is spent. */
     readonly refreshPace: () => Promise<void>;
     /** Asks the upstream whether it is cold, where it is time to; resolves with the answer. */
-    readonly askWhetherCold: () => Promise<void>;
+    readonly probeCold: () => Promise<void>;
 };
 
 /** A report of the pace that was just asked for is still believed at the next question; in milliseconds. */
-const ASK_EVERY_MS = 20;
+const PACE_PROBE_INTERVAL_MS = 20;
 
 /** What may not be sent yet is looked at again at the latest after this, in milliseconds: the upstream may take more by then. */
-const LOOK_EVERY_MS = 50;
+const MAX_RATE_CHECK_INTERVAL_MS = 50;
 
 /** Every refusal is `not-run`, and the ledger sees to it that it stays so. */
 export class SlotQueue {
     readonly offers: Offers;
     /** Runs while a slot is kept free until the upstream works faster. */
-    #nextAsk: NodeJS.Timeout | undefined;
+    #paceTimer: NodeJS.Timeout | undefined;
     /** Runs while what waits has a slot, and the upstream may be sent no more yet. */
-    #nextSend: NodeJS.Timeout | undefined;
+    #rateTimer: NodeJS.Timeout | undefined;
 
     constructor(private readonly parts: QueueParts) {
         this.offers = new Offers(parts.admission);
@@ -52,12 +52,12 @@
             return;
         }
         if (verdict.type === "refuse") {
-            this.withdraw(request);
+            this.revoke(request);
             const { reason, retryAfterMs } = verdict.refusal;
-            throw refusals.make(reason, { retryAfterMs });
+            throw refusals.create(reason, { retryAfterMs });
         }
-        this.#watch();
-        await this.#wait(request);
+        this.#scheduleChecks();
+        await this.#waitForSlot(request);
     }
 
     /** False when the request's deadline has passed or it was revoked meanwhile; then its slot is free again. */
@@ -67,13 +67,13 @@
         if (now < request.deadline && (!request.once || ledger.start(request.call.head.id, now))) {
             return true;
         }
-        this.giveBack(request);
+        this.releaseUnused(request);
         return false;
     }
 
     /** Frees the slot of a request that does not run after all. */
-    giveBack(request: GateRequest): void {
-        this.withdraw(request);
+    releaseUnused(request: GateRequest): void {
+        this.revoke(request);
         this.release(undefined);
     }
 
@@ -81,119 +81,119 @@
     release(serviceMs: number | undefined, ended?: Ended): void {
         const { admission, clock } = this.parts;
         admission.finish(serviceMs, ended, clock());
-        this.advance();
+        this.startNext();
     }
 
     /** Lets run what may run now. */
-    advance(): void {
+    startNext(): void {
         const { admission, clock, refusals } = this.parts;
         const { run, late } = admission.next(clock());
         for (const request of late) {
-            this.withdraw(request);
-            request.refuse(refusals.make("deadline"));
+            this.revoke(request);
+            request.refuse(refusals.create("deadline"));
         }
         for (const request of run) {
             request.grantSlot();
         }
-        this.#watch();
+        this.#scheduleChecks();
     }
 
     /** Hands waiting requests back to their ingresses, one for each offer that a sibling has made. */
     handBack(goTo: UpstreamName, offers: readonly string[]): number {
         const { admission, refusals } = this.parts;
         const ids = [...offers];
-        const requests = admission.handBack(ids.length, request => request.movable);
-        for (const request of requests) {
-            this.withdraw(request);
-            request.refuse(refusals.make("handed-back", { goTo, offer: ids.shift() }));
+        const handedBack = admission.handBack(ids.length, request => request.canHandBack);
+        for (const request of handedBack) {
+            this.revoke(request);
+            request.refuse(refusals.create("handed-back", { goTo, offer: ids.shift() }));
         }
-        return requests.length;
+        return handedBack.length;
     }
 
     /** Hands what waits and is picked back to its ingresses: it belongs elsewhere. */
-    sendOn(test: (request: GateRequest) => boolean): void {
+    redirect(shouldRedirect: (request: GateRequest) => boolean): void {
         const { admission, refusals } = this.parts;
-        for (const request of admission.handBack(Infinity, test)) {
-            this.withdraw(request);
-            request.refuse(refusals.make("leaving"));
+        for (const request of admission.handBack(Infinity, shouldRedirect)) {
+            this.revoke(request);
+            request.refuse(refusals.create("leaving"));
         }
     }
 
     /** Refuses what waits and is not served in time any more, since the upstream takes less than it did. */
-    reconsider(): void {
+    reevaluate(): void {
         const { admission, clock, refusals } = this.parts;
         for (const { item, refusal: { reason, retryAfterMs } } of admission.reconsider(clock())) {
-            this.withdraw(item);
-            item.refuse(refusals.make(reason, { retryAfterMs }));
+            this.revoke(item);
+            item.refuse(refusals.create(reason, { retryAfterMs }));
         }
     }
 
     /** Leaves a tombstone, so that a request that was refused can't run later. */
-    withdraw(request: GateRequest): void {
+    revoke(request: GateRequest): void {
         if (request.once) {
             this.parts.ledger.revoke(request.call.head.id, request.ledgerDeadline, this.parts.clock());
         }
     }
 
-    async #wait(request: GateRequest): Promise<void> {
+    async #waitForSlot(request: GateRequest): Promise<void> {
         const { admission, clock } = this.parts;
         const { afterMs, reason } = waitLimit(request.maxWaitMs, request.deadline - clock());
         const timer = setTimeout(() => {
             const retryAfterMs = reason === "wait-too-long" ? admission.retryAfterMs(request, clock()) : undefined;
-            this.#giveUp(request, reason, retryAfterMs);
+            this.#refuseQueued(request, reason, retryAfterMs);
         }, afterMs);
-        const forget = request.call.cancel.onAbort(() => this.#giveUp(request, "caller-left"));
+        const removeAbortListener = request.call.cancel.onAbort(() => this.#refuseQueued(request, "caller-left"));
         try {
             await request.waitForSlot();
         }
         finally {
             clearTimeout(timer);
-            forget();
+            removeAbortListener();
         }
     }
 
-    #watch(): void {
-        this.#watchPace();
-        this.#watchRate();
+    #scheduleChecks(): void {
+        this.#schedulePaceProbe();
+        this.#scheduleRateCheck();
     }
 
     /** Looks again when the next one may be sent, or when the upstream has said how cold it is. */
-    #watchRate(): void {
-        const { admission, clock, askWhetherCold } = this.parts;
+    #scheduleRateCheck(): void {
+        const { admission, clock, probeCold } = this.parts;
         const opensAt = admission.opensAt(clock());
-        if (this.#nextSend !== undefined || opensAt === undefined) {
+        if (this.#rateTimer !== undefined || opensAt === undefined) {
             return;
         }
-        this.#nextSend = setTimeout(() => {
-            this.#nextSend = undefined;
-            this.advance();
-        }, Math.min(LOOK_EVERY_MS, Math.ceil(opensAt - clock())));
-        void askWhetherCold().then(() => {
+        this.#rateTimer = setTimeout(() => {
+            this.#rateTimer = undefined;
+            this.startNext();
+        }, Math.min(MAX_RATE_CHECK_INTERVAL_MS, Math.ceil(opensAt - clock())));
+        void probeCold().then(() => {
             if (admission.opensAt(clock()) === undefined) {
-                this.advance();
+                this.startNext();
             }
         });
     }
 
     /** Asks again and again while a slot is kept free; when nothing is known any more, what waits runs. */
-    #watchPace(): void {
+    #schedulePaceProbe(): void {
         const { admission, clock, refreshPace } = this.parts;
-        if (this.#nextAsk !== undefined || !admission.isWaitingForPace(clock())) {
+        if (this.#paceTimer !== undefined || !admission.isWaitingForPace(clock())) {
             return;
         }
-        this.#nextAsk = setTimeout(() => {
+        this.#paceTimer = setTimeout(() => {
             void refreshPace().then(() => {
-                this.#nextAsk = undefined;
-                this.advance();
+                this.#paceTimer = undefined;
+                this.startNext();
             });
-        }, ASK_EVERY_MS);
+        }, PACE_PROBE_INTERVAL_MS);
     }
 
     /** Refuses a request that still waits: it has not run. */
-    #giveUp(request: GateRequest, reason: Reason, retryAfterMs?: number): void {
+    #refuseQueued(request: GateRequest, reason: Reason, retryAfterMs?: number): void {
         if (this.parts.admission.leave(request)) {
-            this.withdraw(request);
-            request.refuse(this.parts.refusals.make(reason, { retryAfterMs }));
+            this.revoke(request);
+            request.refuse(this.parts.refusals.create(reason, { retryAfterMs }));
         }
     }
 }
--- a/src/gate/upstreamclient.ts
+++ b/src/gate/upstreamclient.ts
@@ -13,16 +13,16 @@
 import { UpstreamError } from "./upstreamerror.js";
 
 /** The upstream's answer as it comes. */
-type UpstreamAnswer = { readonly status: number; readonly headers: HttpHeaders; readonly body: Readable; };
+type UpstreamResponse = { readonly status: number; readonly headers: HttpHeaders; readonly body: Readable; };
 
 /** Where and how to reach the upstream. */
 type ClientOptions = {
     readonly localIp: string;
     readonly dialect: Dialect;
     /** Called with the head of each answer that is the upstream's own, whatever its status. */
-    readonly onAnswer: (
+    readonly onResponse: (
         headers: HttpHeaders,
-        answer: { readonly sentAt: number; readonly isHealth: boolean; },
+        exchange: { readonly sentAt: number; readonly isHealth: boolean; },
     ) => void;
     readonly clock: Clock;
     /** Told of a connection that carries nothing any more, and has been ended. */
@@ -33,41 +33,48 @@
 export class UpstreamClient {
     /** The one that was used last is used first, so that those not needed end. */
     readonly #idle: UpstreamConnection[] = [];
-    readonly #all = new Set<UpstreamConnection>();
-    #closed = false;
+    readonly #connections = new Set<UpstreamConnection>();
+    #isClosed = false;
     /** When the newest request was sent that the upstream has answered. */
-    #newestAnswered = -Infinity;
+    #lastAnsweredSentAt = -Infinity;
 
     constructor(readonly upstream: Upstream, private readonly options: ClientOptions) {}
 
     /** Sends a request; throws an UpstreamError. An answer that is not to this request is an error. */
-    async send(call: GateCall, headers: HttpHeaders, cancel: Cancel | undefined): Promise<UpstreamAnswer> {
+    async send(call: GateCall, headers: HttpHeaders, cancel: Cancel | undefined): Promise<UpstreamResponse> {
         const { dialect } = this.options;
-        const connection = this.#take();
+        const connection = this.#acquire();
         const sentAt = this.options.clock();
-        const answer = await this.#request(connection, call, headers, cancel, sentAt);
-        const reason = dialect.notRun(answer.status, answer.headers);
-        const isOwn = dialect.isOwnAnswer(answer.status, answer.headers, String(headers[dialect.requestId]));
-        if (isOwn && reason !== "misdirected") {
-            this.options.onAnswer(answer.headers, { sentAt, isHealth: false });
+        const response = await this.#request(connection, call, headers, cancel, sentAt);
+        const reason = dialect.notRun(response.status, response.headers);
+        const isOwnResponse = dialect.isOwnAnswer(
+            response.status,
+            response.headers,
+            String(headers[dialect.requestId]),
+        );
+        if (isOwnResponse && reason !== "misdirected") {
+            this.options.onResponse(response.headers, { sentAt, isHealth: false });
         }
         if (reason !== undefined) {
-            answer.body.resume();
+            response.body.resume();
             throw new UpstreamError(reason);
         }
-        if (!isOwn) {
-            answer.body.destroy();
-            this.#drop(connection);
+        if (!isOwnResponse) {
+            response.body.destroy();
+            this.#discard(connection);
             throw new UpstreamError("foreign-answer");
         }
-        return answer;
+        return response;
     }
 
     /** Asks the upstream's health endpoint. Throws what the connection throws. */
-    async ask(path: string, timeoutMs: number): Promise<{ readonly status: number; readonly headers: HttpHeaders; }> {
-        const { clock, dialect, onAnswer } = this.options;
+    async probeHealth(
+        path: string,
+        timeoutMs: number,
+    ): Promise<{ readonly status: number; readonly headers: HttpHeaders; }> {
+        const { clock, dialect, onResponse } = this.options;
         const sentAt = clock();
-        const connection = this.#take();
+        const connection = this.#acquire();
         try {
             const { statusCode, headers, body } = await connection.request({
                 method: "GET",
@@ -77,18 +84,18 @@
             await body.dump();
             const name = dialect.upstreamName(headers);
             if (name === undefined || name === this.upstream.name) {
-                onAnswer(headers, { sentAt, isHealth: true });
+                onResponse(headers, { sentAt, isHealth: true });
             }
             return { status: statusCode, headers };
         }
         finally {
-            this.#give(connection);
+            this.#release(connection);
         }
     }
 
     /** Ends connections that carry nothing now: they may have gone silent. */
-    dropIdle(): void {
-        this.#idle.splice(0).forEach(connection => this.#drop(connection));
+    destroyIdle(): void {
+        this.#idle.splice(0).forEach(connection => this.#discard(connection));
     }
 
     /**
@@ -96,36 +103,36 @@
      * carried nothing, and the idle ones, which are older than that answer, go too.
      */
     recordUnanswered(sentAt: number): void {
-        if (this.#newestAnswered > sentAt) {
-            this.dropIdle();
+        if (this.#lastAnsweredSentAt > sentAt) {
+            this.destroyIdle();
             this.options.onSilent(this.upstream.address);
         }
     }
 
     async close(): Promise<void> {
-        this.#closed = true;
-        await Promise.all([...this.#all].map(connection => connection.close()));
+        this.#isClosed = true;
+        await Promise.all([...this.#connections].map(connection => connection.close()));
     }
 
-    #take(): UpstreamConnection {
+    #acquire(): UpstreamConnection {
         const idle = this.#idle.pop();
         if (idle !== undefined) {
             return idle;
         }
         const connection = new UpstreamConnection(this.upstream.address, this.options.localIp);
-        this.#all.add(connection);
+        this.#connections.add(connection);
         return connection;
     }
 
-    #give(connection: UpstreamConnection): void {
-        if (this.#all.has(connection) && !this.#closed) {
+    #release(connection: UpstreamConnection): void {
+        if (this.#connections.has(connection) && !this.#isClosed) {
             this.#idle.push(connection);
         }
     }
 
     /** An answer too many would shift all that follow: the connection is not used again. */
-    #drop(connection: UpstreamConnection): void {
-        this.#all.delete(connection);
+    #discard(connection: UpstreamConnection): void {
+        this.#connections.delete(connection);
         connection.destroy();
     }
 
@@ -135,22 +142,22 @@
         headers: HttpHeaders,
         cancel: Cancel | undefined,
         sentAt: number,
-    ): Promise<UpstreamAnswer> {
+    ): Promise<UpstreamResponse> {
         try {
-            const answer = await connection.request({
+            const response = await connection.request({
                 method: call.method as "GET",
                 path: call.path,
                 headers,
                 body: call.body,
                 signal: cancel,
             });
-            this.#newestAnswered = Math.max(this.#newestAnswered, sentAt);
-            const body = guardBody(connection.whole(answer));
-            body.once("close", () => this.#give(connection));
-            return { status: answer.statusCode, headers: answer.headers, body };
+            this.#lastAnsweredSentAt = Math.max(this.#lastAnsweredSentAt, sentAt);
+            const body = guardBody(connection.checkedBody(response));
+            body.once("close", () => this.#release(connection));
+            return { status: response.statusCode, headers: response.headers, body };
         }
         catch (err) {
-            this.#give(connection);
+            this.#release(connection);
             throw new UpstreamError(isConnectError(err) ? "unreachable" : "upstream-broke", { cause: err });
         }
     }
--- a/src/gate/upstreamconnection.ts
+++ b/src/gate/upstreamconnection.ts
@@ -46,7 +46,7 @@
      * The body, with an end that can be trusted: one without a length ends with its connection, and after a reset
      * that is no end.
      */
-    whole({ body, headers }: Dispatcher.ResponseData): Dispatcher.ResponseData["body"] | Transform {
+    checkedBody({ body, headers }: Dispatcher.ResponseData): Dispatcher.ResponseData["body"] | Transform {
         if (isFramed(headers)) {
             return body;
         }
--- a/src/gate/upstreamcontact.ts
+++ b/src/gate/upstreamendpoint.ts
@@ -7,37 +7,37 @@
 import { SendRate } from "../policy/rate/sendrate.js";
 import { ColdProbe } from "./coldprobe.js";
 import type { GateParts } from "./gateparts.js";
-import { HealthQuestions } from "./healthquestions.js";
+import { HealthProbe } from "./healthprobe.js";
 import { UpstreamClient } from "./upstreamclient.js";
-import { UpstreamNotices } from "./upstreamnotices.js";
+import { UpstreamSignals } from "./upstreamsignals.js";
 
 /** No request is held up by this question unless the upstream may be sent no more; milliseconds. */
-const ASK_COLD_TIMEOUT_MS = 250;
+const COLD_PROBE_TIMEOUT_MS = 250;
 
 /** What the gate does on a notice. */
-type ContactEvents = {
+type EndpointEvents = {
     /** Called with each report of the pace. */
     readonly onPace: (pace: number) => void;
     /** Called when the upstream states a limit, or a lower one than before. */
-    readonly onLess: () => void;
+    readonly onLimitLowered: () => void;
     /** Called with each answer that says that it leaves; the reason says whether for good. */
     readonly onLeaving: (reason: "upstream" | "ending") => void;
     /** Called with each answer of its health endpoint that does not. */
-    readonly onStaying: () => void;
+    readonly onNotLeaving: () => void;
 };
 
 /** One for each gate. */
-export class UpstreamContact {
+export class UpstreamEndpoint {
     readonly client: UpstreamClient;
-    readonly notices: UpstreamNotices;
-    readonly questions: HealthQuestions;
-    readonly cold: ColdProbe;
-    readonly rate: SendRate;
+    readonly signals: UpstreamSignals;
+    readonly healthProbe: HealthProbe;
+    readonly coldProbe: ColdProbe;
+    readonly sendRate: SendRate;
 
-    constructor(upstream: Upstream, parts: GateParts, events: ContactEvents) {
+    constructor(upstream: Upstream, parts: GateParts, events: EndpointEvents) {
         const { name, service } = upstream;
         const { leavesForGood } = parts.dialect;
-        this.notices = new UpstreamNotices({
+        this.signals = new UpstreamSignals({
             ...parts,
             ...events,
             upstream: name,
@@ -50,29 +50,29 @@
         });
         this.client = new UpstreamClient(upstream, {
             ...parts,
-            onAnswer: (headers, answer) => {
+            onResponse: (headers, exchange) => {
                 const load = parts.dialect.load(headers);
                 if (load !== undefined) {
                     events.onPace(load.pace);
                 }
-                this.notices.recordAnswer(headers, answer);
+                this.signals.recordResponse(headers, exchange);
             },
         });
-        const { limit } = this.notices;
-        this.questions = new HealthQuestions({
+        const { rateLimit } = this.signals;
+        this.healthProbe = new HealthProbe({
             ...parts,
             service,
-            limit,
+            rateLimit,
             client: this.client,
-            onColdMs: (coldMs, askedAt) => this.cold.record(coldMs, askedAt),
+            onColdReport: (coldMs, sentAt) => this.coldProbe.record(coldMs, sentAt),
         });
-        this.cold = new ColdProbe({
+        this.coldProbe = new ColdProbe({
             upstream: name,
             clock: parts.clock,
             limits: () => parts.coldLimits(service),
-            mayAsk: () => this.questions.mayAskForLoad && parts.mayAskForCold(),
-            ask: () => this.questions.ask(ASK_COLD_TIMEOUT_MS),
+            mayProbe: () => this.healthProbe.mayProbeLoad && parts.mayAskForCold(),
+            probe: () => this.healthProbe.probe(COLD_PROBE_TIMEOUT_MS),
         });
-        this.rate = new SendRate(this.cold.guard, limit);
+        this.sendRate = new SendRate(this.coldProbe.guard, rateLimit);
     }
 }
--- a/src/gate/upstreamrun.ts
+++ b/src/gate/upstreamrun.ts
@@ -14,7 +14,7 @@
 import { reasons } from "../policy/retry/reasons.js";
 import type { Clock } from "../time/clock.js";
 import type { CallContexts } from "./callcontexts.js";
-import type { CrashWatch } from "./crashwatch.js";
+import type { CrashDetector } from "./crashdetector.js";
 import type { GateRequest } from "./gaterequest.js";
 import { isFramed } from "./isframed.js";
 import type { UpstreamClient } from "./upstreamclient.js";
@@ -31,7 +31,7 @@
     readonly dialect: Dialect;
     readonly client: UpstreamClient;
     readonly levels: LevelClock;
-    readonly crashes: CrashWatch;
+    readonly crashDetector: CrashDetector;
     readonly onServed: (request: RequestKey) => void;
     readonly onEnd: (
         serviceMs: number | undefined,
@@ -41,10 +41,10 @@
 };
 
 /** An upstream that is silent for so long past the deadline is cut off, so that its slot is not held for ever. */
-const OVERTIME_MS = 250;
+const DEADLINE_GRACE_MS = 250;
 
 /** An answer without its note, and what the note must say. */
-type RunAnswer = Omit<GateAnswer, "note"> & {
+type RunResponse = Omit<GateAnswer, "note"> & {
     readonly calls: boolean;
     readonly retriedBelow: boolean;
     readonly unframed: boolean;
@@ -54,30 +54,30 @@
 export class UpstreamRun {
     readonly #startedAt: number;
     readonly #requestId: string;
-    readonly #work: WorkTime;
+    readonly #workTime: WorkTime;
     readonly #context: ReturnType<CallContexts["open"]>;
     readonly #cancel = new Cancel();
-    readonly #overtime: NodeJS.Timeout;
-    #open = true;
-    #hasHead = false;
-    #suspected: NodeJS.Timeout | undefined;
+    readonly #deadlineTimer: NodeJS.Timeout;
+    #isActive = true;
+    #hasResponseHead = false;
+    #abortTimer: NodeJS.Timeout | undefined;
 
     constructor(private readonly request: GateRequest, private readonly parts: RunParts) {
         this.#startedAt = parts.clock();
         const { headers, head } = request.call;
         const { deadline } = request;
-        this.#work = new WorkTime(parts.levels, this.#startedAt);
+        this.#workTime = new WorkTime(parts.levels, this.#startedAt);
         this.#requestId = parts.dialect.idOf(headers, head.id);
-        const run = { deadline, depth: head.depth, repeated: head.arrival !== "first", work: this.#work };
-        this.#context = parts.contexts.open(this.#requestId, run);
-        this.#overtime = setTimeout(() => {
-            this.#giveUp();
+        const details = { deadline, depth: head.depth, repeated: head.arrival !== "first", work: this.#workTime };
+        this.#context = parts.contexts.open(this.#requestId, details);
+        this.#deadlineTimer = setTimeout(() => {
+            this.#abortUnanswered();
             this.#cancel.abort();
-        }, deadline - this.#startedAt + OVERTIME_MS);
+        }, deadline - this.#startedAt + DEADLINE_GRACE_MS);
     }
 
     /** It is not the first of its request, or its request is a call of such a one. */
-    get repeated(): boolean {
+    get isRepeat(): boolean {
         return this.request.call.head.arrival !== "first";
     }
 
@@ -86,7 +86,7 @@
     }
 
     /** Calls it off, unless it may run only once: then it is let finish. */
-    callOff(): void {
+    cancel(): void {
         if (!this.request.once) {
             this.#cancel.abort();
         }
@@ -98,95 +98,95 @@
     }
 
     /** Gives the request up if it has no answer so long after its start: its connection may have gone silent. */
-    suspect(afterMs: number): void {
-        if (!this.#hasHead && this.#suspected === undefined) {
+    abortIfUnanswered(afterMs: number): void {
+        if (!this.#hasResponseHead && this.#abortTimer === undefined) {
             const now = this.parts.clock();
-            this.#suspected = setTimeout(() => this.#giveUp(), Math.max(0, this.#startedAt + afterMs - now));
+            this.#abortTimer = setTimeout(() => this.#abortUnanswered(), Math.max(0, this.#startedAt + afterMs - now));
         }
     }
 
-    #giveUp(): void {
-        if (!this.#hasHead) {
+    #abortUnanswered(): void {
+        if (!this.#hasResponseHead) {
             this.#cancel.abort();
             this.parts.client.recordUnanswered(this.#startedAt);
         }
     }
 
     /** Sends the request; throws an UpstreamError, and then the run has ended. */
-    async send(): Promise<RunAnswer> {
+    async send(): Promise<RunResponse> {
         const { request, parts } = this;
         const callerCancel = request.upstreamCancel();
-        const forget = callerCancel?.onAbort(() => this.#cancel.abort());
+        const removeAbortListener = callerCancel?.onAbort(() => this.#cancel.abort());
         if (callerCancel?.aborted) {
             this.#cancel.abort();
         }
         try {
-            const answer = await parts.client.send(request.call, this.#headers(), this.#cancel);
-            this.#hasHead = true;
-            parts.crashes.lived(this.#startedAt);
-            const streamed = request.call.head.answer === "streamed";
-            if (streamed) {
+            const response = await parts.client.send(request.call, this.#requestHeaders(), this.#cancel);
+            this.#hasResponseHead = true;
+            parts.crashDetector.recordResponse(this.#startedAt);
+            const isStreamed = request.call.head.answer === "streamed";
+            if (isStreamed) {
                 this.#end(true);
             }
             return {
-                status: answer.status,
-                headers: cleanHeaders(answer.headers),
-                body: streamed ? answer.body : this.#watch(answer.body, answer.status),
+                status: response.status,
+                headers: cleanHeaders(response.headers),
+                body: isStreamed ? response.body : this.#trackBody(response.body, response.status),
                 calls: this.#context.calls.size > 0,
                 retriedBelow: this.#context.retriedBelow,
-                unframed: !isFramed(answer.headers),
+                unframed: !isFramed(response.headers),
             };
         }
         catch (err) {
             if (request.once && err instanceof UpstreamError && reasons[err.reason].proves === "not-run") {
                 parts.ledger.disprove(request.call.head.id);
             }
-            this.#recordBroken(err);
-            forget?.();
+            this.#recordFailure(err);
+            removeAbortListener?.();
             this.#end(false);
             throw err;
         }
     }
 
-    #recordBroken(err: unknown): void {
-        const { request: { key }, parts: { crashes } } = this;
+    #recordFailure(err: unknown): void {
+        const { request: { key }, parts: { crashDetector } } = this;
         const reason = err instanceof UpstreamError ? err.reason : undefined;
         if (reason === "upstream-broke") {
-            crashes.ended(key, this.#cancel.aborted);
+            crashDetector.recordBrokenRun(key, this.#cancel.aborted);
         }
         else if (reason === "unreachable") {
-            crashes.gone();
+            crashDetector.recordUnreachable();
         }
     }
 
     /** Ends the run with the body; a `once` request's answer is read to its end whoever has left. */
-    #watch(body: Readable, status: number): Readable {
+    #trackBody(body: Readable, status: number): Readable {
         body.on("close", () => {
             this.#recordServed(body.readableEnded, status);
             this.#end(true);
         });
-        body.on("error", () => this.parts.crashes.ended(this.request.key, this.#cancel.aborted));
+        body.on("error", () => this.parts.crashDetector.recordBrokenRun(this.request.key, this.#cancel.aborted));
         if (!this.request.once) {
             return body;
         }
-        const out = new PassThrough();
-        body.on("error", err => out.destroy(err));
-        out.on("error", () => {
+        const output = new PassThrough();
+        body.on("error", err => output.destroy(err));
+        output.on("error", () => {
             // The upstream's answer is read to its end all the same.
         });
-        out.on("close", () => body.unpipe(out).resume());
-        return body.pipe(out);
+        output.on("close", () => body.unpipe(output).resume());
+        return body.pipe(output);
     }
 
     /** An answer that came whole, and is no failure of the upstream's own, speaks for the request. */
-    #recordServed(whole: boolean, status: number): void {
+    #recordServed(isComplete: boolean, status: number): void {
         const { request: { key }, parts: { onServed } } = this;
-        if (whole && key !== undefined && status < httpStatus.internalServerError) {
+        if (isComplete && key !== undefined && status < httpStatus.internalServerError) {
             onServed(key);
         }
     }
 
-    #headers(): HttpHeaders {
+    #requestHeaders(): HttpHeaders {
         const { call, deadline } = this.request;
         const { dialect } = this.parts;
         return {
@@ -198,16 +198,16 @@
         };
     }
 
-    #end(served: boolean): void {
-        if (!this.#open) {
+    #end(wasServed: boolean): void {
+        if (!this.#isActive) {
             return;
         }
-        this.#open = false;
-        clearTimeout(this.#overtime);
-        clearTimeout(this.#suspected);
+        this.#isActive = false;
+        clearTimeout(this.#deadlineTimer);
+        clearTimeout(this.#abortTimer);
         this.parts.contexts.close(this.#context);
         this.parts.ledger.finish(this.request.call.head.id);
         const now = this.parts.clock();
-        this.parts.onEnd(served ? this.ageMs(now) : undefined, this.#work.read(now), this.#context.calls);
+        this.parts.onEnd(wasServed ? this.ageMs(now) : undefined, this.#workTime.read(now), this.#context.calls);
     }
 }
--- a/src/gate/upstreamnotices.ts
+++ b/src/gate/upstreamsignals.ts
@@ -12,70 +12,70 @@
 const logger = log("gate");
 
 /** What the notices need of their gate. */
-type NoticeParts = {
+type SignalParts = {
     readonly upstream: string;
     readonly clock: Clock;
     readonly dialect: Dialect;
     /** Called when it states a limit, or a lower one than before. */
-    readonly onLess: () => void;
+    readonly onLimitLowered: () => void;
     /** Called with each answer that says that it leaves. */
     readonly onLeaving: () => void;
     /** Called with each answer of its health endpoint that does not. */
-    readonly onStaying: () => void;
+    readonly onNotLeaving: () => void;
 };
 
 /** One for each gate. */
-export class UpstreamNotices {
-    readonly limit = new RequestLimit();
+export class UpstreamSignals {
+    readonly rateLimit = new RequestLimit();
     /** What could not be read last, so that the log says so once. */
-    #unreadable: string | undefined;
+    #lastUnreadable: string | undefined;
 
-    constructor(private readonly parts: NoticeParts) {}
+    constructor(private readonly parts: SignalParts) {}
 
     /** Records an answer of the upstream itself. */
-    recordAnswer(headers: HttpHeaders, answer: Parameters<RequestLimit["recordAnswer"]>[1]): void {
-        const { clock, dialect, onLeaving, onStaying } = this.parts;
+    recordResponse(headers: HttpHeaders, exchange: Parameters<RequestLimit["recordAnswer"]>[1]): void {
+        const { clock, dialect, onLeaving, onNotLeaving } = this.parts;
         const stated = dialect.limit(headers);
-        this.#unreadable = stated.type === "unreadable" ? this.#warn(stated.text) : undefined;
-        this.#change(() => this.limit.recordAnswer(stated, answer, clock()));
+        this.#lastUnreadable = stated.type === "unreadable" ? this.#warnOnce(stated.text) : undefined;
+        this.#updateLimit(() => this.rateLimit.recordAnswer(stated, exchange, clock()));
         if (dialect.isLeaving(headers)) {
             onLeaving();
         }
-        else if (answer.isHealth) {
-            onStaying();
+        else if (exchange.isHealth) {
+            onNotLeaving();
         }
     }
 
     /** Records the limit that the sender of a request has been told, where it has been told one. */
-    recordTold(perSecond: number | undefined): void {
+    recordPeerLimit(perSecond: number | undefined): void {
         if (perSecond !== undefined) {
-            this.#change(() => this.limit.recordTold(perSecond, this.parts.clock()));
+            this.#updateLimit(() => this.rateLimit.recordTold(perSecond, this.parts.clock()));
         }
     }
 
-    #warn(text: string): string {
+    #warnOnce(text: string): string {
         const { upstream, dialect } = this.parts;
-        if (text !== this.#unreadable) {
+        if (text !== this.#lastUnreadable) {
             const field = dialect.requestLimit;
-            const sentence = "The upstream's limit can't be read; the same again is not logged.";
-            logger.warn(sentence, "what it stated before holds", { upstream, field, text });
+            const message = "The upstream's limit can't be read; the same again is not logged.";
+            logger.warn(message, "what it stated before holds", { upstream, field, text });
         }
         return text;
     }
 
-    #change(apply: () => void): void {
-        const before = this.limit.perSecond;
+    #updateLimit(apply: () => void): void {
+        const before = this.rateLimit.perSecond;
         apply();
-        const { perSecond } = this.limit;
+        const { perSecond } = this.rateLimit;
         if (perSecond === before) {
             return;
         }
-        const sentence = perSecond === undefined
+        const message = perSecond === undefined
             ? "The upstream states no limit any more."
             : "The upstream states a limit of requests a second.";
-        logger.change(sentence, { upstream: this.parts.upstream, perSecond, before });
+        logger.change(message, { upstream: this.parts.upstream, perSecond, before });
         if (perSecond !== undefined && perSecond < (before ?? Infinity)) {
-            this.parts.onLess();
+            this.parts.onLimitLowered();
         }
     }
 }
