--- a/src/cli/why.test.ts
+++ b/src/cli/why.test.ts
@@ -4,7 +4,7 @@
 import { tellStory } from "./tellstory.js";
 
 const LOG = [
-    `host-b {"level":"info","time":1012,"part":"gate","id":"r1","try":"x.1","outcome":"not-run","reason":"slow","message":"The gate has no answer."}`,
+    `host-b {"level":"info","time":1012,"part":"gate","id":"r1","try":"x.1","outcome":"not-run","reason":"slow","message":"The gate did not serve the request."}`,
     `host-a {"level":"info","time":1010,"part":"ingress","id":"r1","try":"x.1","upstream":"u1","message":"The request is placed."}`,
     `host-a {"level":"info","time":1011,"part":"ingress","id":"r10","message":"The request is placed."}`,
     `host-a {"level":"info","time":1020,"part":"ingress","id":"r1","report":{"running":3},"message":"The request has ended."}`,
@@ -20,7 +20,7 @@
 test("why: each line says when, who, what and on what grounds", () => {
     assert.deepEqual(tellStory(readStory(LOG, "r1")).split("\n"), [
         "+0 ms     ingress  The request is placed. (try x.1, upstream u1)",
-        "+2 ms     gate     The gate has no answer. (try x.1, outcome not-run, reason slow)",
+        "+2 ms     gate     The gate did not serve the request. (try x.1, outcome not-run, reason slow)",
         `+10 ms    ingress  The request has ended. (report {"running":3})`,
     ]);
 });
--- a/src/gate/activeruns.ts
+++ b/src/gate/activeruns.ts
@@ -1,8 +1,8 @@
-/** What runs at one upstream. */
+/** Tracks the runs in flight at one upstream. */
 import type { RequestKey } from "../ids/requestkey.js";
 import type { UpstreamRun } from "./upstreamrun.js";
 
-/** Counts since the gate was made. */
+/** Holds the runs in flight, and counts those that have finished since the gate was created. */
 export class ActiveRuns {
     readonly #runs = new Set<UpstreamRun>();
     #finishedCount = 0;
@@ -11,7 +11,7 @@
         return this.#finishedCount;
     }
 
-    /** Those that are not the first of their request. */
+    /** Number of runs in flight that are repeats. */
     get repeatCount(): number {
         return [...this.#runs].filter(run => run.isRepeat).length;
     }
@@ -25,17 +25,17 @@
         this.#finishedCount += 1;
     }
 
-    /** Has each given up that has no answer so long after its start. */
+    /** Aborts each run that has no response `afterMs` milliseconds after its start. */
     abortUnanswered(afterMs: number): void {
         this.#runs.forEach(run => run.abortIfUnanswered(afterMs));
     }
 
-    /** Calls off the runs of a request. */
+    /** Aborts the runs of a request, unless it may run only once. */
     cancel(request: RequestKey): void {
         this.#runs.forEach(run => run.key === request && run.cancel());
     }
 
-    /** How long what runs has run, on average; 0 while nothing runs. */
+    /** Returns how long the runs in flight have taken so far on average, in milliseconds; 0 if there is none. */
     meanAgeMs(now: number): number {
         let sumMs = 0;
         for (const run of this.#runs) {
--- a/src/gate/callcontexts.ts
+++ b/src/gate/callcontexts.ts
@@ -1,33 +1,41 @@
-/** Ties the calls that a local upstream makes to the request that it makes them for. */
+/** Links the calls that a local upstream makes to the request for which it makes them. */
 import { randomBytes } from "node:crypto";
 import type { ServiceName } from "../ids/servicename.js";
 import type { WorkTime } from "../policy/admission/worktime.js";
 
-/** Too many to be guessed. */
+/** Long enough that a token cannot be guessed. */
 const TOKEN_BYTES = 12;
 
-/** `deadline` is on the daemon's clock; `calls` are those made for it so far, `retriedBelow` is set when one has failed. */
+/** The context of one running request. */
 type CallContext = {
     readonly token: string;
+    /** The id by which the upstream knows the request. */
     readonly requestId: string;
+    /** Milliseconds on the daemon's clock. */
     readonly deadline: number;
+    /** Number of calls in the chain that led to the request. */
     readonly depth: number;
-    /** The run is not the first of its request, so that its calls are not either. */
+    /** True if the run is a repeat; the calls that it makes are repeats too. */
     readonly repeated: boolean;
+    /** Number of calls that the run has made so far, by service. */
     readonly calls: Map<ServiceName, number>;
-    /** Told of each call's begin and end. */
+    /** Notified of the start and end of each call. */
     readonly work: WorkTime;
+    /** Set when a call of the run has failed after its own retries, so that the run's request is not retried too. */
     retriedBelow: boolean;
 };
 
 type RunDetails = Pick<CallContext, "deadline" | "depth" | "repeated" | "work">;
 
-/** The contexts of what runs, by token; a token can't be guessed, so a caller can't set its own depth or time. */
+/**
+ * The contexts of the running requests, by token. A caller cannot guess a token, so it cannot set its own depth or
+ * deadline.
+ */
 export class CallContexts {
     readonly #byToken = new Map<string, CallContext>();
     readonly #byRequest = new Map<string, CallContext>();
 
-    /** `requestId` is the id by which the upstream knows the request. */
+    /** Opens the context of a run; `requestId` is the id by which the upstream knows the request. */
     open(requestId: string, { deadline, depth, repeated, work }: RunDetails): CallContext {
         const token = randomBytes(TOKEN_BYTES).toString("base64url");
         const context = { token, requestId, deadline, depth, repeated, work, calls: new Map(), retriedBelow: false };
@@ -36,11 +44,12 @@
         return context;
     }
 
-    /** The context of the request with this id, while it runs. */
+    /** Returns the context of the running request with this id; undefined if there is none. */
     ofRequest(requestId: string | undefined): CallContext | undefined {
         return requestId === undefined ? undefined : this.#byRequest.get(requestId);
     }
 
+    /** Returns the context with this token; undefined if there is none. */
     find(token: string | undefined): CallContext | undefined {
         return token === undefined ? undefined : this.#byToken.get(token);
     }
--- a/src/gate/closereason.ts
+++ b/src/gate/closereason.ts
@@ -1,9 +1,12 @@
-/** Why a gate takes no new requests. */
+/** Defines the reasons for which a gate takes no new requests. */
 
 /**
- * `upstream`: the upstream itself said that it is leaving, and may take that back; `ending`: it said so, and its name does not come
- * back; `draining`: operators or an announcement said so; `removed`: there is no
- * such upstream any more; `host-leaving`: the platform's list of hosts; `stopping`: the daemon stops;
- * `evacuated`: operators have evacuated the hall.
+ * `upstream`: the upstream has announced that it is leaving, and may revoke that;
+ * `ending`: it has announced that it is leaving, and its name does not come back;
+ * `draining`: operators or an announcement drain it;
+ * `removed`: the upstream no longer exists;
+ * `host-leaving`: its host is leaving by the platform's list of hosts;
+ * `stopping`: the daemon is shutting down;
+ * `evacuated`: operators have evacuated the data hall.
  */
 export type CloseReason = "upstream" | "ending" | "draining" | "removed" | "host-leaving" | "stopping" | "evacuated";
--- a/src/gate/coldprobe.ts
+++ b/src/gate/coldprobe.ts
@@ -1,4 +1,4 @@
-/** Knows whether the upstream is cold, and asks it before it may be sent no more while that is not known. */
+/** Tracks whether the upstream is cold, and probes it before it is sent more requests than a cold upstream may get. */
 import { log } from "../log/log.js";
 import { ColdGuard } from "../policy/cold/coldguard.js";
 import type { ColdLimits } from "../policy/cold/coldlimits.js";
@@ -6,16 +6,19 @@
 
 const logger = log("gate");
 
-/** `mayAsk` spends one question from the budget; `ask` rejects when the upstream does not answer in time. */
+/** Dependencies that the gate provides. */
 type ColdProbeParts = {
     readonly upstream: string;
     readonly clock: Clock;
+    /** Returns the limits for cold upstreams of the service; undefined if it has none. */
     readonly limits: () => ColdLimits | undefined;
+    /** Takes one probe from the budget; returns false if the budget is used up. */
     readonly mayProbe: () => boolean;
+    /** Sends a probe; rejects if the upstream does not respond in time. */
     readonly probe: () => Promise<void>;
 };
 
-/** Questions at the same time share one. */
+/** Tracks whether one upstream is cold; concurrent callers share one probe. */
 export class ColdProbe {
     readonly guard: ColdGuard;
     #pending: Promise<void> | undefined;
@@ -24,17 +27,20 @@
         this.guard = new ColdGuard(parts.clock(), parts.limits());
     }
 
-    /** True while the upstream is cold, as it has said. */
+    /** True while the upstream is cold, by its own report. */
     get isCold(): boolean {
         return this.guard.isCold(this.parts.clock());
     }
 
-    /** Applies what the configuration says of the service. */
+    /** Applies the limits that are now configured for the service. */
     followService(): void {
         this.guard.setLimits(this.parts.limits());
     }
 
-    /** Records what the upstream has said when it was asked at `askedAt`. */
+    /**
+     * Records for how many more milliseconds the upstream is cold, by its response to a probe sent at `probedAt`;
+     * undefined if it did not report that.
+     */
     record(coldMs: number | undefined, probedAt: number): void {
         const wasCold = this.isCold;
         this.guard.recordAnswer(coldMs, probedAt, this.parts.clock());
@@ -44,7 +50,7 @@
         }
     }
 
-    /** Resolves at once, unless the upstream may be sent no more before it has said that it is not cold. */
+    /** Waits for a probe, if no more requests may be sent before the upstream has reported that it is not cold. */
     async waitUntilKnown(): Promise<void> {
         const probe = this.probeIfDue();
         const now = this.parts.clock();
@@ -53,7 +59,10 @@
         }
     }
 
-    /** Asks where it is time to, under the budget; resolves with the answer, or at once where nothing is asked. */
+    /**
+     * Sends a probe if one is due and the budget allows it. Resolves with the response, or at once if no probe is
+     * pending.
+     */
     async probeIfDue(): Promise<void> {
         const { clock, mayProbe } = this.parts;
         const now = clock();
@@ -70,7 +79,7 @@
         }
         catch (err) {
             const { upstream } = this.parts;
-            logger.warn("The upstream did not say whether it is cold.", err, { upstream });
+            logger.warn("The upstream did not report whether it is cold.", err, { upstream });
         }
     }
 }
--- a/src/gate/crashdetector.test.ts
+++ b/src/gate/crashdetector.test.ts
@@ -4,11 +4,14 @@
 import { sleep } from "../time/sleep.js";
 import { CrashDetector } from "./crashdetector.js";
 
-const [bad, good] = ["bad", "proper"] as RequestKey[] as [RequestKey, RequestKey];
+const [bad, good] = ["bad", "good"] as RequestKey[] as [RequestKey, RequestKey];
 const refused = (): Promise<void> => Promise.reject(Object.assign(new Error("refused"), { code: "ECONNREFUSED" }));
 const responds = (): Promise<void> => Promise.resolve();
 
-/** A watch of an upstream that answers questions so, and all that it has told and asked. */
+/**
+ * Creates a detector that probes with `probe`, and returns it with the requests that it reports and the number of its
+ * probes.
+ */
 const createDetector = (
     probe: () => Promise<void>,
     mayProbe = (): boolean => true,
@@ -28,7 +31,7 @@
     return { detector, reported, probeCount: () => probeCount };
 };
 
-test("crash watch: what broke off with its upstream is told once, by one question", async () => {
+test("crash detector: reports the runs that broke off in a crash once, after a single probe", async () => {
     const { detector, reported, probeCount } = createDetector(refused);
     [bad, good, bad].forEach(request => detector.recordBrokenRun(request, false));
     await sleep(30);
@@ -36,7 +39,7 @@
     assert.deepEqual([reported, probeCount()], [[[bad, good]], 1]);
 });
 
-test("crash watch: what broke off while the upstream lives is not told, also not at its next crash", async () => {
+test("crash detector: never reports runs that broke off while the upstream was alive, not even at its next crash", async () => {
     const { detector, reported } = createDetector(responds);
     detector.recordBrokenRun(bad, false);
     await sleep(30);
@@ -44,7 +47,7 @@
     assert.deepEqual(reported, []);
 });
 
-test("crash watch: connections that break off over and over ask no more than the budget has", async () => {
+test("crash detector: sends no more probes than the budget allows when connections break off repeatedly", async () => {
     let left = 3;
     const { detector, probeCount } = createDetector(responds, () => left-- > 0);
     for (let time = 0; time < 40; time++) {
@@ -56,7 +59,7 @@
     await sleep(60);
 });
 
-test("crash watch: a question that tells nothing is put a few times more", async () => {
+test("crash detector: repeats an inconclusive probe a limited number of times", async () => {
     const { detector, probeCount } = createDetector(() => Promise.reject(new Error("reset")));
     detector.recordBrokenRun(bad, false);
     await sleep(80);
--- a/src/gate/crashdetector.ts
+++ b/src/gate/crashdetector.ts
@@ -1,8 +1,8 @@
 /**
- * Finds out that the upstream has crashed, and with which requests under way.
+ * Detects that the upstream has crashed, and reports the requests that were in flight.
  *
- * Owns the question that settles whether a run that broke off broke with its upstream. What counts as under way is decided by
- * policy/failure/brokenruns.ts.
+ * Owns the probe that determines whether a run broke off because the upstream crashed. Which requests count as in
+ * flight is decided by policy/failure/brokenruns.ts.
  */
 import { randomBytes } from "node:crypto";
 import { isConnectError } from "../http/connecterror.js";
@@ -15,41 +15,41 @@
 
 const logger = log("gate");
 
-/** All runs of an upstream that crashes break off within that time, so that one question settles them; milliseconds. */
+/** All runs of a crashing upstream break off within this time, so that one probe covers them. */
 const PROBE_DELAY_MS = 5;
-/** How often it is looked whether there is budget for a question; milliseconds, a fraction of the time in which it comes. */
+/** Interval at which the probe budget is checked; a fraction of the time in which the budget gains a probe. */
 const BUDGET_POLL_MS = 25;
-/** In a row: an upstream that answers none of them does not tell. */
+/** Consecutive probes. If none of them is conclusive, a crash is neither confirmed nor ruled out. */
 const MAX_PROBES = 4;
-/** Enough that no two crashes have the same. */
+/** Long enough that no two crashes get the same id. */
 const CRASH_ID_BYTES = 6;
-/** In one log line. */
+/** Keeps the log line short when many requests were in flight. */
 const MAX_LOGGED_REQUESTS = 32;
 
-/**
- * `mayAsk` spends a question; `ask` asks the upstream anything, and rejects as its connection does; `onCrash` is told of a crash and what
- * was under way.
- */
+/** Dependencies and callbacks that the gate provides. */
 type DetectorParts = {
     readonly upstream: string;
     readonly clock: Clock;
+    /** Takes one probe from the budget; returns false if the budget is used up. */
     readonly mayProbe: () => boolean;
+    /** Sends the upstream a probe; rejects with the connection's error if the connection fails. */
     readonly probe: () => Promise<void>;
+    /** Called when a crash was detected, with the requests that were in flight. */
     readonly onCrash: (crashId: CrashId, requests: readonly RequestKey[]) => void;
 };
 
-/** Of one upstream, and of the next one in its place where that has the same name. */
+/** Detects the crashes of one upstream, and of a successor with the same name. */
 export class CrashDetector {
     readonly #brokenRuns = new BrokenRuns();
-    /** Of the crash that was found last; undefined while the upstream lives. */
+    /** The id of the last crash; undefined while the upstream responds. */
     #crashId: CrashId | undefined;
     #isProbing = false;
-    /** A run has broken off since the last question. */
+    /** True if a run has broken off since the last probe. */
     #isProbeNeeded = false;
 
     constructor(private readonly parts: DetectorParts) {}
 
-    /** Records a run that broke off, or that was called off before it had an answer. */
+    /** Records a run that broke off, or that was cancelled before it had a response. */
     recordBrokenRun(request: RequestKey | undefined, isCancelled: boolean): void {
         if (request === undefined) {
             return;
@@ -60,13 +60,13 @@
         }
     }
 
-    /** Records that the upstream has answered what was sent at this time. */
+    /** Records that the upstream has responded to a request sent at `sentAt`. */
     recordResponse(sentAt: number): void {
         this.#brokenRuns.lived(sentAt);
         this.#crashId = undefined;
     }
 
-    /** Records that nobody takes connections at the upstream's address, or that another upstream has it. */
+    /** Records that nothing accepts connections at the upstream's address, or that another upstream has it. */
     recordUnreachable(): void {
         const requests = this.#brokenRuns.takeUnderWay(this.parts.clock());
         if (requests.length === 0) {
@@ -74,7 +74,7 @@
         }
         this.#crashId ??= randomBytes(CRASH_ID_BYTES).toString("base64url") as CrashId;
         const { upstream, onCrash } = this.parts;
-        logger.change("The upstream has crashed with requests under way.", {
+        logger.change("The upstream crashed with requests in flight.", {
             upstream,
             crash: this.#crashId,
             underWay: requests.length,
@@ -83,7 +83,9 @@
         onCrash(this.#crashId, requests);
     }
 
-    /** What breaks off while a question is under way is settled by one more. */
+    /**
+     * Probes until a probe is conclusive. Runs that break off while a probe is in flight are covered by one more probe.
+     */
     async #probeUntilSettled(): Promise<void> {
         this.#isProbeNeeded = true;
         if (this.#isProbing) {
@@ -105,7 +107,10 @@
         }
     }
 
-    /** A connection that broke with the upstream may still be taken for the question; the next one needs a new one. */
+    /**
+     * The probe may still be sent on a connection that broke with the upstream. Its error is inconclusive then, and the
+     * next probe opens a new connection.
+     */
     async #probe(): Promise<void> {
         const sentAt = this.parts.clock();
         try {
@@ -118,7 +123,9 @@
                 return;
             }
             this.#isProbeNeeded = true;
-            logger.warn("Whether the upstream has crashed is not known.", err, { upstream: this.parts.upstream });
+            logger.warn("Could not determine whether the upstream has crashed.", err, {
+                upstream: this.parts.upstream,
+            });
         }
     }
 }
--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -1,9 +1,9 @@
 /**
- * The only way in to one upstream.
+ * Admits, queues and runs all requests to one upstream.
  *
- * Owns the upstream's client, its slots and queue; gatechecks.ts says what it refuses at once. Every refusal is a HopError whose
- * outcome is `not-run` exactly when the ledger or the upstream proves it. What is decided of a request stands in
- * policy/admission and policy/failure.
+ * Owns the upstream's HTTP client, slots and queue. The checks that refuse a request before it queues are in
+ * gatechecks.ts. Every refusal is a HopError, whose outcome is `not-run` exactly if the ledger or the upstream proves
+ * that the request has not run. The policies are in policy/admission and policy/failure.
  */
 import type { Upstream } from "../config/upstream.js";
 import { requestKeyOf } from "../dialect/requestkeyof.js";
@@ -31,7 +31,7 @@
 import { SlotQueue } from "./slotqueue.js";
 import { UpstreamEndpoint } from "./upstreamendpoint.js";
 
-/** A question of the pace holds a request up: half of the time for which its answer is believed. */
+/** Requests wait for a pace probe, so its timeout is only half of the time for which a pace report is fresh. */
 const PACE_PROBE_TIMEOUT_MS = 15;
 
 /** Serves the requests for one upstream. */
@@ -74,7 +74,7 @@
             sendRate,
         );
         this.#refusals = new GateRefusals(
-            more => this.note(more),
+            fields => this.note(fields),
             reason => parts.onHeldBack(upstream.service, reason),
         );
         this.#queue = new SlotQueue({
@@ -110,22 +110,22 @@
         return this.#refusals.count;
     }
 
-    /** True while no new requests are taken. */
+    /** True while the gate takes no new requests. */
     get isClosed(): boolean {
         return this.#checks.isClosed;
     }
 
-    /** Requests that run or wait. */
+    /** Number of requests that run or are queued. */
     get busy(): number {
         return this.#admission.running + this.#admission.waiting;
     }
 
-    /** Of the slots, above which the upstream was found to slow down; undefined while none is known. */
+    /** Fraction of the slots in use above which the upstream slows down (its knee); undefined while it is not known. */
     get learnedShare(): number | undefined {
         return this.#admission.learnedShare;
     }
 
-    /** Slots for work of siblings. */
+    /** Number of slots that can be offered to requests queued at sibling upstreams. */
     get free(): number {
         return this.#admission.free(this.parts.clock());
     }
@@ -134,24 +134,24 @@
         return this.#admission.waiting;
     }
 
-    /** The load as peers are told it. */
+    /** Returns the load report that peers receive. */
     report(): LoadReport {
         const now = this.parts.clock();
         const report = { ...this.#admission.report(now), pace: this.#checks.pace };
         return atLeast(report, this.#runner.meanAgeMs(now));
     }
 
-    /** Operators want nothing more to be sent here. */
+    /** True while operators have evacuated the upstream's data hall. */
     get isEvacuated(): boolean {
         return this.#checks.isClosedFor("evacuated");
     }
 
-    /** Requests a second that the upstream takes, as it states; undefined while it states no limit. */
+    /** Rate limit that the upstream states, in requests a second; undefined while it states none. */
     get limitPerSecond(): number | undefined {
         return this.#endpoint.signals.rateLimit.perSecond;
     }
 
-    /** Takes no new requests for a reason; what runs is finished, and so is what waits, unless it can or must be served elsewhere. */
+    /** Stops taking new requests. `evacuated` hands back all queued requests, `ending` those with another upstream. */
     close(reason: CloseReason): void {
         this.#checks.close(reason);
         if (reason === "evacuated" || reason === "ending") {
@@ -159,33 +159,33 @@
         }
     }
 
-    /** Takes a reason back; the gate takes new requests when none is left. */
+    /** Removes a reason for being closed; the gate takes new requests once none is left. */
     reopen(reason: CloseReason): void {
         this.#checks.reopen(reason);
     }
 
-    /** Acts on the finding that open connections of this daemon may carry nothing any more. */
+    /** Drops idle connections and aborts overdue requests, after a connection was found to be unresponsive. */
     suspectConnections(): void {
         this.#endpoint.client.destroyIdle();
         this.#runner.abortUnanswered(silentAfter(this.report().baseMs));
     }
 
-    /** True when the upstream has served the request well in its present life. */
+    /** Returns true if the upstream has served the request successfully in its present incarnation. */
     hasServed(request: RequestKey): boolean {
         return this.#runner.hasServed(request);
     }
 
-    /** Calls off what runs of a request, where it may run again. */
+    /** Aborts the running attempts of a request, unless it may run only once. */
     giveUp(request: RequestKey): void {
         this.#runner.cancel(request);
     }
 
-    /** Ends the connections to the upstream, after what is in flight. */
+    /** Closes the connections to the upstream after the requests in flight have ended. */
     end(): Promise<void> {
         return this.#endpoint.client.close();
     }
 
-    /** Serves a request; throws a HopError. */
+    /** Serves a request; throws a HopError if it is refused or fails. */
     async serve(call: GateCall): Promise<GateAnswer> {
         const { identity, clock, dialect } = this.parts;
         const request = new GateRequest(call, identity, clock(), requestKeyOf(call, dialect));
@@ -202,36 +202,36 @@
         }
     }
 
-    /** Asks the upstream's health endpoint, and acts on what it reports of leaving and of its load. */
+    /** Probes the upstream's health endpoint and applies what it reports: its load, and whether it is leaving. */
     askHealth(timeoutMs: number): Promise<void> {
         return this.#endpoint.healthProbe.probeIfAllowed(timeoutMs);
     }
 
-    /** Holds a slot for a sibling's request; false when none is free. */
+    /** Reserves a slot for a sibling's request; returns false if the gate is closed or no slot is free. */
     offer(id: string): boolean {
         return !this.isClosed && this.#queue.offers.create(id, this.parts.clock());
     }
 
-    /** Takes an offer back if it was not used. */
+    /** Releases the slot of an offer that was not used. */
     withdrawOffer(id: string): void {
         if (this.#queue.offers.withdraw(id)) {
             this.#queue.startNext();
         }
     }
 
-    /** Hands waiting requests back to their ingresses, one for each offer that a sibling has made. */
+    /** Hands queued requests back to their ingresses, one for each offered slot, and returns their number. */
     handBack(goTo: UpstreamName, offers: readonly string[]): number {
         return this.#queue.handBack(goTo, offers);
     }
 
-    /** The note of an answer, or of a refusal. */
-    note(more: Partial<AnswerNote> = {}): AnswerNote {
+    /** Creates the note that accompanies a response or a refusal. */
+    note(fields: Partial<AnswerNote> = {}): AnswerNote {
         return {
             ...this.parts.identity.note(this.parts.clock()),
-            report: more.report ?? this.report(),
+            report: fields.report ?? this.report(),
             limitPerSecond: this.limitPerSecond,
             ending: this.#checks.isClosedFor("ending") || undefined,
-            ...more,
+            ...fields,
         };
     }
 
--- a/src/gate/gatechecks.ts
+++ b/src/gate/gatechecks.ts
@@ -1,8 +1,8 @@
 /**
- * What a gate refuses before it waits for a slot, and what it knows of its upstream for that.
+ * Decides whether a gate refuses a request before it queues.
  *
- * Owns the reasons for which the gate is closed, the upstream's pace and the calls of its runs. What is decided by
- * them stands in policy/failure and policy/retry.
+ * Owns the reasons for which the gate is closed, the upstream's pace and the profile of the calls that its runs make.
+ * The policies are in policy/failure and policy/retry.
  */
 import type { RuleName } from "../ids/rulename.js";
 import type { ServiceName } from "../ids/servicename.js";
@@ -19,18 +19,19 @@
 
 const logger = log("gate");
 
-/** What the checks need of their gate; `ask` asks the upstream for its pace and rejects when it does not answer in time. */
+/** Dependencies that the gate provides. */
 type CheckParts = Pick<GateParts, "clock" | "ledger" | "mayAsk" | "repeatsLeft"> & {
     readonly upstream: string;
     readonly pace: Pace;
-    /** How long work on a rule takes at the usual pace, in milliseconds. */
+    /** Returns how long requests of a rule take at the upstream's usual pace, in milliseconds. */
     readonly workMs: (rule: RuleName | undefined) => number;
+    /** Asks the upstream for its pace; rejects if it does not respond in time. */
     readonly probe: () => Promise<void>;
-    /** Runs under way that are not the first of their request. */
+    /** Returns the number of repeats that are running. */
     readonly repeatsInFlight: () => number;
 };
 
-/** One for each gate. */
+/** Checks the requests of one gate before they queue. */
 export class GateChecks {
     readonly #paceProbe: PaceProbe;
     readonly #callProfile = new CallProfile();
@@ -41,7 +42,7 @@
         this.#paceProbe = new PaceProbe(parts);
     }
 
-    /** True while no new requests are taken. */
+    /** True while the gate takes no new requests. */
     get isClosed(): boolean {
         return this.#closeReasons.size > 0;
     }
@@ -50,17 +51,17 @@
         return this.#closeReasons.has(reason);
     }
 
-    /** True while the upstream is about to end as it, or its operators, have announced. */
+    /** True while the upstream is leaving, as announced by itself or by its operators. */
     get isUpstreamLeaving(): boolean {
         return (["upstream", "ending", "draining"] as const).some(reason => this.#closeReasons.has(reason));
     }
 
-    /** The upstream's last report of its pace; undefined of one that never reports. */
+    /** The pace that the upstream reported last; undefined if it never reports one. */
     get pace(): number | undefined {
-        return this.#paceProbe.last;
+        return this.#paceProbe.lastPace;
     }
 
-    /** Takes no new requests for a reason; what waits and runs is finished. */
+    /** Stops taking new requests for a reason; queued and running requests finish. */
     close(reason: CloseReason): void {
         if (!this.#closeReasons.has(reason)) {
             logger.change("The gate takes no new requests.", { upstream: this.parts.upstream, reason });
@@ -68,7 +69,7 @@
         this.#closeReasons.add(reason);
     }
 
-    /** Takes a reason back; the gate takes new requests when none is left. */
+    /** Removes a reason for being closed; the gate takes new requests once none is left. */
     reopen(reason: CloseReason): void {
         this.#closeReasons.delete(reason);
     }
@@ -77,22 +78,22 @@
         this.#paceProbe.record(pace);
     }
 
-    /** Asks the upstream for its pace, unless the budget is spent. */
+    /** Asks the upstream for its pace, unless the probe budget is used up. */
     refreshPace(): Promise<void> {
         return this.#paceProbe.refresh();
     }
 
-    /** Records what a run called, whatever became of it. */
+    /** Records the calls that a run made, whether or not it succeeded. */
     recordCalls(calls: ReadonlyMap<ServiceName, number>): void {
         this.#callProfile.observe(calls);
     }
 
-    /** Records that the upstream has answered a request. */
+    /** Records that the upstream has responded to a request. */
     recordResponse(): void {
         this.#fullness.served();
     }
 
-    /** Records that the upstream gave no answer, for a reason. */
+    /** Records that the upstream did not serve a request, and why. */
     recordFailure(reason: Reason): void {
         if (reason === "shed") {
             this.#fullness.turnedAway(this.parts.clock());
@@ -102,12 +103,18 @@
         }
     }
 
-    /** Why the request is refused: it belongs elsewhere, or the ledger does not let it run; undefined when it is not. */
+    /**
+     * Returns why the request is refused: it should be served elsewhere, or the ledger does not admit it. Returns
+     * undefined if it is not refused.
+     */
     async refusalReason(request: GateRequest): Promise<Reason | undefined> {
         return this.#immediateRefusal(request) ?? await this.#paceRefusal(request) ?? this.#ledgerRefusal(request);
     }
 
-    /** An upstream that is full gets what has no other way only: what it turns away counts as an arrival, and must be paid for. */
+    /**
+     * A full upstream receives only requests that can go nowhere else: a request that it sheds still counts as an
+     * arrival, and its retry costs retry budget.
+     */
     #immediateRefusal({ choices, call: { head: { arrival } } }: GateRequest): Reason | undefined {
         const { repeatsInFlight, repeatsLeft, clock } = this.parts;
         if (this.isClosed) {
--- a/src/gate/gateidentity.ts
+++ b/src/gate/gateidentity.ts
@@ -1,8 +1,8 @@
-/** Who a daemon is to its peers. */
+/** Identifies a daemon's incarnation to its peers. */
 import type { Incarnation } from "../ids/incarnation.js";
 import type { AnswerNote } from "../wire/answernote.js";
 
-/** This life's id, and the parts of a note that are the same for all gates of the daemon. */
+/** The id of this incarnation, and the fields of a note that are the same for all gates of the daemon. */
 export class GateIdentity {
     constructor(readonly incarnation: Incarnation, private readonly revision: () => number) {}
 
--- a/src/gate/gatelog.ts
+++ b/src/gate/gatelog.ts
@@ -1,4 +1,4 @@
-/** What a gate logs of requests; the ingress's lines have the same id. */
+/** Writes the gate's log lines about requests. The ingress's lines about the same request have the same id. */
 import type { Dialect } from "../dialect/dialect.js";
 import { HopError } from "../hop/hoperror.js";
 import { log } from "../log/log.js";
@@ -7,12 +7,12 @@
 
 const logger = log("gate");
 
-/** One line for each call. */
+/** Writes one log line for each request at a gate. */
 export class GateLog {
     constructor(private readonly upstream: string, private readonly dialect: Dialect) {}
 
     logResponse(request: GateRequest, status: number, queuedMs: number, tookMs: number, report: LoadReport): void {
-        logger.decision(this.#requestId(request), "The upstream has answered.", {
+        logger.decision(this.#requestId(request), "The upstream responded.", {
             try: request.call.head.id,
             status,
             arrival: request.call.head.arrival,
@@ -26,7 +26,7 @@
         const { outcome, reason, note } = err instanceof HopError
             ? err
             : { outcome: "unknown", reason: String(err), note: undefined };
-        logger.failure(this.#requestId(request), "The gate has no answer.", {
+        logger.failure(this.#requestId(request), "The gate did not serve the request.", {
             try: request.call.head.id,
             outcome,
             reason,
--- a/src/gate/gateparts.ts
+++ b/src/gate/gateparts.ts
@@ -1,4 +1,4 @@
-/** What a gate shares with the rest of its daemon. */
+/** Defines what a gate receives from its daemon. */
 import type { Dialect } from "../dialect/dialect.js";
 import type { Address } from "../ids/address.js";
 import type { CrashId } from "../ids/crashid.js";
@@ -13,11 +13,7 @@
 import type { CallContexts } from "./callcontexts.js";
 import type { GateIdentity } from "./gateidentity.js";
 
-/**
- * `localIp` is where connections go out from; `onChange` is called at each arrival and each end; `mayAsk` spends one
- * question from the budget of measuring; `onArrival` is called for each request that the upstream has
- * received; `repeatsLeft` says how many repeats of a service this daemon can still afford.
- */
+/** Dependencies of a gate; all gates of a daemon share them. */
 export type GateParts = {
     readonly clock: Clock;
     readonly ledger: Ledger;
@@ -25,30 +21,39 @@
     readonly identity: GateIdentity;
     readonly dialect: Dialect;
     readonly limit: LimitName;
-    /** Of their slots, where upstreams of the service were found to slow down; undefined while that is not known. */
+    /**
+     * Returns the knee usually found at a service's upstreams, as a fraction of their slots; undefined while it is
+     * unknown.
+     */
     readonly usualShare: (service: ServiceName) => number | undefined;
+    /** Local address from which connections to the upstream are opened. */
     readonly localIp: string;
+    /** Called when a request arrives at the gate, and when one ends. */
     readonly onChange: () => void;
+    /** Takes one pace probe from the budget; returns false if the budget is used up. */
     readonly mayAsk: () => boolean;
-    /** Spends one question whether the upstream has crashed. */
+    /** Takes one crash probe from the budget; returns false if the budget is used up. */
     readonly mayAskForCrash: () => boolean;
-    /** Told of a connection to the upstream that was found to carry nothing any more. */
+    /** Called when a connection to the upstream was found to be unresponsive. */
     readonly onSilent: (address: Address) => void;
+    /** Called for each request that the upstream has received. */
     readonly onArrival: (service: ServiceName, arrival: Arrival) => void;
+    /** Returns how many repeats of a service's requests this daemon can still afford. */
     readonly repeatsLeft: (service: ServiceName) => number;
-    /** Told of a crash of an upstream, and of the requests that were under way. */
+    /** Called when an upstream has crashed, with the requests that were in flight. */
     readonly onCrash: (service: ServiceName, crash: CrashId, requests: readonly RequestKey[]) => void;
-    /** Told of each request that is refused for the upstream's request rate. */
+    /** Called for each request that is refused because of the rate at which the upstream may be sent requests. */
     readonly onHeldBack: (service: ServiceName, reason: "cold" | "limited") => void;
-    /** Told that an upstream has said that it leaves for good. */
+    /** Called when an upstream has announced that it is leaving and that its name does not come back. */
     readonly onEnding: (upstream: UpstreamName) => void;
-    /** Told of each request that the upstream has served well. */
+    /** Called for each request that the upstream has served successfully. */
     readonly onServed: (request: RequestKey) => void;
-    /** For how long a request is quarantined yet, in milliseconds; undefined for one that is not. */
+    /** Returns for how many more milliseconds a request is quarantined; undefined if it is not. */
     readonly quarantinedForMs: (request: RequestKey | undefined) => number | undefined;
+    /** Returns the path of the service's health endpoint. */
     readonly healthPath: (service: ServiceName) => string;
-    /** What cold upstreams of a service take; undefined where they take as much as others. */
+    /** Returns the limits for cold upstreams of a service; undefined if the service has none. */
     readonly coldLimits: (service: ServiceName) => ColdLimits | undefined;
-    /** Spends one question whether an upstream is cold. */
+    /** Takes one cold probe from the budget; returns false if the budget is used up. */
     readonly mayAskForCold: () => boolean;
 };
--- a/src/gate/gaterefusals.ts
+++ b/src/gate/gaterefusals.ts
@@ -1,17 +1,20 @@
-/** Makes and counts a gate's refusals. */
+/** Creates and counts a gate's refusals. */
 import { HopError } from "../hop/hoperror.js";
 import type { Reason } from "../policy/retry/reason.js";
 import { reasons } from "../policy/retry/reasons.js";
 import type { AnswerNote } from "../wire/answernote.js";
 
 /**
- * The table of reasons says whether a refused request is proven not to have run; the ledger guarantees it. `onHeldBack` is told of those
- * that are refused for the upstream's request rate.
+ * Creates the error for a refused request. The table in policy/retry/reasons.ts states whether the reason proves that
+ * the request has not run; the ledger guarantees it.
  */
 export class GateRefusals {
     #count = 0;
 
-    /** `note` makes the note of an answer, with the gate's load as it is now. */
+    /**
+     * `createNote` creates a note with the gate's current load. `onHeldBack` is called for each request that is refused
+     * because of the rate at which the upstream may be sent requests.
+     */
     constructor(
         private readonly createNote: (fields: Partial<AnswerNote>) => AnswerNote,
         private readonly onHeldBack: (reason: "cold" | "limited") => void = () => {},
--- a/src/gate/gaterequest.ts
+++ b/src/gate/gaterequest.ts
@@ -1,4 +1,4 @@
-/** One request at a gate, from its arrival to its end. */
+/** Represents one request at a gate, from its arrival to its end. */
 import type { Priority } from "../config/priority.js";
 import type { GateCall } from "../hop/gatecall.js";
 import { HopError } from "../hop/hoperror.js";
@@ -10,20 +10,25 @@
 import type { Waiting } from "../policy/admission/waiting.js";
 import type { GateIdentity } from "./gateidentity.js";
 
-/** A `once` request must name this life of the gate and carry its clock; both deadlines are on that clock. */
+/**
+ * A request at a gate; times are milliseconds on the gate's clock. The constructor throws a HopError if the request
+ * names another incarnation of the gate, or if a `once` request lacks the incarnation or the reading of the gate's
+ * clock.
+ */
 export class GateRequest implements Waiting {
     readonly priority: Priority;
     readonly team: TeamName;
     readonly maxWaitMs: number;
-    /** When its caller's time is over. */
+    /** When the caller's time limit ends. */
     readonly deadline: number;
+    /** Until when the ledger keeps the entry of a `once` request. */
     readonly ledgerDeadline: number;
     readonly once: boolean;
     readonly arrivedAt: number;
     #resolve: () => void = () => {};
     #reject: (err: HopError) => void = () => {};
 
-    /** `key` is what it is known by when its caller sends it again, where that can be told. */
+    /** `key` identifies the request if its caller sends it again; undefined if that cannot be determined. */
     constructor(
         readonly call: GateCall,
         identity: GateIdentity,
@@ -50,21 +55,22 @@
         return this.call.rule;
     }
 
-    /** How many other upstreams the request could still go to. */
+    /** Number of other upstreams to which the request could still go. */
     get choices(): number {
         return this.call.head.choices;
     }
 
+    /** Number of these that are in the ingress's own data hall. */
     get nearChoices(): number {
         return this.call.head.nearChoices;
     }
 
-    /** False for a request that was handed back once already: it is not handed on again. */
+    /** False if the request was already handed back once: it is not handed back again. */
     get canHandBack(): boolean {
         return this.call.head.offer === undefined;
     }
 
-    /** Resolves when a slot is free for the request; rejects with a HopError when it is refused. */
+    /** Resolves when a slot is free for the request; rejects with a HopError if it is refused. */
     waitForSlot(): Promise<void> {
         return new Promise((resolve, reject) => {
             this.#resolve = resolve;
@@ -72,17 +78,20 @@
         });
     }
 
-    /** Ends its wait: a slot is free. */
+    /** Ends the wait for a slot: the request may run. */
     grantSlot(): void {
         this.#resolve();
     }
 
-    /** Ends its wait: it does not run here. */
+    /** Ends the wait for a slot: the request does not run here. */
     refuse(err: HopError): void {
         this.#reject(err);
     }
 
-    /** Aborts a repeatable request whose caller has gone; a `once` request that runs is let finish. */
+    /**
+     * Returns the caller's cancel signal for a repeatable request. Returns undefined for a `once` request, which runs
+     * to its end even if its caller has left.
+     */
     upstreamCancel(): Cancel | undefined {
         return this.once ? undefined : this.call.cancel;
     }
--- a/src/gate/healthprobe.ts
+++ b/src/gate/healthprobe.ts
@@ -1,7 +1,8 @@
 /**
- * Questions to the upstream's health endpoint.
+ * Sends probes to the upstream's health endpoint.
  *
- * Each counts as a request against a limit that the upstream states, so that none is asked then but where no request is sent.
+ * Each probe counts against the rate limit that the upstream states. While a limit is stated, no probes of load are
+ * sent, and health checks only if they displace no request.
  */
 import type { Dialect } from "../dialect/dialect.js";
 import type { ServiceName } from "../ids/servicename.js";
@@ -9,28 +10,31 @@
 import type { Clock } from "../time/clock.js";
 import type { UpstreamClient } from "./upstreamclient.js";
 
-/** What the questions need of their gate. */
+/** Dependencies that the gate provides. */
 type ProbeParts = {
     readonly service: ServiceName;
     readonly clock: Clock;
     readonly dialect: Dialect;
     readonly client: UpstreamClient;
     readonly rateLimit: RequestLimit;
-    /** Told for how long the upstream says that it is cold, asked at a time. */
+    /**
+     * Called with the remaining cold time that the upstream reported, in milliseconds, and the time at which the probe
+     * was sent.
+     */
     readonly onColdReport: (coldMs: number | undefined, sentAt: number) => void;
     readonly healthPath: (service: ServiceName) => string;
 };
 
-/** One for each gate. */
+/** Probes the health endpoint of one upstream. */
 export class HealthProbe {
     constructor(private readonly parts: ProbeParts) {}
 
-    /** False while the upstream states a limit: its answers to requests say how it works. */
+    /** False while the upstream states a rate limit: its responses to requests report its load then. */
     get mayProbeLoad(): boolean {
         return this.parts.rateLimit.perSecond === undefined;
     }
 
-    /** Asks and acts on the answer; rejects when none comes in time. */
+    /** Sends a probe and applies the response; rejects if none arrives in time. */
     async probe(timeoutMs: number): Promise<void> {
         const { clock, client, rateLimit, dialect, onColdReport, healthPath, service } = this.parts;
         const sentAt = clock();
@@ -39,7 +43,7 @@
         onColdReport(dialect.coldMs(headers), sentAt);
     }
 
-    /** Asks unless that would take the place of a request; resolves without an answer then. */
+    /** Sends a probe, unless that would displace a request: then it resolves without a response. */
     async probeIfAllowed(timeoutMs: number): Promise<void> {
         if (this.parts.rateLimit.mayAskHealth(this.parts.clock())) {
             await this.probe(timeoutMs);
--- a/src/gate/localhop.ts
+++ b/src/gate/localhop.ts
@@ -1,4 +1,4 @@
-/** The way to a gate in the same process. */
+/** Connects an ingress to a gate in the same process. */
 import type { GateAnswer } from "../hop/gateanswer.js";
 import type { GateCall } from "../hop/gatecall.js";
 import { Hop } from "../hop/hop.js";
@@ -10,7 +10,10 @@
 import type { Gate } from "./gate.js";
 import type { GateIdentity } from "./gateidentity.js";
 
-/** Calls the gate directly, with its own clock and life; a gate is replaced when its settings change. */
+/**
+ * Calls the gate directly, with the gate's own clock and incarnation. Looks the gate up for each request, because a
+ * gate is replaced when its settings change.
+ */
 export class LocalHop extends Hop {
     constructor(
         private readonly gate: () => Gate | undefined,
--- a/src/gate/offers.ts
+++ b/src/gate/offers.ts
@@ -1,14 +1,14 @@
-/** Slots that a gate keeps for requests that a sibling hands back. */
+/** Reserves slots of a gate for requests that a sibling hands back. */
 import type { Admission } from "../policy/admission/admission.js";
 import type { GateRequest } from "./gaterequest.js";
 
-/** Each offer holds one slot until it is used or withdrawn. */
+/** Tracks the open offers; each reserves one slot until it is used or withdrawn. */
 export class Offers {
     readonly #open = new Set<string>();
 
     constructor(private readonly admission: Admission<GateRequest>) {}
 
-    /** Holds a slot; false when none is free. */
+    /** Reserves a slot; returns false if none is free. */
     create(id: string, now: number): boolean {
         if (!this.admission.hold(now)) {
             return false;
@@ -17,12 +17,12 @@
         return true;
     }
 
-    /** Uses an offer; the slot stays held until the admission takes it. */
+    /** Uses an offer, and returns false if it is not open. Its slot stays reserved until the admission takes it. */
     take(id: string | undefined): boolean {
         return id !== undefined && this.#open.delete(id);
     }
 
-    /** Gives the slot back; false when the offer was used. */
+    /** Releases the offer's slot; returns false if the offer is not open, as after its use. */
     withdraw(id: string): boolean {
         if (!this.#open.delete(id)) {
             return false;
--- a/src/gate/paceprobe.test.ts
+++ b/src/gate/paceprobe.test.ts
@@ -5,7 +5,10 @@
 
 const LATER_MS = 1000;
 
-/** A watch whose questions are answered with `told`, and the process stands still for `stallMs` before it reads on. */
+/**
+ * Creates a probe to which the upstream reports the pace `reported`, or does not respond if that is undefined. The
+ * process stalls for `stallMs` before it handles the response.
+ */
 const createProbe = (reported: number | undefined, stallMs: number): PaceProbe => {
     let now = 0;
     const probe: PaceProbe = new PaceProbe({
@@ -14,7 +17,7 @@
         mayAsk: () => true,
         probe: async () => {
             if (reported === undefined) {
-                throw new Error("no word");
+                throw new Error("no response");
             }
             probe.record(reported);
             now += stallMs;
@@ -25,12 +28,12 @@
     return probe;
 };
 
-test("pace: an answer to this request's question is believed, however long the process stood still", async () => {
+test("pace probe: a response to the request's own probe is fresh, however long the process stalled", async () => {
     assert.equal(await createProbe(4, 0).shouldRedirect({ choices: 1, workMs: 0 }), true);
     assert.equal(await createProbe(4, LATER_MS).shouldRedirect({ choices: 1, workMs: 0 }), true);
     assert.equal(await createProbe(1, LATER_MS).shouldRedirect({ choices: 1, workMs: 0 }), false);
 });
 
-test("pace: without an answer nothing is held against the upstream", async () => {
+test("pace probe: an upstream that does not respond is not treated as slow", async () => {
     assert.equal(await createProbe(undefined, 0).shouldRedirect({ choices: 1, workMs: 0 }), false);
 });
--- a/src/gate/paceprobe.ts
+++ b/src/gate/paceprobe.ts
@@ -1,4 +1,4 @@
-/** Knows the pace of the upstream, and asks the upstream when its last report is too old to decide by. */
+/** Tracks the pace of the upstream, and asks the upstream for it if the last report is stale. */
 import { log } from "../log/log.js";
 import type { Pace } from "../policy/failure/pace.js";
 import { checkPace } from "../policy/failure/pacecheck.js";
@@ -6,15 +6,17 @@
 
 const logger = log("gate");
 
-/** `mayAsk` spends one question from the budget; `ask` rejects when the upstream does not answer in time. */
+/** Dependencies that the gate provides. */
 type PaceProbeParts = {
     readonly clock: Clock;
     readonly pace: Pace;
+    /** Takes one probe from the budget; returns false if the budget is used up. */
     readonly mayAsk: () => boolean;
+    /** Asks the upstream for its pace; rejects if it does not respond in time. */
     readonly probe: () => Promise<void>;
 };
 
-/** Questions at the same time share one. */
+/** Tracks the pace of one upstream; concurrent callers share one probe. */
 export class PaceProbe {
     readonly #pace: Pace;
     #pending: Promise<boolean> | undefined;
@@ -23,8 +25,8 @@
         this.#pace = parts.pace;
     }
 
-    /** The last report; undefined of an upstream that never reports. */
-    get last(): number | undefined {
+    /** The pace that was reported last; undefined if the upstream never reports one. */
+    get lastPace(): number | undefined {
         return this.#pace.last;
     }
 
@@ -32,7 +34,7 @@
         this.#pace.observe(pace, this.parts.clock());
     }
 
-    /** True when the request should go elsewhere, by a report that is fresh. */
+    /** Returns true if a fresh report shows that the upstream is slow and the request should go elsewhere. */
     async shouldRedirect(request: Parameters<typeof checkPace>[1]): Promise<boolean> {
         const decision = checkPace(this.#pace, request, this.parts.clock());
         if (decision !== "ask") {
@@ -41,12 +43,12 @@
         return await this.#probeIfAllowed() && request.choices > 0;
     }
 
-    /** Asks the upstream, unless the budget is spent. */
+    /** Asks the upstream for its pace, unless the probe budget is used up. */
     async refresh(): Promise<void> {
         await this.#probeIfAllowed();
     }
 
-    /** Resolves with false when the budget is spent. */
+    /** Resolves with whether the upstream reports to be slow; with false if the probe budget is used up. */
     async #probeIfAllowed(): Promise<boolean> {
         if (this.#pending === undefined && !this.parts.mayAsk()) {
             return false;
@@ -55,7 +57,10 @@
         return await this.#pending;
     }
 
-    /** Resolves with whether the answer reports slow work; judged by the time of the question, so that a stall here ages no answer. */
+    /**
+     * Resolves with whether the upstream reports to be slow. Any report since the probe was sent counts as fresh, so
+     * that a stall of this process does not make the response stale.
+     */
     async #probe(): Promise<boolean> {
         const sentAt = this.parts.clock();
         try {
@@ -63,7 +68,7 @@
             return this.#pace.isSlowSince(sentAt);
         }
         catch (err) {
-            logger.warn("The upstream did not report its pace.", err);
+            logger.warn("The upstream did not report its pace; it is not treated as slow.", err);
             return false;
         }
         finally {
--- a/src/gate/requestrunner.ts
+++ b/src/gate/requestrunner.ts
@@ -1,7 +1,8 @@
 /**
- * Runs requests at a gate's upstream that have a slot.
+ * Runs requests that have a slot at a gate's upstream.
  *
- * Owns what is under way there, and the watch for an upstream that crashes. Each error is a HopError that says what is proven.
+ * Owns the requests in flight and the detection of crashes. Every failure is a HopError that states what is proven
+ * about the request.
  */
 import type { Upstream } from "../config/upstream.js";
 import type { GateAnswer } from "../hop/gateanswer.js";
@@ -27,16 +28,16 @@
 
 const logger = log("gate");
 
-/** An upstream on the same host takes a connection within milliseconds, or refuses it. */
+/** An upstream on the same host accepts or refuses a connection within milliseconds. */
 const CRASH_PROBE_TIMEOUT_MS = 100;
 
 /**
- * Requests that are known to have been served well; some 200 KB at the most. What is asked often enough to be under way at three crashes
- * at once, as when a rack loses power, is among them.
+ * Number of remembered requests that were served successfully; at most about 200 KB. A request that is frequent enough
+ * to be in flight at three simultaneous crashes, as when a rack loses power, is among them.
  */
 const MAX_SERVED_KEYS = 2048;
 
-/** What the gate lends. */
+/** Dependencies that the gate provides. */
 type RunnerParts = GateParts & {
     readonly endpoint: UpstreamEndpoint;
     readonly levels: LevelClock;
@@ -48,11 +49,14 @@
     readonly createNote: (fields: Partial<AnswerNote>) => AnswerNote;
 };
 
-/** One for each gate. */
+/** Runs the requests of one gate. */
 export class RequestRunner {
     readonly #activeRuns = new ActiveRuns();
     readonly #crashDetector: CrashDetector;
-    /** What the upstream has served well in this life does not crash it; a new life may be of another release, and has a gate of its own. */
+    /**
+     * A request that the upstream has served successfully in this incarnation does not crash it. Another incarnation
+     * may run another release; it gets a gate of its own.
+     */
     readonly #servedKeys = new RecentSet<RequestKey>(MAX_SERVED_KEYS);
 
     constructor(private readonly upstream: Upstream, private readonly parts: RunnerParts) {
@@ -63,38 +67,38 @@
         return this.#activeRuns.finished;
     }
 
-    /** Those under way that are not the first of their request. */
+    /** Number of repeats that are running. */
     get repeatCount(): number {
         return this.#activeRuns.repeatCount;
     }
 
-    /** How long what runs has run, on average; 0 while nothing runs. */
+    /** Returns how long the running requests have run on average, in milliseconds; 0 if none runs. */
     meanAgeMs(now: number): number {
         return this.#activeRuns.meanAgeMs(now);
     }
 
-    /** Has each given up that has no answer so long after its start. */
+    /** Aborts each run that has no response `afterMs` milliseconds after its start. */
     abortUnanswered(afterMs: number): void {
         this.#activeRuns.abortUnanswered(afterMs);
     }
 
-    /** True when the upstream has served the request well. */
+    /** Returns true if the upstream has served the request successfully. */
     hasServed(request: RequestKey): boolean {
         return this.#servedKeys.has(request);
     }
 
-    /** Calls off what runs of a request that may run again elsewhere: its upstream is to be spared. */
+    /** Aborts the runs of a request that crashes upstreams, unless it may run only once. */
     cancel(request: RequestKey): void {
         this.#activeRuns.cancel(request);
     }
 
-    /** The refusal of a quarantined request; undefined for any other. */
+    /** Returns the refusal of a quarantined request; undefined for any other request. */
     quarantineRefusal({ key }: GateRequest): HopError | undefined {
         const retryAfterMs = this.parts.quarantinedForMs(key);
         return retryAfterMs === undefined ? undefined : this.parts.refusals.create("quarantined", { retryAfterMs });
     }
 
-    /** Runs a request whose slot is free; throws a HopError. */
+    /** Runs a request that has a slot; throws a HopError if it does not get a response. */
     async run(request: GateRequest): Promise<GateAnswer> {
         const { clock, checks, queue, refusals } = this.parts;
         const refusal = this.quarantineRefusal(request);
@@ -127,7 +131,7 @@
         }
     }
 
-    /** `pace` is that of the upstream when the run begins. */
+    /** `pace` is the upstream's pace when the run starts. */
     #createRun(request: GateRequest, pace: number | undefined): UpstreamRun {
         const { checks, queue, onChange } = this.parts;
         const onEnd = (
@@ -154,7 +158,7 @@
         return run;
     }
 
-    /** One that ends as it had announced does not crash. */
+    /** The end of an upstream that has announced that it is leaving is not a crash. */
     #createCrashDetector(): CrashDetector {
         const { clock, onCrash, endpoint, checks, mayAskForCrash: mayProbe } = this.parts;
         const { name: upstream, service } = this.upstream;
@@ -175,11 +179,13 @@
         this.parts.onArrival(this.upstream.service, head.arrival);
     }
 
-    /** `arrived`: the upstream has received the request. */
+    /** `hasArrived`: the upstream has received the request. */
     #toHopError(err: unknown, hasArrived: boolean): HopError {
         const reason = err instanceof UpstreamError ? err.reason : "gate-error";
         if (reason === "gate-error") {
-            logger.warn("A request failed at its gate.", err, { upstream: this.upstream.name });
+            logger.warn("A request failed in its gate with an unexpected error; whether it has run is unknown.", err, {
+                upstream: this.upstream.name,
+            });
         }
         this.parts.checks.recordFailure(reason);
         return this.parts.refusals.create(reason, { arrived: hasArrived });
--- a/src/gate/slotqueue.test.ts
+++ b/src/gate/slotqueue.test.ts
@@ -19,7 +19,7 @@
 const WORK_MS = 220;
 const clock = (): number => performance.now();
 
-/** A queue before an upstream that has turned slow, and reports `paces` when it is asked, one after the other. */
+/** Creates a queue in front of a slow upstream that reports `paces`, one for each probe. */
 const createQueue = (paces: number[]): { readonly queue: SlotQueue; readonly probeCount: () => number; } => {
     const pace = new Pace();
     const admission = new Admission<GateRequest>(
@@ -63,7 +63,7 @@
     return new GateRequest({ head, cancel: new Cancel() } as never, { incarnation: "i" } as never, clock());
 };
 
-test("slot queue: while the upstream is slow it asks again and again, and what waits begins when it is not any more", async () => {
+test("slot queue: probes a slow upstream repeatedly, and starts queued requests once it is no longer slow", async () => {
     const { queue, probeCount } = createQueue([5, 5, 1]);
     const startedAt = clock();
     await Promise.all([queue.enter(createRequest()), queue.enter(createRequest())]);
--- a/src/gate/slotqueue.ts
+++ b/src/gate/slotqueue.ts
@@ -1,7 +1,8 @@
 /**
- * The queue in front of one gate's slots: who runs, who waits, and what becomes of those who never get a slot.
+ * Queues requests for the slots of one gate.
  *
- * Carries out what policy/admission decides; owns the timers of those who wait and the slots held for siblings' requests.
+ * Applies the decisions of policy/admission. Owns the timers of queued requests and the slots that are reserved for
+ * siblings' requests.
  */
 import type { UpstreamName } from "../ids/upstreamname.js";
 import type { Ledger } from "../ledger/ledger.js";
@@ -14,37 +15,43 @@
 import type { GateRequest } from "./gaterequest.js";
 import { Offers } from "./offers.js";
 
-/** What the queue shares with its gate. */
+/** Dependencies that the gate provides. */
 type QueueParts = {
     readonly clock: Clock;
     readonly ledger: Ledger;
     readonly admission: Admission<GateRequest>;
     readonly refusals: GateRefusals;
-    /** Asks the upstream for its pace, unless the budget is spent. */
+    /** Asks the upstream for its pace, unless the probe budget is used up. */
     readonly refreshPace: () => Promise<void>;
-    /** Asks the upstream whether it is cold, where it is time to; resolves with the answer. */
+    /** Asks the upstream whether it is cold if a probe is due; resolves with the response. */
     readonly probeCold: () => Promise<void>;
 };
 
-/** A report of the pace that was just asked for is still believed at the next question; in milliseconds. */
+/** Shorter than the time for which a pace report is fresh, so that a report lasts until the next probe. */
 const PACE_PROBE_INTERVAL_MS = 20;
 
-/** What may not be sent yet is looked at again at the latest after this, in milliseconds: the upstream may take more by then. */
+/**
+ * Longest interval at which the send rate is checked again while requests are held back: the upstream may accept more
+ * by then.
+ */
 const MAX_RATE_CHECK_INTERVAL_MS = 50;
 
-/** Every refusal is `not-run`, and the ledger sees to it that it stays so. */
+/**
+ * Queues requests until they may run. The outcome of every refusal is `not-run`; the ledger prevents a refused request
+ * from running later.
+ */
 export class SlotQueue {
     readonly offers: Offers;
-    /** Runs while a slot is kept free until the upstream works faster. */
+    /** Set while a slot is kept free until the upstream is faster. */
     #paceTimer: NodeJS.Timeout | undefined;
-    /** Runs while what waits has a slot, and the upstream may be sent no more yet. */
+    /** Set while a queued request has a slot but the upstream may not be sent more yet. */
     #rateTimer: NodeJS.Timeout | undefined;
 
     constructor(private readonly parts: QueueParts) {
         this.offers = new Offers(parts.admission);
     }
 
-    /** Resolves when the request may run; rejects with a HopError when it is refused. */
+    /** Resolves when the request may run; rejects with a HopError if it is refused. */
     async enter(request: GateRequest): Promise<void> {
         const { admission, clock, refusals } = this.parts;
         const verdict = admission.arrive(request, clock(), this.offers.take(request.call.head.offer));
@@ -60,7 +67,9 @@
         await this.#waitForSlot(request);
     }
 
-    /** False when the request's deadline has passed or it was revoked meanwhile; then its slot is free again. */
+    /**
+     * Returns false and frees the slot if the request's deadline has passed, or if it was revoked while it was queued.
+     */
     start(request: GateRequest): boolean {
         const { clock, ledger } = this.parts;
         const now = clock();
@@ -77,14 +86,17 @@
         this.release(undefined);
     }
 
-    /** Records that a request has ended, and lets the next ones run. */
+    /**
+     * Records that a request has ended and starts the next ones. `serviceMs` is undefined if the run shows no service
+     * time of the upstream.
+     */
     release(serviceMs: number | undefined, ended?: Ended): void {
         const { admission, clock } = this.parts;
         admission.finish(serviceMs, ended, clock());
         this.startNext();
     }
 
-    /** Lets run what may run now. */
+    /** Starts the queued requests that may run now, and refuses those whose deadline has passed. */
     startNext(): void {
         const { admission, clock, refusals } = this.parts;
         const { run, late } = admission.next(clock());
@@ -98,7 +110,10 @@
         this.#scheduleChecks();
     }
 
-    /** Hands waiting requests back to their ingresses, one for each offer that a sibling has made. */
+    /**
+     * Hands queued requests back to their ingresses, one for each slot that the sibling `goTo` offers, and returns
+     * their number.
+     */
     handBack(goTo: UpstreamName, offers: readonly string[]): number {
         const { admission, refusals } = this.parts;
         const ids = [...offers];
@@ -110,7 +125,7 @@
         return handedBack.length;
     }
 
-    /** Hands what waits and is picked back to its ingresses: it belongs elsewhere. */
+    /** Hands back the queued requests for which `shouldRedirect` returns true, to be served elsewhere. */
     redirect(shouldRedirect: (request: GateRequest) => boolean): void {
         const { admission, refusals } = this.parts;
         for (const request of admission.handBack(Infinity, shouldRedirect)) {
@@ -119,7 +134,9 @@
         }
     }
 
-    /** Refuses what waits and is not served in time any more, since the upstream takes less than it did. */
+    /**
+     * Refuses the queued requests that can no longer be served in time, after the upstream has lowered its rate limit.
+     */
     reevaluate(): void {
         const { admission, clock, refusals } = this.parts;
         for (const { item, refusal: { reason, retryAfterMs } } of admission.reconsider(clock())) {
@@ -128,7 +145,7 @@
         }
     }
 
-    /** Leaves a tombstone, so that a request that was refused can't run later. */
+    /** Leaves a tombstone in the ledger, so that a refused `once` request cannot run later. */
     revoke(request: GateRequest): void {
         if (request.once) {
             this.parts.ledger.revoke(request.call.head.id, request.ledgerDeadline, this.parts.clock());
@@ -157,7 +174,10 @@
         this.#scheduleRateCheck();
     }
 
-    /** Looks again when the next one may be sent, or when the upstream has said how cold it is. */
+    /**
+     * Starts queued requests again when the send rate allows the next one, or when a cold probe shows that it does
+     * already.
+     */
     #scheduleRateCheck(): void {
         const { admission, clock, probeCold } = this.parts;
         const opensAt = admission.opensAt(clock());
@@ -175,7 +195,10 @@
         });
     }
 
-    /** Asks again and again while a slot is kept free; when nothing is known any more, what waits runs. */
+    /**
+     * Probes the pace repeatedly while a slot is kept free. Queued requests run once no fresh report shows a slow
+     * upstream.
+     */
     #schedulePaceProbe(): void {
         const { admission, clock, refreshPace } = this.parts;
         if (this.#paceTimer !== undefined || !admission.isWaitingForPace(clock())) {
@@ -189,7 +212,7 @@
         }, PACE_PROBE_INTERVAL_MS);
     }
 
-    /** Refuses a request that still waits: it has not run. */
+    /** Refuses a request that is still queued, and thus has not run. */
     #refuseQueued(request: GateRequest, reason: Reason, retryAfterMs?: number): void {
         if (this.parts.admission.leave(request)) {
             this.revoke(request);
--- a/src/gate/upstreamclient.ts
+++ b/src/gate/upstreamclient.ts
@@ -1,4 +1,4 @@
-/** The one client of an upstream: HTTP/1.1 with no retries and no pipelining. */
+/** Sends HTTP/1.1 requests to one upstream, without retries or pipelining. */
 import type { Readable } from "node:stream";
 import type { Upstream } from "../config/upstream.js";
 import type { Dialect } from "../dialect/dialect.js";
@@ -12,35 +12,36 @@
 import { UpstreamConnection } from "./upstreamconnection.js";
 import { UpstreamError } from "./upstreamerror.js";
 
-/** The upstream's answer as it comes. */
+/** A response whose body may still be arriving. */
 type UpstreamResponse = { readonly status: number; readonly headers: HttpHeaders; readonly body: Readable; };
 
-/** Where and how to reach the upstream. */
+/** Settings and callbacks of the client. */
 type ClientOptions = {
+    /** Local address from which connections are opened. */
     readonly localIp: string;
     readonly dialect: Dialect;
-    /** Called with the head of each answer that is the upstream's own, whatever its status. */
+    /** Called with the headers of each response that the upstream itself has sent, whatever its status. */
     readonly onResponse: (
         headers: HttpHeaders,
         exchange: { readonly sentAt: number; readonly isHealth: boolean; },
     ) => void;
     readonly clock: Clock;
-    /** Told of a connection that carries nothing any more, and has been ended. */
+    /** Called after an unresponsive connection was closed. */
     readonly onSilent: (address: Address) => void;
 };
 
-/** Sends requests; the error of one that fails says what is proven. */
+/** Sends requests to one upstream. The error of a failed request states what is proven about it. */
 export class UpstreamClient {
-    /** The one that was used last is used first, so that those not needed end. */
+    /** The most recently used connection is reused first, so that those not needed time out. */
     readonly #idle: UpstreamConnection[] = [];
     readonly #connections = new Set<UpstreamConnection>();
     #isClosed = false;
-    /** When the newest request was sent that the upstream has answered. */
+    /** When the newest request was sent to which the upstream has responded. */
     #lastAnsweredSentAt = -Infinity;
 
     constructor(readonly upstream: Upstream, private readonly options: ClientOptions) {}
 
-    /** Sends a request; throws an UpstreamError. An answer that is not to this request is an error. */
+    /** Sends a request; throws an UpstreamError if it fails, or if the response belongs to another request. */
     async send(call: GateCall, headers: HttpHeaders, cancel: Cancel | undefined): Promise<UpstreamResponse> {
         const { dialect } = this.options;
         const connection = this.#acquire();
@@ -67,7 +68,7 @@
         return response;
     }
 
-    /** Asks the upstream's health endpoint. Throws what the connection throws. */
+    /** Sends a request to the upstream's health endpoint; throws the connection's error. */
     async probeHealth(
         path: string,
         timeoutMs: number,
@@ -93,14 +94,15 @@
         }
     }
 
-    /** Ends connections that carry nothing now: they may have gone silent. */
+    /** Destroys idle connections, because they may be unresponsive. */
     destroyIdle(): void {
         this.#idle.splice(0).forEach(connection => this.#discard(connection));
     }
 
     /**
-     * Records that a request had no answer in all its time. Where the upstream has answered one that was sent later, its connection
-     * carried nothing, and the idle ones, which are older than that answer, go too.
+     * Records that a request had no response within its time limit. If the upstream has responded to a request that was
+     * sent later, the connection was unresponsive. The idle connections are older than that response, and are destroyed
+     * too.
      */
     recordUnanswered(sentAt: number): void {
         if (this.#lastAnsweredSentAt > sentAt) {
@@ -130,7 +132,10 @@
         }
     }
 
-    /** An answer too many would shift all that follow: the connection is not used again. */
+    /**
+     * Destroys a connection. After a surplus response each later request on it would get the response of the one
+     * before.
+     */
     #discard(connection: UpstreamConnection): void {
         this.#connections.delete(connection);
         connection.destroy();
--- a/src/gate/upstreamconnection.ts
+++ b/src/gate/upstreamconnection.ts
@@ -1,19 +1,19 @@
-/** One connection to an upstream, which carries one request at a time. */
+/** Manages one connection to an upstream; it carries one request at a time. */
 import { Transform, type TransformCallback } from "node:stream";
 import { buildConnector, Client, type Dispatcher } from "undici";
 import type { Address } from "../ids/address.js";
 import { isFramed } from "./isframed.js";
 
-/** Shorter than servers usually keep an idle connection, so that they seldom close one that is just taken. */
+/** Shorter than servers usually keep idle connections open, so that they seldom close one that is just being reused. */
 const KEEP_ALIVE_MS = 2000;
-/** Taken off what an upstream promises to keep an idle connection. */
+/** Subtracted from the keep-alive time that an upstream states. */
 const KEEP_ALIVE_MARGIN_MS = 1000;
-/** The longest promise of an upstream that is believed, in milliseconds. */
+/** Upper bound of the keep-alive time that an upstream states. */
 const MAX_KEEP_ALIVE_MS = 30_000;
-/** An upstream on the same host accepts within milliseconds, unless it is full. */
+/** An upstream on the same host accepts connections within milliseconds, unless it is full. */
 const CONNECT_TIMEOUT_MS = 1000;
 
-/** Reconnects by itself after its end; knows whether the last end was a reset. */
+/** Reconnects when its connection has ended, and tracks whether the last connection was reset. */
 export class UpstreamConnection {
     readonly #client: Client;
     #wasReset = false;
@@ -43,27 +43,27 @@
     }
 
     /**
-     * The body, with an end that can be trusted: one without a length ends with its connection, and after a reset
-     * that is no end.
+     * Returns the body, which fails if it is incomplete. A body without a length ends with its connection, and is
+     * incomplete if the connection was reset.
      */
     checkedBody({ body, headers }: Dispatcher.ResponseData): Dispatcher.ResponseData["body"] | Transform {
         if (isFramed(headers)) {
             return body;
         }
         const flush = (callback: TransformCallback): void =>
-            callback(this.#wasReset ? new Error("the connection was reset before the end") : null);
+            callback(this.#wasReset ? new Error("the connection was reset before the end of the response body") : null);
         const checked = new Transform({ transform: (chunk, _encoding, callback) => callback(null, chunk), flush });
         body.on("error", err => checked.destroy(err));
         checked.on("close", () => body.destroy());
         return body.pipe(checked);
     }
 
-    /** Ends after what is in flight. */
+    /** Closes the connection after the request in flight has ended. */
     close(): Promise<void> {
         return this.#client.close();
     }
 
-    /** Cuts it. */
+    /** Closes the connection at once. */
     destroy(): void {
         void this.#client.destroy();
     }
--- a/src/gate/upstreamendpoint.ts
+++ b/src/gate/upstreamendpoint.ts
@@ -1,7 +1,7 @@
 /**
- * What passes between a gate and its upstream besides the runs: the upstream's notices in its answers, and the gate's questions.
+ * Connects a gate to its upstream: requests, health probes, and what the upstream reports in its responses.
  *
- * Owns the client, and the rate at which the upstream may be sent requests.
+ * Owns the HTTP client, and the rate at which the upstream may be sent requests.
  */
 import type { Upstream } from "../config/upstream.js";
 import { SendRate } from "../policy/rate/sendrate.js";
@@ -11,22 +11,24 @@
 import { UpstreamClient } from "./upstreamclient.js";
 import { UpstreamSignals } from "./upstreamsignals.js";
 
-/** No request is held up by this question unless the upstream may be sent no more; milliseconds. */
+/** Requests wait for this probe only if the upstream may be sent no more. */
 const COLD_PROBE_TIMEOUT_MS = 250;
 
-/** What the gate does on a notice. */
+/** Callbacks of the gate. */
 type EndpointEvents = {
-    /** Called with each report of the pace. */
+    /** Called with each pace that the upstream reports. */
     readonly onPace: (pace: number) => void;
-    /** Called when the upstream states a limit, or a lower one than before. */
+    /** Called when the upstream states a rate limit, or a lower one than before. */
     readonly onLimitLowered: () => void;
-    /** Called with each answer that says that it leaves; the reason says whether for good. */
+    /**
+     * Called for each response that announces that the upstream is leaving; `ending` if its name does not come back.
+     */
     readonly onLeaving: (reason: "upstream" | "ending") => void;
-    /** Called with each answer of its health endpoint that does not. */
+    /** Called for each response of the health endpoint that does not announce that the upstream is leaving. */
     readonly onNotLeaving: () => void;
 };
 
-/** One for each gate. */
+/** Creates and connects the client, the probes and the send rate for one upstream. */
 export class UpstreamEndpoint {
     readonly client: UpstreamClient;
     readonly signals: UpstreamSignals;
--- a/src/gate/upstreamerror.ts
+++ b/src/gate/upstreamerror.ts
@@ -1,13 +1,16 @@
-/** The error of the layer that talks to an upstream. */
+/** Defines the error of an attempt that got no response from an upstream. */
 import type { Reason } from "../policy/retry/reason.js";
 
-/** What may go wrong there; policy/retry/reasons.ts says which of them prove that the request has not run. */
+/**
+ * Reasons for the failure of an attempt; policy/retry/reasons.ts states which of them prove that the request has not
+ * run.
+ */
 type UpstreamReason = Extract<
     Reason,
     "shed" | "leaving" | "misdirected" | "foreign-answer" | "unreachable" | "upstream-broke"
 >;
 
-/** An attempt that brought no answer of the upstream to the request. */
+/** Thrown if an attempt yields no response of the upstream to the request itself. */
 export class UpstreamError extends Error {
     constructor(readonly reason: UpstreamReason, options?: ErrorOptions) {
         super(reason, options);
--- a/src/gate/upstreamrun.ts
+++ b/src/gate/upstreamrun.ts
@@ -1,4 +1,4 @@
-/** One request at the upstream, from its start to the end of its answer. */
+/** Runs one request at the upstream, from its start to the end of the response. */
 import { PassThrough, type Readable } from "node:stream";
 import type { Dialect } from "../dialect/dialect.js";
 import type { GateAnswer } from "../hop/gateanswer.js";
@@ -20,10 +20,7 @@
 import type { UpstreamClient } from "./upstreamclient.js";
 import { UpstreamError } from "./upstreamerror.js";
 
-/**
- * What a run needs; `onEnd` is called once, with the service time when the upstream served the request, the time that its work
- * took, and the calls that the run made.
- */
+/** Dependencies and callbacks that the gate provides. */
 type RunParts = {
     readonly clock: Clock;
     readonly ledger: Ledger;
@@ -32,7 +29,12 @@
     readonly client: UpstreamClient;
     readonly levels: LevelClock;
     readonly crashDetector: CrashDetector;
+    /** Called when the upstream has served the request successfully. */
     readonly onServed: (request: RequestKey) => void;
+    /**
+     * Called once at the end of the run, with the service time in milliseconds if the upstream served the request, the
+     * milliseconds of its own work by concurrency level, and the number of calls by service.
+     */
     readonly onEnd: (
         serviceMs: number | undefined,
         work: Float64Array,
@@ -40,17 +42,20 @@
     ) => void;
 };
 
-/** An upstream that is silent for so long past the deadline is cut off, so that its slot is not held for ever. */
+/** Time past the deadline after which an unresponsive upstream is cut off, so that its slot is not held for ever. */
 const DEADLINE_GRACE_MS = 250;
 
-/** An answer without its note, and what the note must say. */
+/** A response without its note, and the values that the note takes from it. */
 type RunResponse = Omit<GateAnswer, "note"> & {
     readonly calls: boolean;
     readonly retriedBelow: boolean;
     readonly unframed: boolean;
 };
 
-/** Holds a slot until the answer's body has ended or, for a streamed answer, until its head. */
+/**
+ * Runs one request. It holds a slot until the response's body has ended, or only until its head for a streamed
+ * response.
+ */
 export class UpstreamRun {
     readonly #startedAt: number;
     readonly #requestId: string;
@@ -76,7 +81,7 @@
         }, deadline - this.#startedAt + DEADLINE_GRACE_MS);
     }
 
-    /** It is not the first of its request, or its request is a call of such a one. */
+    /** True if the run is a repeat, or serves a call that a repeat makes. */
     get isRepeat(): boolean {
         return this.request.call.head.arrival !== "first";
     }
@@ -85,19 +90,21 @@
         return this.request.key;
     }
 
-    /** Calls it off, unless it may run only once: then it is let finish. */
+    /** Aborts the run, unless the request may run only once: then it runs to its end. */
     cancel(): void {
         if (!this.request.once) {
             this.#cancel.abort();
         }
     }
 
-    /** How long it has run, in milliseconds. */
+    /** Returns how long the run has taken so far, in milliseconds. */
     ageMs(now: number): number {
         return now - this.#startedAt;
     }
 
-    /** Gives the request up if it has no answer so long after its start: its connection may have gone silent. */
+    /**
+     * Aborts the run if it has no response `afterMs` milliseconds after its start: its connection may be unresponsive.
+     */
     abortIfUnanswered(afterMs: number): void {
         if (!this.#hasResponseHead && this.#abortTimer === undefined) {
             const now = this.parts.clock();
@@ -112,7 +119,7 @@
         }
     }
 
-    /** Sends the request; throws an UpstreamError, and then the run has ended. */
+    /** Sends the request. If it throws an UpstreamError, the run has ended. */
     async send(): Promise<RunResponse> {
         const { request, parts } = this;
         const callerCancel = request.upstreamCancel();
@@ -159,7 +166,7 @@
         }
     }
 
-    /** Ends the run with the body; a `once` request's answer is read to its end whoever has left. */
+    /** Ends the run with the body. The response to a `once` request is read to its end even if its caller has left. */
     #trackBody(body: Readable, status: number): Readable {
         body.on("close", () => {
             this.#recordServed(body.readableEnded, status);
@@ -172,13 +179,13 @@
         const output = new PassThrough();
         body.on("error", err => output.destroy(err));
         output.on("error", () => {
-            // The upstream's answer is read to its end all the same.
+            // The response is read to its end regardless.
         });
         output.on("close", () => body.unpipe(output).resume());
         return body.pipe(output);
     }
 
-    /** An answer that came whole, and is no failure of the upstream's own, speaks for the request. */
+    /** Reports the request as served if its response is complete and no server error. */
     #recordServed(isComplete: boolean, status: number): void {
         const { request: { key }, parts: { onServed } } = this;
         if (isComplete && key !== undefined && status < httpStatus.internalServerError) {
--- a/src/gate/upstreamsignals.ts
+++ b/src/gate/upstreamsignals.ts
@@ -1,7 +1,7 @@
 /**
- * What an upstream says in its answers about itself: how many requests a second it takes, and whether it leaves.
+ * Tracks what an upstream reports about itself in its responses: its rate limit, and whether it is leaving.
  *
- * Owns what was said last, and writes the log lines of its changes.
+ * Owns the rate limit, and logs its changes.
  */
 import type { Dialect } from "../dialect/dialect.js";
 import type { HttpHeaders } from "../http/httpheaders.js";
@@ -11,28 +11,28 @@
 
 const logger = log("gate");
 
-/** What the notices need of their gate. */
+/** Dependencies and callbacks that the gate provides. */
 type SignalParts = {
     readonly upstream: string;
     readonly clock: Clock;
     readonly dialect: Dialect;
-    /** Called when it states a limit, or a lower one than before. */
+    /** Called when the upstream states a rate limit, or a lower one than before. */
     readonly onLimitLowered: () => void;
-    /** Called with each answer that says that it leaves. */
+    /** Called for each response that announces that the upstream is leaving. */
     readonly onLeaving: () => void;
-    /** Called with each answer of its health endpoint that does not. */
+    /** Called for each response of the health endpoint that does not announce that the upstream is leaving. */
     readonly onNotLeaving: () => void;
 };
 
-/** One for each gate. */
+/** Tracks the reports of one upstream. */
 export class UpstreamSignals {
     readonly rateLimit = new RequestLimit();
-    /** What could not be read last, so that the log says so once. */
+    /** The last value that could not be parsed, so that it is logged only once. */
     #lastUnreadable: string | undefined;
 
     constructor(private readonly parts: SignalParts) {}
 
-    /** Records an answer of the upstream itself. */
+    /** Records a response that the upstream itself has sent. */
     recordResponse(headers: HttpHeaders, exchange: Parameters<RequestLimit["recordAnswer"]>[1]): void {
         const { clock, dialect, onLeaving, onNotLeaving } = this.parts;
         const stated = dialect.limit(headers);
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Records the limit that the sender of a request has been told, where it has been told one. */
+    /** Records the rate limit that the sender of a request knows of, if it knows of one. */
     recordPeerLimit(perSecond: number | undefined): void {
         if (perSecond !== undefined) {
             this.#updateLimit(() => this.rateLimit.recordTold(perSecond, this.parts.clock()));
@@ -57,8 +57,8 @@
         const { upstream, dialect } = this.parts;
         if (text !== this.#lastUnreadable) {
             const field = dialect.requestLimit;
-            const message = "The upstream's limit can't be read; the same again is not logged.";
-            logger.warn(message, "what it stated before holds", { upstream, field, text });
+            const message = "The upstream's stated rate limit can't be read; the same value is not logged again.";
+            logger.warn(message, "the previously stated rate limit stays in force", { upstream, field, text });
         }
         return text;
     }
@@ -71,8 +71,8 @@
             return;
         }
         const message = perSecond === undefined
-            ? "The upstream states no limit any more."
-            : "The upstream states a limit of requests a second.";
+            ? "The upstream no longer states a rate limit."
+            : "The upstream states a rate limit.";
         logger.change(message, { upstream: this.parts.upstream, perSecond, before });
         if (perSecond !== undefined && perSecond < (before ?? Infinity)) {
             this.parts.onLimitLowered();
--- a/test/limit.test.ts
+++ b/test/limit.test.ts
@@ -158,7 +158,7 @@
         );
         await mesh.strikeInstance("pages-1", { limit: "" });
         await platformLoad(mesh, { perSecond: LOAD, forMs: 4000 });
-        assert.ok(mesh.log.some(line => line.includes("The upstream states no limit any more")));
+        assert.ok(mesh.log.some(line => line.includes("The upstream no longer states a rate limit")));
     });
 });
 
