--- a/src/gate/crashdetector.test.ts
+++ b/src/gate/crashdetector.test.ts
@@ -50,7 +50,7 @@
 test("crash detector: sends no more probes than the budget allows when connections break off repeatedly", async () => {
     let left = 3;
     const { detector, probeCount } = createDetector(responds, () => left-- > 0);
-    for (let time = 0; time < 40; time++) {
+    for (let round = 0; round < 40; round++) {
         detector.recordBrokenRun(bad, false);
         await sleep(3);
     }
--- a/src/gate/upstreamrun.ts
+++ b/src/gate/upstreamrun.ts
@@ -146,7 +146,7 @@
         }
         catch (err) {
             if (request.once && err instanceof UpstreamError && reasons[err.reason].proves === "not-run") {
-                parts.ledger.disprove(request.call.head.id);
+                parts.ledger.markNotRun(request.call.head.id);
             }
             this.#recordFailure(err);
             removeAbortListener?.();
--- a/src/ledger/admitresult.ts
+++ b/src/ledger/admitresult.ts
@@ -1,4 +1,4 @@
-/** The ledger's result for a request that arrives. */
+/** Defines the ledger's result for a request that arrives. */
 
-/** Only `admitted` may go on; with every other result the request has not run by this arrival. */
+/** Only an `admitted` request may go on. Any other result proves that this arrival has not run the request. */
 export type AdmitResult = "admitted" | "duplicate" | "revoked" | "expired" | "full";
--- a/src/ledger/entrystate.ts
+++ b/src/ledger/entrystate.ts
@@ -1,4 +1,4 @@
-/** How far a not-repeatable request has come at its gate. */
+/** Defines the states of a `once` request at its gate. */
 
-/** `queued` has not run; `running` is at the upstream; `done` ran; `revoked` never ran and never will. */
+/** `queued`: has not run; `running`: is at the upstream; `done`: has run; `revoked`: has not run and never will. */
 export type EntryState = "queued" | "running" | "done" | "revoked";
--- a/src/ledger/ledger.test.ts
+++ b/src/ledger/ledger.test.ts
@@ -3,43 +3,43 @@
 import type { RequestId } from "../ids/requestid.js";
 import { Ledger } from "./ledger.js";
 
-const id = (text: string): RequestId => text as RequestId;
+const requestId = (text: string): RequestId => text as RequestId;
 
 test("ledger: a queued request that is revoked never starts", () => {
     const ledger = new Ledger(10);
-    assert.equal(ledger.admit(id("a"), 100, 0), "admitted");
-    assert.equal(ledger.revoke(id("a"), 100, 1), "revoked");
-    assert.equal(ledger.start(id("a"), 2), false);
+    assert.equal(ledger.admit(requestId("a"), 100, 0), "admitted");
+    assert.equal(ledger.revoke(requestId("a"), 100, 1), "revoked");
+    assert.equal(ledger.start(requestId("a"), 2), false);
 });
 
 test("ledger: a request that arrives after its tombstone is refused", () => {
     const ledger = new Ledger(10);
-    assert.equal(ledger.revoke(id("a"), 100, 1), "revoked");
-    assert.equal(ledger.admit(id("a"), 100, 2), "revoked");
+    assert.equal(ledger.revoke(requestId("a"), 100, 1), "revoked");
+    assert.equal(ledger.admit(requestId("a"), 100, 2), "revoked");
 });
 
-test("ledger: after the deadline nothing is proven and nothing is admitted", () => {
+test("ledger: after the deadline a revocation proves nothing and the request is not admitted", () => {
     const ledger = new Ledger(10);
-    assert.equal(ledger.revoke(id("a"), 100, 100), "unknown");
-    assert.equal(ledger.admit(id("a"), 100, 100), "expired");
+    assert.equal(ledger.revoke(requestId("a"), 100, 100), "unknown");
+    assert.equal(ledger.admit(requestId("a"), 100, 100), "expired");
 });
 
-test("ledger: a full ledger refuses and forgets nothing early", () => {
+test("ledger: a full ledger refuses new requests and evicts no entry before its deadline", () => {
     const ledger = new Ledger(1);
-    ledger.admit(id("a"), 5000, 0);
-    assert.equal(ledger.admit(id("b"), 5000, 2000), "full");
-    assert.equal(ledger.revoke(id("c"), 5000, 2000), "unknown");
-    assert.equal(ledger.start(id("a"), 2000), true);
-    ledger.finish(id("a"));
-    assert.equal(ledger.admit(id("b"), 9000, 6000), "admitted");
+    ledger.admit(requestId("a"), 5000, 0);
+    assert.equal(ledger.admit(requestId("b"), 5000, 2000), "full");
+    assert.equal(ledger.revoke(requestId("c"), 5000, 2000), "unknown");
+    assert.equal(ledger.start(requestId("a"), 2000), true);
+    ledger.finish(requestId("a"));
+    assert.equal(ledger.admit(requestId("b"), 9000, 6000), "admitted");
 });
 
-test("ledger: a running request is not revoked, a done one says so", () => {
+test("ledger: a request that runs or has run is not revoked", () => {
     const ledger = new Ledger(10);
-    ledger.admit(id("a"), 100, 0);
-    ledger.start(id("a"), 1);
-    assert.equal(ledger.revoke(id("a"), 100, 2), "running");
-    ledger.finish(id("a"));
-    assert.equal(ledger.revoke(id("a"), 100, 3), "done");
-    assert.equal(ledger.admit(id("a"), 100, 4), "duplicate");
+    ledger.admit(requestId("a"), 100, 0);
+    ledger.start(requestId("a"), 1);
+    assert.equal(ledger.revoke(requestId("a"), 100, 2), "running");
+    ledger.finish(requestId("a"));
+    assert.equal(ledger.revoke(requestId("a"), 100, 3), "done");
+    assert.equal(ledger.admit(requestId("a"), 100, 4), "duplicate");
 });
--- a/src/ledger/ledger.ts
+++ b/src/ledger/ledger.ts
@@ -1,33 +1,33 @@
 /**
- * The gate's memory of not-repeatable requests, on which "at most once" rests.
+ * Remembers the `once` requests at a gate, so that each of them runs at most once.
  *
- * All times are the gate's own, in milliseconds since its start. A request carries its deadline in that time, so
- * an entry need only be kept until the deadline: what arrives later is refused as expired. Hence nothing is
- * forgotten early, and the ledger's size is bound by the rate times the time limit, or else by `capacity`.
+ * All times are milliseconds on the gate's clock, which starts with the gate. Each request carries its deadline in that
+ * time, and is refused as expired if it arrives later. An entry is therefore kept only until its deadline, and is never
+ * evicted earlier. The number of entries is bounded by the request rate times the time limit, and by `capacity`.
  */
 import type { RequestId } from "../ids/requestid.js";
 import type { AdmitResult } from "./admitresult.js";
 import type { EntryState } from "./entrystate.js";
 import type { RevokeResult } from "./revokeresult.js";
 
-/** Between two sweeps of what has expired, in milliseconds: each looks at every entry. */
-const SWEEP_MS = 1000;
+/** Limits the cost of evicting expired entries: each sweep visits all entries. */
+const SWEEP_INTERVAL_MS = 1000;
 
 type Entry = { state: EntryState; readonly deadline: number; };
 
-/** Bounded, pure; refuses new requests when full. */
+/** A bounded ledger that refuses new requests when it is full. It does no I/O and has no clock of its own. */
 export class Ledger {
     readonly #entries = new Map<RequestId, Entry>();
     #sweptAt = 0;
 
     constructor(readonly capacity: number) {}
 
-    /** Records a request that has arrived; must be called before anything else is done with it. */
+    /** Records the arrival of a request; must be called before anything else is done with the request. */
     admit(id: RequestId, deadline: number, now: number): AdmitResult {
-        this.#sweep(now);
-        const known = this.#entries.get(id);
-        if (known !== undefined) {
-            return known.state === "revoked" ? "revoked" : "duplicate";
+        this.#sweepIfDue(now);
+        const existing = this.#entries.get(id);
+        if (existing !== undefined) {
+            return existing.state === "revoked" ? "revoked" : "duplicate";
         }
         if (now >= deadline) {
             return "expired";
@@ -39,7 +39,10 @@
         return "admitted";
     }
 
-    /** Marks a queued request as running; false when it was revoked or is too late, and then it must not run. */
+    /**
+     * Marks a queued request as running. Returns false if it was revoked or its deadline has passed; it must not run
+     * then.
+     */
     start(id: RequestId, now: number): boolean {
         const entry = this.#entries.get(id);
         if (entry === undefined || entry.state !== "queued") {
@@ -61,19 +64,19 @@
         }
     }
 
-    /** Marks a running request as never run, proven by the upstream itself (it was never sent, or was shed). */
-    disprove(id: RequestId): void {
+    /** Marks a running request as not run, as the upstream has proven: it was never sent, or was shed. */
+    markNotRun(id: RequestId): void {
         const entry = this.#entries.get(id);
         if (entry?.state === "running") {
             entry.state = "revoked";
         }
     }
 
-    /** Takes a request back; leaves a tombstone that stops one which is still on its way. */
+    /** Revokes a request. Leaves a tombstone, which refuses the request if it arrives later. */
     revoke(id: RequestId, deadline: number, now: number): RevokeResult {
         const entry = this.#entries.get(id);
         if (entry === undefined) {
-            return this.#bury(id, deadline, now);
+            return this.#addTombstone(id, deadline, now);
         }
         if (entry.state === "queued") {
             entry.state = "revoked";
@@ -82,7 +85,7 @@
         return entry.state;
     }
 
-    #bury(id: RequestId, deadline: number, now: number): RevokeResult {
+    #addTombstone(id: RequestId, deadline: number, now: number): RevokeResult {
         if (now >= deadline || !this.#hasRoom(now)) {
             return "unknown";
         }
@@ -93,23 +96,23 @@
     #hasRoom(now: number): boolean {
         if (this.#entries.size >= this.capacity) {
             this.#sweptAt = now;
-            this.#forgetExpired(now);
+            this.#evictExpired(now);
         }
         return this.#entries.size < this.capacity;
     }
 
-    #sweep(now: number): void {
-        if (now - this.#sweptAt < SWEEP_MS) {
+    #sweepIfDue(now: number): void {
+        if (now - this.#sweptAt < SWEEP_INTERVAL_MS) {
             return;
         }
         this.#sweptAt = now;
-        this.#forgetExpired(now);
+        this.#evictExpired(now);
     }
 
-    #forgetExpired(now: number): void {
+    #evictExpired(now: number): void {
         for (const [id, entry] of this.#entries) {
-            const settled = entry.state === "done" || entry.state === "revoked";
-            if (settled && now >= entry.deadline) {
+            const isFinal = entry.state === "done" || entry.state === "revoked";
+            if (isFinal && now >= entry.deadline) {
                 this.#entries.delete(id);
             }
         }
--- a/src/ledger/ledgerdeadline.ts
+++ b/src/ledger/ledgerdeadline.ts
@@ -1,13 +1,17 @@
-/** Until when the ledger refuses nothing as late, and forgets nothing, of a request. */
+/** Determines until when the ledger admits a request and keeps its entry. */
 
-/** When it was sent, as its ingress reckoned the gate's clock, and the time that it had left then; milliseconds. */
-type Sent = { readonly gateTime: number; readonly remainingMs: number; };
+/**
+ * When the request was sent, on the gate's clock as the ingress estimates it, and the time that it had left then, in
+ * milliseconds.
+ */
+type SentTime = { readonly gateTime: number; readonly remainingMs: number; };
 
 /**
- * On the gate's clock, and by what was sent alone: the same for a request and its revocation, whenever each arrives, and also where the ingress
- * reckons a time that the gate has not come to. With the least of that and the time of arrival a tombstone was forgotten before its
- * request came (ledgermodel.test.ts).
+ * Returns the deadline on the gate's clock, in milliseconds. It depends only on what was sent. So it is the same for a
+ * request and its revocation, whenever each of them arrives, even if the ingress estimates a time that the gate's clock
+ * has not reached. A deadline counted from the arrival, where that is earlier, let the ledger evict a tombstone before
+ * its request arrived (ledgermodel.test.ts).
  */
-export function ledgerDeadline({ gateTime, remainingMs }: Sent): number {
+export function ledgerDeadline({ gateTime, remainingMs }: SentTime): number {
     return gateTime + remainingMs;
 }
--- a/src/ledger/ledgermodel.test.ts
+++ b/src/ledger/ledgermodel.test.ts
@@ -1,8 +1,8 @@
 /**
- * Looks for a schedule that runs a `once` request twice, or says "not run" of one that ran.
+ * Searches for a schedule that runs a `once` request twice, or that reports a request as not run although it ran.
  *
- * The gate's clock may stand still while the ingress's goes on, as on a host that is suspended; then the ingress reckons a time that the gate
- * has not come to. By reading alone it had seemed that a deadline in the gate's time bears that; the search has shown that it did not.
+ * The gate's clock may stop while the ingress's goes on, as on a suspended host: the ingress then estimates a time that
+ * the gate has not reached. The search has shown that a deadline limited by the arrival fails in that case.
  */
 import fc from "fast-check";
 import assert from "node:assert/strict";
@@ -13,14 +13,14 @@
 import { Ledger } from "./ledger.js";
 import { ledgerDeadline } from "./ledgerdeadline.js";
 
-const RUNS = Number(process.env["WINGLOCK_MODEL_RUNS"] ?? 100_000);
+const SEARCH_RUNS = Number(process.env["WINGLOCK_MODEL_RUNS"] ?? 100_000);
 const SEED = 20261202;
-const IDS = 3;
-/** A request's time limit, and how long the world rests at most: long enough that the ledger forgets. Milliseconds. */
-const LIMIT = 600;
-const MAX_PAUSE = 1200;
+const REQUEST_COUNT = 3;
+/** A request's time limit, and the longest pause: long enough for the ledger to evict entries. */
+const TIME_LIMIT_MS = 600;
+const MAX_PAUSE_MS = 1200;
 
-/** One step of the world. A message may be delivered late, twice or never; a try may be sent again after its word. */
+/** One step. Messages may be late, duplicated or lost; after `lose-word` the outcome of an attempt is unknown. */
 type Step =
     | { readonly type: "send"; readonly id: number; }
     | { readonly type: "deliver"; readonly at: number; readonly keep: boolean; }
@@ -32,8 +32,8 @@
     | { readonly type: "read-clock"; }
     | { readonly type: "restart"; };
 
-/** A fault planted in a copy of the rule, to see that the search finds it. */
-type Planted =
+/** A fault that is injected into the protocol, to show that the search finds it. */
+type Fault =
     | "none"
     | "forget-tombstone"
     | "ignore-incarnation"
@@ -41,39 +41,38 @@
     | "start-after-deadline"
     | "deadline-by-arrival";
 
-type Message = { readonly id: number; readonly attempt: number; readonly life: number; readonly gateTime: number; };
+/** `restarts`: how often the gate had restarted; `gateTime`: the ingress's estimate of the gate's clock. */
+type Message = { readonly id: number; readonly attempt: number; readonly restarts: number; readonly gateTime: number; };
 
-const step = fc.oneof<fc.Arbitrary<Step>[]>(
-    fc.record({ type: fc.constant("send" as const), id: fc.nat(IDS - 1) }),
+const anyStep = fc.oneof<fc.Arbitrary<Step>[]>(
+    fc.record({ type: fc.constant("send" as const), id: fc.nat(REQUEST_COUNT - 1) }),
     fc.record({ type: fc.constant("deliver" as const), at: fc.nat(5), keep: fc.boolean() }),
     fc.record({ type: fc.constant("start" as const), at: fc.nat(5) }),
-    fc.record({ type: fc.constant("revoke" as const), id: fc.nat(IDS - 1) }),
-    fc.record({ type: fc.constant("lose-word" as const), id: fc.nat(IDS - 1) }),
-    fc.record({ type: fc.constant("pause" as const), ms: fc.nat(MAX_PAUSE) }),
-    fc.record({ type: fc.constant("suspend" as const), ms: fc.nat(MAX_PAUSE * 4) }),
+    fc.record({ type: fc.constant("revoke" as const), id: fc.nat(REQUEST_COUNT - 1) }),
+    fc.record({ type: fc.constant("lose-word" as const), id: fc.nat(REQUEST_COUNT - 1) }),
+    fc.record({ type: fc.constant("pause" as const), ms: fc.nat(MAX_PAUSE_MS) }),
+    fc.record({ type: fc.constant("suspend" as const), ms: fc.nat(MAX_PAUSE_MS * 4) }),
     fc.record({ type: fc.constant("read-clock" as const) }),
     fc.record({ type: fc.constant("restart" as const) }),
 );
 
-/** A gate with its ledger, a wire that holds messages, and an ingress that retries by the rule. */
-class World {
-    /** By the gate's clock. */
-    now = 0;
-    /** By the ingress's. */
+/** Simulates a gate and an ingress, each with a clock in milliseconds, and messages in transit between them. */
+class Simulation {
+    gateNow = 0;
     ingressNow = 0;
-    readonly clock = new GateClock();
-    life = 0;
+    readonly gateClock = new GateClock();
+    restarts = 0;
     ledger = new Ledger(8);
-    readonly wire: Message[] = [];
-    queue: Message[] = [];
-    readonly runs = new Map<number, number>();
-    readonly attempts = new Map<number, { message: Message; word: "none" | "not-run" | "unknown"; }>();
+    readonly inTransit: Message[] = [];
+    queued: Message[] = [];
+    readonly runCounts = new Map<number, number>();
+    readonly attempts = new Map<number, { message: Message; outcome: "none" | "not-run" | "unknown"; }>();
 
-    constructor(private readonly planted: Planted) {
+    constructor(private readonly fault: Fault) {
         this.#readClock();
     }
 
-    act(step: Step): void {
+    apply(step: Step): void {
         switch (step.type) {
             case "send":
                 return this.#send(step.id);
@@ -84,9 +83,9 @@
             case "revoke":
                 return this.#revoke(step.id);
             case "lose-word":
-                return this.#tell(step.id, "unknown");
+                return this.#recordOutcome(step.id, "unknown");
             case "pause":
-                this.now += step.ms;
+                this.gateNow += step.ms;
                 this.ingressNow += step.ms;
                 return;
             case "suspend":
@@ -95,103 +94,110 @@
             case "read-clock":
                 return this.#readClock();
             case "restart":
-                this.life += 1;
+                this.restarts += 1;
                 this.ledger = new Ledger(8);
-                this.queue = [];
+                this.queued = [];
         }
     }
 
     #readClock(): void {
         const span = { askedAt: this.ingressNow, now: this.ingressNow };
-        this.clock.observe(`life-${this.life}` as Incarnation, this.now, span);
+        this.gateClock.observe(`incarnation-${this.restarts}` as Incarnation, this.gateNow, span);
     }
 
     #deadline({ gateTime }: Message): number {
-        const sent = { gateTime, remainingMs: LIMIT };
-        return this.planted === "deadline-by-arrival"
-            ? Math.min(this.now, gateTime) + LIMIT
+        const sent = { gateTime, remainingMs: TIME_LIMIT_MS };
+        return this.fault === "deadline-by-arrival"
+            ? Math.min(this.gateNow, gateTime) + TIME_LIMIT_MS
             : ledgerDeadline(sent);
     }
 
-    #name(message: Message): RequestId {
+    #requestId(message: Message): RequestId {
         return `${message.id}.${message.attempt}` as RequestId;
     }
 
-    #tell(id: number, word: "not-run" | "unknown"): void {
+    #recordOutcome(id: number, outcome: "not-run" | "unknown"): void {
         const attempt = this.attempts.get(id);
-        if (attempt?.word === "none") {
-            attempt.word = word;
+        if (attempt?.outcome === "none") {
+            attempt.outcome = outcome;
         }
     }
 
-    /** The ingress's rule: a new try only when the last one is proven not run. */
+    /** Sends an attempt, as an ingress does: a further one only if the last one is proven not to have run. */
     #send(id: number): void {
         const last = this.attempts.get(id);
-        const mayRetry = last?.word === "not-run" || (this.planted === "retry-on-unknown" && last?.word === "unknown");
+        const mayRetry = last?.outcome === "not-run"
+            || (this.fault === "retry-on-unknown" && last?.outcome === "unknown");
         if (last !== undefined && !mayRetry) {
             return;
         }
         const attempt = (last?.message.attempt ?? 0) + 1;
-        const message = { id, attempt, life: this.life, gateTime: this.clock.reckon(this.ingressNow)! };
-        this.attempts.set(id, { message, word: "none" });
-        this.wire.push(message);
+        const message = { id, attempt, restarts: this.restarts, gateTime: this.gateClock.reckon(this.ingressNow)! };
+        this.attempts.set(id, { message, outcome: "none" });
+        this.inTransit.push(message);
     }
 
     #deliver(at: number, keep: boolean): void {
-        const message = this.wire[at % Math.max(1, this.wire.length)];
+        const message = this.inTransit[at % Math.max(1, this.inTransit.length)];
         if (message === undefined) {
             return;
         }
         if (!keep) {
-            this.wire.splice(this.wire.indexOf(message), 1);
+            this.inTransit.splice(this.inTransit.indexOf(message), 1);
         }
-        const otherLife = message.life !== this.life && this.planted !== "ignore-incarnation";
-        if (!otherLife && this.ledger.admit(this.#name(message), this.#deadline(message), this.now) === "admitted") {
-            this.queue.push(message);
+        const isStale = message.restarts !== this.restarts && this.fault !== "ignore-incarnation";
+        if (
+            !isStale
+            && this.ledger.admit(this.#requestId(message), this.#deadline(message), this.gateNow) === "admitted"
+        ) {
+            this.queued.push(message);
         }
     }
 
     #start(at: number): void {
-        const message = this.queue[at % Math.max(1, this.queue.length)];
+        const message = this.queued[at % Math.max(1, this.queued.length)];
         if (message === undefined) {
             return;
         }
-        this.queue.splice(this.queue.indexOf(message), 1);
-        const deadline = message.gateTime + LIMIT;
-        const startAt = this.planted === "start-after-deadline" ? Math.min(this.now, deadline - 1) : this.now;
-        if (this.ledger.start(this.#name(message), startAt)) {
-            this.runs.set(message.id, (this.runs.get(message.id) ?? 0) + 1);
-            assert.ok(this.now < deadline, "nothing starts after its deadline");
+        this.queued.splice(this.queued.indexOf(message), 1);
+        const deadline = message.gateTime + TIME_LIMIT_MS;
+        const startAt = this.fault === "start-after-deadline" ? Math.min(this.gateNow, deadline - 1) : this.gateNow;
+        if (this.ledger.start(this.#requestId(message), startAt)) {
+            this.runCounts.set(message.id, (this.runCounts.get(message.id) ?? 0) + 1);
+            assert.ok(this.gateNow < deadline, "nothing starts after its deadline");
         }
     }
 
     #revoke(id: number): void {
         const attempt = this.attempts.get(id);
-        if (attempt?.word !== "none") {
+        if (attempt?.outcome !== "none") {
             return;
         }
         const { message } = attempt;
-        const sameLife = message.life === this.life || this.planted === "ignore-incarnation";
-        const result = sameLife
-            ? this.ledger.revoke(this.#name(message), this.#deadline(message), this.now)
+        const isSameIncarnation = message.restarts === this.restarts || this.fault === "ignore-incarnation";
+        const result = isSameIncarnation
+            ? this.ledger.revoke(this.#requestId(message), this.#deadline(message), this.gateNow)
             : "unknown";
-        this.#tell(id, result === "revoked" ? "not-run" : "unknown");
-        if (this.planted === "forget-tombstone") {
+        this.#recordOutcome(id, result === "revoked" ? "not-run" : "unknown");
+        if (this.fault === "forget-tombstone") {
             this.ledger = new Ledger(8);
         }
     }
 
-    check(): void {
-        for (const [id, { message, word }] of this.attempts) {
-            const runs = this.runs.get(id) ?? 0;
+    assertInvariants(): void {
+        for (const [id, { message, outcome }] of this.attempts) {
+            const runs = this.runCounts.get(id) ?? 0;
             assert.ok(runs <= 1, `request ${id} ran ${runs} times`);
-            assert.ok(word !== "not-run" || runs === 0, `request ${id}, try ${message.attempt}, was told not run`);
+            assert.ok(
+                outcome !== "not-run" || runs === 0,
+                `request ${id}, attempt ${message.attempt}, ran but was reported as not run`,
+            );
         }
     }
 }
 
-/** Found by the search: the request comes twice, and is revoked between. */
-const GATE_STOOD_STILL: readonly Step[] = [
+/** A failing schedule that the search has found: the request arrives twice, and is revoked in between. */
+const SUSPENDED_GATE_STEPS: readonly Step[] = [
     { type: "pause", ms: 162 },
     { type: "suspend", ms: 239 },
     { type: "send", id: 2 },
@@ -204,32 +210,32 @@
     { type: "start", at: 0 },
 ];
 
-const search = (planted: Planted): fc.RunDetails<[Step[]]> =>
+const search = (fault: Fault): fc.RunDetails<[Step[]]> =>
     fc.check(
-        fc.property(fc.array(step, { minLength: 4, maxLength: 24 }), steps => {
-            const world = new World(planted);
+        fc.property(fc.array(anyStep, { minLength: 4, maxLength: 24 }), steps => {
+            const simulation = new Simulation(fault);
             for (const next of steps) {
-                world.act(next);
-                world.check();
+                simulation.apply(next);
+                simulation.assertInvariants();
             }
         }),
-        { seed: SEED, numRuns: RUNS },
+        { seed: SEED, numRuns: SEARCH_RUNS },
     );
 
-test("model: a request that was sent by a clock ahead of its gate's does not run after its revocation", () => {
-    const world = new World("none");
-    GATE_STOOD_STILL.forEach(next => {
-        world.act(next);
-        world.check();
+test("ledger model: a request sent with a clock reading ahead of the gate's clock does not run after its revocation", () => {
+    const simulation = new Simulation("none");
+    SUSPENDED_GATE_STEPS.forEach(next => {
+        simulation.apply(next);
+        simulation.assertInvariants();
     });
 });
 
-test("model: no schedule runs a request twice or says falsely that it did not run", () => {
-    const found = search("none");
-    assert.equal(found.failed, false, JSON.stringify(found.counterexample));
+test("ledger model: no schedule runs a request twice or reports a request that ran as not run", () => {
+    const result = search("none");
+    assert.equal(result.failed, false, JSON.stringify(result.counterexample));
 });
 
-const faults = [
+const FAULTS = [
     "forget-tombstone",
     "ignore-incarnation",
     "retry-on-unknown",
@@ -237,8 +243,8 @@
     "deadline-by-arrival",
 ] as const;
 
-for (const planted of faults) {
-    test(`model: finds the planted fault ${planted}`, () => {
-        assert.equal(search(planted).failed, true);
+for (const fault of FAULTS) {
+    test(`ledger model: the search finds the injected fault ${fault}`, () => {
+        assert.equal(search(fault).failed, true);
     });
 }
--- a/src/ledger/revokeresult.ts
+++ b/src/ledger/revokeresult.ts
@@ -1,4 +1,7 @@
-/** The ledger's result for a request that is to be revoked. */
+/** Defines the ledger's result for the revocation of a request. */
 
-/** `revoked`: proven not run, now and later; `running`, `done`: it did; `unknown`: nothing can be proven. */
+/**
+ * `revoked`: proven not to have run, and never will; `running`: runs now; `done`: has run; `unknown`: nothing is
+ * proven.
+ */
 export type RevokeResult = "revoked" | "running" | "done" | "unknown";
