--- a/src/health/healthcheck.ts
+++ b/src/health/healthcheck.ts
@@ -1,4 +1,4 @@
-/** Asks the local upstream for its health: only this daemon does, under a hard budget. */
+/** Checks the health of the upstreams beside this daemon, under a fixed budget. No other daemon checks them. */
 import type { Gate } from "../gate/gate.js";
 import { log } from "../log/log.js";
 import type { Metrics } from "../metrics/metrics.js";
@@ -6,17 +6,19 @@
 
 const logger = log("health");
 
-/** Milliseconds. */
 const MS_PER_SECOND = 1000;
-/** Half of the time between two questions at the default of one a second, in milliseconds. */
-const TIMEOUT_MS = 500;
-/** Of a question and its answer, about. */
-const BYTES = 200;
+/** Half of the interval at the default rate of one check a second. */
+const HEALTH_CHECK_TIMEOUT_MS = 500;
+/** Approximate size of a check and its response. */
+const HEALTH_CHECK_BYTES = 200;
 
-/** `perSecond` is the budget of questions. */
+/** `perSecond`: checks a second; 0 disables them. */
 type HealthOptions = { readonly perSecond: number; };
 
-/** Acts on a report that the upstream leaves, or is back, and on nothing else in its answer. */
+/**
+ * Checks the health of the local upstreams. Neither a failed check nor the status of a response closes a gate: only the
+ * report that the upstream is leaving does.
+ */
 export class HealthCheck {
     readonly #ticker: Ticker | undefined;
 
@@ -25,7 +27,7 @@
         private readonly gates: () => Iterable<Gate>,
         private readonly metrics: Metrics,
     ) {
-        this.#ticker = perSecond === 0 ? undefined : new Ticker(MS_PER_SECOND / perSecond, () => void this.#askAll());
+        this.#ticker = perSecond === 0 ? undefined : new Ticker(MS_PER_SECOND / perSecond, () => void this.#checkAll());
     }
 
     start(): void {
@@ -36,19 +38,19 @@
         this.#ticker?.stop();
     }
 
-    async #askAll(): Promise<void> {
+    async #checkAll(): Promise<void> {
         for (const gate of this.gates()) {
-            await this.#ask(gate);
+            await this.#check(gate);
         }
     }
 
-    async #ask(gate: Gate): Promise<void> {
+    async #check(gate: Gate): Promise<void> {
         try {
-            await gate.askHealth(TIMEOUT_MS);
-            this.metrics.spent("health", BYTES);
+            await gate.askHealth(HEALTH_CHECK_TIMEOUT_MS);
+            this.metrics.spent("health", HEALTH_CHECK_BYTES);
         }
         catch (err) {
-            logger.warn("The upstream said nothing of its health.", err, { upstream: gate.upstream.name });
+            logger.warn("The upstream did not respond to a health check.", err, { upstream: gate.upstream.name });
         }
     }
 }
--- a/src/health/probebudget.ts
+++ b/src/health/probebudget.ts
@@ -1,72 +1,77 @@
-/** The budget of questions to the upstreams beside this daemon, and where to ask. */
+/** Limits the probes of the upstreams beside this daemon, and determines the path of their health endpoints. */
 import type { CurrentConfiguration } from "../distribution/currentconfiguration.js";
 import type { ServiceName } from "../ids/servicename.js";
 import type { Metrics } from "../metrics/metrics.js";
 import { TokenBucket } from "../policy/tokenbucket.js";
 import type { Clock } from "../time/clock.js";
 
-/** A question of an upstream's pace and its answer, about. */
-const ASK_BYTES = 200;
+/** Approximate size of a probe and its response. */
+const PROBE_BYTES = 200;
 
 /**
- * A second, and at once: questions whether an upstream has crashed. One settles a crash; where connections break off for another reason, over
- * and over, it is asked no oftener than this: what is under way at a crash is still known 2 s later.
+ * Probes a second, and the burst, that determine whether an upstream has crashed. One probe settles a crash. Where
+ * connections break off repeatedly for another reason, the upstream is probed no more often than this: requests in
+ * flight at a crash are still known 2 s later.
  */
-const CRASH_QUESTIONS = { perSecond: 5, burst: 2 } as const;
+const CRASH_PROBES = { perSecond: 5, burst: 2 } as const;
 
 /**
- * A second, and at once: questions whether an upstream is cold, by which a warm one may be sent more than a cold one takes. A warm one
- * can be sent no more than this many times its burst (policy/cold/evenrate.ts).
+ * Probes a second, and the burst, that determine whether an upstream is cold. Only after such a probe is a warm
+ * upstream sent more than a cold one may get, so it can be sent at most this many times its burst in a second
+ * (policy/rate/evenrate.ts).
  */
-const COLD_QUESTIONS = { perSecond: 40, burst: 10 } as const;
+const COLD_PROBES = { perSecond: 40, burst: 10 } as const;
 
-/** How often upstreams may be asked for their pace, and the path of the daemon's own where a service has none. */
-type ProbeBounds = { readonly pacePerSecond: number; readonly healthPath: string; };
+/**
+ * `pacePerSecond`: pace probes a second; `healthPath`: path of the health endpoint for services that have none of their
+ * own.
+ */
+type ProbeLimits = { readonly pacePerSecond: number; readonly healthPath: string; };
 
-/** A hard budget: a rush can't raise it. */
+/** Limits the rate of probes, however many requests arrive. */
 export class ProbeBudget {
-    readonly #asks: TokenBucket;
-    readonly #crashAsks: TokenBucket;
-    readonly #coldAsks: TokenBucket;
+    readonly #paceProbes: TokenBucket;
+    readonly #crashProbes: TokenBucket;
+    readonly #coldProbes: TokenBucket;
 
     constructor(
-        private readonly bounds: ProbeBounds,
+        private readonly limits: ProbeLimits,
         private readonly configuration: CurrentConfiguration,
         private readonly metrics: Metrics,
         private readonly clock: Clock,
     ) {
-        const { pacePerSecond } = bounds;
-        this.#asks = new TokenBucket(pacePerSecond, Math.ceil(pacePerSecond / 2), clock());
-        this.#crashAsks = new TokenBucket(CRASH_QUESTIONS.perSecond, CRASH_QUESTIONS.burst, clock());
-        this.#coldAsks = new TokenBucket(COLD_QUESTIONS.perSecond, COLD_QUESTIONS.burst, clock());
+        const { pacePerSecond } = limits;
+        this.#paceProbes = new TokenBucket(pacePerSecond, Math.ceil(pacePerSecond / 2), clock());
+        this.#crashProbes = new TokenBucket(CRASH_PROBES.perSecond, CRASH_PROBES.burst, clock());
+        this.#coldProbes = new TokenBucket(COLD_PROBES.perSecond, COLD_PROBES.burst, clock());
     }
 
-    /** Spends one question of the pace; false when the budget is used up. */
+    /** Takes one pace probe from the budget; returns false if the budget is used up. */
     mayAsk(): boolean {
-        return this.#spend(this.#asks);
+        return this.#takeProbe(this.#paceProbes);
     }
 
-    /** Spends one question whether an upstream has crashed; false when the budget is used up. */
+    /** Takes one crash probe from the budget; returns false if the budget is used up. */
     mayAskForCrash(): boolean {
-        return this.#spend(this.#crashAsks);
+        return this.#takeProbe(this.#crashProbes);
     }
 
-    /** Spends one question whether an upstream is cold; false when the budget is used up. */
+    /** Takes one cold probe from the budget; returns false if the budget is used up. */
     mayAskForCold(): boolean {
-        return this.#spend(this.#coldAsks);
+        return this.#takeProbe(this.#coldProbes);
     }
 
-    #spend(bucket: TokenBucket): boolean {
-        const may = bucket.spend(1, this.clock());
-        if (may) {
-            this.metrics.spent("health", ASK_BYTES);
+    #takeProbe(bucket: TokenBucket): boolean {
+        const isAllowed = bucket.spend(1, this.clock());
+        if (isAllowed) {
+            this.metrics.spent("health", PROBE_BYTES);
         }
-        return may;
+        return isAllowed;
     }
 
-    /** The operators' path for the service, or else the daemon's own. */
+    /** Returns the path that operators have configured for the service, or else the daemon's default path. */
     healthPath(service: ServiceName): string {
-        const settings = this.configuration.document.services.find(item => item.name === service);
-        return settings?.healthPath ?? this.bounds.healthPath;
+        const settings = this.configuration.document.services.find(candidate => candidate.name === service);
+        return settings?.healthPath ?? this.limits.healthPath;
     }
 }
