--- a/src/gate/activeruns.ts
+++ b/src/gate/activeruns.ts
@@ -7,7 +7,7 @@
     readonly #runs = new Set<UpstreamRun>();
     #finishedCount = 0;
 
-    get finished(): number {
+    get finishedCount(): number {
         return this.#finishedCount;
     }
 
--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -2,7 +2,7 @@
  * Admits, queues and runs all requests to one upstream.
  *
  * Owns the upstream's HTTP client, slots and queue. The checks that refuse a request before it queues are in
- * gatechecks.ts. Every refusal is a HopError, whose outcome is `not-run` exactly if the ledger or the upstream proves
+ * gatechecks.ts. Every refusal is a HopError; its outcome is `not-run` exactly if the ledger or the upstream proves
  * that the request has not run. The policies are in policy/admission and policy/failure.
  */
 import type { Upstream } from "../config/upstream.js";
@@ -103,7 +103,7 @@
     }
 
     get finished(): number {
-        return this.#runner.finished;
+        return this.#runner.finishedCount;
     }
 
     get refused(): number {
--- a/src/gate/gatelog.ts
+++ b/src/gate/gatelog.ts
@@ -7,7 +7,7 @@
 
 const logger = log("gate");
 
-/** Writes one log line for each request at a gate. */
+/** Writes one log line for each request that the upstream responded to or that failed at the gate. */
 export class GateLog {
     constructor(private readonly upstream: string, private readonly dialect: Dialect) {}
 
--- a/src/gate/requestrunner.ts
+++ b/src/gate/requestrunner.ts
@@ -63,8 +63,8 @@
         this.#crashDetector = this.#createCrashDetector();
     }
 
-    get finished(): number {
-        return this.#activeRuns.finished;
+    get finishedCount(): number {
+        return this.#activeRuns.finishedCount;
     }
 
     /** Number of repeats that are running. */
--- a/src/gate/upstreamclient.ts
+++ b/src/gate/upstreamclient.ts
@@ -36,7 +36,7 @@
     readonly #idle: UpstreamConnection[] = [];
     readonly #connections = new Set<UpstreamConnection>();
     #isClosed = false;
-    /** When the newest request was sent to which the upstream has responded. */
+    /** Send time of the newest request to which the upstream has responded. */
     #lastAnsweredSentAt = -Infinity;
 
     constructor(readonly upstream: Upstream, private readonly options: ClientOptions) {}
--- a/src/gate/upstreamerror.ts
+++ b/src/gate/upstreamerror.ts
@@ -2,8 +2,8 @@
 import type { Reason } from "../policy/retry/reason.js";
 
 /**
- * Reasons for the failure of an attempt; policy/retry/reasons.ts states which of them prove that the request has not
- * run.
+ * Reasons for the failure of an attempt. The table in policy/retry/reasons.ts states for each whether it proves that
+ * the request has not run.
  */
 type UpstreamReason = Extract<
     Reason,
--- a/src/gate/upstreamrun.ts
+++ b/src/gate/upstreamrun.ts
@@ -73,8 +73,8 @@
         const { deadline } = request;
         this.#workTime = new WorkTime(parts.levels, this.#startedAt);
         this.#requestId = parts.dialect.idOf(headers, head.id);
-        const details = { deadline, depth: head.depth, repeated: head.arrival !== "first", work: this.#workTime };
-        this.#context = parts.contexts.open(this.#requestId, details);
+        const runDetails = { deadline, depth: head.depth, repeated: head.arrival !== "first", work: this.#workTime };
+        this.#context = parts.contexts.open(this.#requestId, runDetails);
         this.#deadlineTimer = setTimeout(() => {
             this.#abortUnanswered();
             this.#cancel.abort();
--- a/src/health/probebudget.ts
+++ b/src/health/probebudget.ts
@@ -9,15 +9,15 @@
 const PROBE_BYTES = 200;
 
 /**
- * Probes a second, and the burst, that determine whether an upstream has crashed. One probe settles a crash. Where
+ * Rate and burst of the probes that determine whether an upstream has crashed. One probe settles a crash. Where
  * connections break off repeatedly for another reason, the upstream is probed no more often than this: requests in
  * flight at a crash are still known 2 s later.
  */
 const CRASH_PROBES = { perSecond: 5, burst: 2 } as const;
 
 /**
- * Probes a second, and the burst, that determine whether an upstream is cold. Only after such a probe is a warm
- * upstream sent more than a cold one may get, so it can be sent at most this many times its burst in a second
+ * Rate and burst of the probes that determine whether an upstream is cold. Only after such a probe is a warm upstream
+ * sent more than a cold one may get, so it can be sent at most this many times its burst in a second
  * (policy/rate/evenrate.ts).
  */
 const COLD_PROBES = { perSecond: 40, burst: 10 } as const;
