--- a/src/gate/gatelog.ts
+++ b/src/gate/gatelog.ts
@@ -1,4 +1,4 @@
-/** What a gate logs of requests; the ingress's lines have the same id. */
+/** Writes the gate's log lines about requests. The ingress's lines about the same request have the same id. */
 import type { Dialect } from "../dialect/dialect.js";
 import { HopError } from "../hop/hoperror.js";
 import { log } from "../log/log.js";
@@ -7,26 +7,26 @@
 
 const logger = log("gate");
 
-/** One line for each call. */
+/** Writes one log line for each request that the upstream responded to or that failed at the gate. */
 export class GateLog {
     constructor(private readonly upstream: string, private readonly dialect: Dialect) {}
 
-    answered(request: GateRequest, status: number, waitedMs: number, tookMs: number, report: LoadReport): void {
-        logger.decision(this.#idOf(request), "The upstream has answered.", {
+    logResponse(request: GateRequest, status: number, queuedMs: number, tookMs: number, report: LoadReport): void {
+        logger.decision(this.#requestId(request), "The upstream responded.", {
             try: request.call.head.id,
             status,
             arrival: request.call.head.arrival,
-            waitedMs: Math.round(waitedMs),
+            waitedMs: Math.round(queuedMs),
             tookMs: Math.round(tookMs),
-            ...this.#state(report),
+            ...this.#loadFields(report),
         });
     }
 
-    refused(request: GateRequest, err: unknown, report: LoadReport): void {
+    logFailure(request: GateRequest, err: unknown, report: LoadReport): void {
         const { outcome, reason, note } = err instanceof HopError
             ? err
             : { outcome: "unknown", reason: String(err), note: undefined };
-        logger.failure(this.#idOf(request), "The gate has no answer.", {
+        logger.failure(this.#requestId(request), "The gate did not serve the request.", {
             try: request.call.head.id,
             outcome,
             reason,
@@ -34,15 +34,15 @@
             arrival: request.call.head.arrival,
             arrived: note?.arrived ?? false,
             request: request.key,
-            ...this.#state(report),
+            ...this.#loadFields(report),
         });
     }
 
-    #idOf(request: GateRequest): string {
+    #requestId(request: GateRequest): string {
         return this.dialect.idOf(request.call.headers, request.call.head.id);
     }
 
-    #state({ running, waiting, limit, serviceMs, pace }: LoadReport): object {
+    #loadFields({ running, waiting, limit, serviceMs, pace }: LoadReport): object {
         return { upstream: this.upstream, running, waiting, limit, serviceMs: Math.round(serviceMs), pace };
     }
 }
--- a/src/gate/gaterefusals.ts
+++ b/src/gate/gaterefusals.ts
@@ -1,19 +1,22 @@
-/** Makes and counts a gate's refusals. */
+/** Creates and counts a gate's refusals. */
 import { HopError } from "../hop/hoperror.js";
 import type { Reason } from "../policy/retry/reason.js";
 import { reasons } from "../policy/retry/reasons.js";
 import type { AnswerNote } from "../wire/answernote.js";
 
 /**
- * The table of reasons says whether a refused request is proven not to have run; the ledger guarantees it. `onHeldBack` is told of those
- * that are refused for the upstream's request rate.
+ * Creates the error for a refused request. The table in policy/retry/reasons.ts states whether the reason proves that
+ * the request has not run; the ledger guarantees it.
  */
 export class GateRefusals {
     #count = 0;
 
-    /** `note` makes the note of an answer, with the gate's load as it is now. */
+    /**
+     * `createNote` creates a note with the gate's current load. `onHeldBack` is called for each request that is refused
+     * because of the rate at which the upstream may be sent requests.
+     */
     constructor(
-        private readonly note: (more: Partial<AnswerNote>) => AnswerNote,
+        private readonly createNote: (fields: Partial<AnswerNote>) => AnswerNote,
         private readonly onHeldBack: (reason: "cold" | "limited") => void = () => {},
     ) {}
 
@@ -21,12 +24,12 @@
         return this.#count;
     }
 
-    make(reason: Reason, more: Partial<AnswerNote> = {}): HopError {
+    create(reason: Reason, fields: Partial<AnswerNote> = {}): HopError {
         this.#count += 1;
         if (reason === "cold" || reason === "limited") {
             this.onHeldBack(reason);
         }
         const outcome = reasons[reason].proves === "unknown" ? "unknown" : "not-run";
-        return new HopError(outcome, reason, this.note({ outcome, reason, ...more }));
+        return new HopError(outcome, reason, this.createNote({ outcome, reason, ...fields }));
     }
 }
--- a/src/gate/paceprobe.ts
+++ b/src/gate/paceprobe.ts
@@ -1,4 +1,4 @@
-/** Knows the pace of the upstream, and asks the upstream when its last report is too old to decide by. */
+/** Tracks the pace of the upstream, and asks the upstream for it if the last report is stale. */
 import { log } from "../log/log.js";
 import type { Pace } from "../policy/failure/pace.js";
 import { checkPace } from "../policy/failure/pacecheck.js";
@@ -6,25 +6,27 @@
 
 const logger = log("gate");
 
-/** `mayAsk` spends one question from the budget; `ask` rejects when the upstream does not answer in time. */
+/** Dependencies that the gate provides. */
 type PaceProbeParts = {
     readonly clock: Clock;
     readonly pace: Pace;
+    /** Takes one probe from the budget; returns false if the budget is used up. */
     readonly mayAsk: () => boolean;
-    readonly ask: () => Promise<void>;
+    /** Asks the upstream for its pace; rejects if it does not respond in time. */
+    readonly probe: () => Promise<void>;
 };
 
-/** Questions at the same time share one. */
+/** Tracks the pace of one upstream; concurrent callers share one probe. */
 export class PaceProbe {
     readonly #pace: Pace;
-    #asking: Promise<boolean> | undefined;
+    #pending: Promise<boolean> | undefined;
 
     constructor(private readonly parts: PaceProbeParts) {
         this.#pace = parts.pace;
     }
 
-    /** The last report; undefined of an upstream that never reports. */
-    get last(): number | undefined {
+    /** The pace that was reported last; undefined if the upstream never reports one. */
+    get lastPace(): number | undefined {
         return this.#pace.last;
     }
 
@@ -32,42 +34,45 @@
         this.#pace.observe(pace, this.parts.clock());
     }
 
-    /** True when the request should go elsewhere, by a report that is fresh. */
-    async shouldSendOn(request: Parameters<typeof checkPace>[1]): Promise<boolean> {
-        const check = checkPace(this.#pace, request, this.parts.clock());
-        if (check !== "ask") {
-            return check === "slow";
+    /** Returns true if a fresh report shows that the upstream is slow and the request should go elsewhere. */
+    async shouldRedirect(request: Parameters<typeof checkPace>[1]): Promise<boolean> {
+        const decision = checkPace(this.#pace, request, this.parts.clock());
+        if (decision !== "ask") {
+            return decision === "slow";
         }
-        return await this.#askIfAllowed() && request.choices > 0;
+        return await this.#probeIfAllowed() && request.choices > 0;
     }
 
-    /** Asks the upstream, unless the budget is spent. */
+    /** Asks the upstream for its pace, unless the probe budget is used up. */
     async refresh(): Promise<void> {
-        await this.#askIfAllowed();
+        await this.#probeIfAllowed();
     }
 
-    /** Resolves with false when the budget is spent. */
-    async #askIfAllowed(): Promise<boolean> {
-        if (this.#asking === undefined && !this.parts.mayAsk()) {
+    /** Resolves with whether the upstream reports to be slow; with false if the probe budget is used up. */
+    async #probeIfAllowed(): Promise<boolean> {
+        if (this.#pending === undefined && !this.parts.mayAsk()) {
             return false;
         }
-        this.#asking ??= this.#ask();
-        return await this.#asking;
+        this.#pending ??= this.#probe();
+        return await this.#pending;
     }
 
-    /** Resolves with whether the answer reports slow work; judged by the time of the question, so that a stall here ages no answer. */
-    async #ask(): Promise<boolean> {
-        const askedAt = this.parts.clock();
+    /**
+     * Resolves with whether the upstream reports to be slow. Any report since the probe was sent counts as fresh, so
+     * that a stall of this process does not make the response stale.
+     */
+    async #probe(): Promise<boolean> {
+        const sentAt = this.parts.clock();
         try {
-            await this.parts.ask();
-            return this.#pace.isSlowSince(askedAt);
+            await this.parts.probe();
+            return this.#pace.isSlowSince(sentAt);
         }
         catch (err) {
-            logger.warn("The upstream did not report its pace.", err);
+            logger.warn("The upstream did not report its pace; it is not treated as slow.", err);
             return false;
         }
         finally {
-            this.#asking = undefined;
+            this.#pending = undefined;
         }
     }
 }
--- a/src/gate/upstreamclient.ts
+++ b/src/gate/upstreamclient.ts
@@ -1,4 +1,4 @@
-/** The one client of an upstream: HTTP/1.1 with no retries and no pipelining. */
+/** Sends HTTP/1.1 requests to one upstream, without retries or pipelining. */
 import type { Readable } from "node:stream";
 import type { Upstream } from "../config/upstream.js";
 import type { Dialect } from "../dialect/dialect.js";
@@ -12,62 +12,70 @@
 import { UpstreamConnection } from "./upstreamconnection.js";
 import { UpstreamError } from "./upstreamerror.js";
 
-/** The upstream's answer as it comes. */
-type UpstreamAnswer = { readonly status: number; readonly headers: HttpHeaders; readonly body: Readable; };
+/** A response whose body may still be arriving. */
+type UpstreamResponse = { readonly status: number; readonly headers: HttpHeaders; readonly body: Readable; };
 
-/** Where and how to reach the upstream. */
+/** Settings and callbacks of the client. */
 type ClientOptions = {
+    /** Local address from which connections are opened. */
     readonly localIp: string;
     readonly dialect: Dialect;
-    /** Called with the head of each answer that is the upstream's own, whatever its status. */
-    readonly onAnswer: (
+    /** Called with the headers of each response that the upstream itself has sent, whatever its status. */
+    readonly onResponse: (
         headers: HttpHeaders,
-        answer: { readonly sentAt: number; readonly isHealth: boolean; },
+        exchange: { readonly sentAt: number; readonly isHealth: boolean; },
     ) => void;
     readonly clock: Clock;
-    /** Told of a connection that carries nothing any more, and has been ended. */
+    /** Called after an unresponsive connection was closed. */
     readonly onSilent: (address: Address) => void;
 };
 
-/** Sends requests; the error of one that fails says what is proven. */
+/** Sends requests to one upstream. The error of a failed request states what is proven about it. */
 export class UpstreamClient {
-    /** The one that was used last is used first, so that those not needed end. */
+    /** The most recently used connection is reused first, so that those not needed time out. */
     readonly #idle: UpstreamConnection[] = [];
-    readonly #all = new Set<UpstreamConnection>();
-    #closed = false;
-    /** When the newest request was sent that the upstream has answered. */
-    #newestAnswered = -Infinity;
+    readonly #connections = new Set<UpstreamConnection>();
+    #isClosed = false;
+    /** Send time of the newest request to which the upstream has responded. */
+    #lastAnsweredSentAt = -Infinity;
 
     constructor(readonly upstream: Upstream, private readonly options: ClientOptions) {}
 
-    /** Sends a request; throws an UpstreamError. An answer that is not to this request is an error. */
-    async send(call: GateCall, headers: HttpHeaders, cancel: Cancel | undefined): Promise<UpstreamAnswer> {
+    /** Sends a request; throws an UpstreamError if it fails, or if the response belongs to another request. */
+    async send(call: GateCall, headers: HttpHeaders, cancel: Cancel | undefined): Promise<UpstreamResponse> {
         const { dialect } = this.options;
-        const connection = this.#take();
+        const connection = this.#acquire();
         const sentAt = this.options.clock();
-        const answer = await this.#request(connection, call, headers, cancel, sentAt);
-        const reason = dialect.notRun(answer.status, answer.headers);
-        const isOwn = dialect.isOwnAnswer(answer.status, answer.headers, String(headers[dialect.requestId]));
-        if (isOwn && reason !== "misdirected") {
-            this.options.onAnswer(answer.headers, { sentAt, isHealth: false });
+        const response = await this.#request(connection, call, headers, cancel, sentAt);
+        const reason = dialect.notRun(response.status, response.headers);
+        const isOwnResponse = dialect.isOwnAnswer(
+            response.status,
+            response.headers,
+            String(headers[dialect.requestId]),
+        );
+        if (isOwnResponse && reason !== "misdirected") {
+            this.options.onResponse(response.headers, { sentAt, isHealth: false });
         }
         if (reason !== undefined) {
-            answer.body.resume();
+            response.body.resume();
             throw new UpstreamError(reason);
         }
-        if (!isOwn) {
-            answer.body.destroy();
-            this.#drop(connection);
+        if (!isOwnResponse) {
+            response.body.destroy();
+            this.#discard(connection);
             throw new UpstreamError("foreign-answer");
         }
-        return answer;
+        return response;
     }
 
-    /** Asks the upstream's health endpoint. Throws what the connection throws. */
-    async ask(path: string, timeoutMs: number): Promise<{ readonly status: number; readonly headers: HttpHeaders; }> {
-        const { clock, dialect, onAnswer } = this.options;
+    /** Sends a request to the upstream's health endpoint; throws the connection's error. */
+    async probeHealth(
+        path: string,
+        timeoutMs: number,
+    ): Promise<{ readonly status: number; readonly headers: HttpHeaders; }> {
+        const { clock, dialect, onResponse } = this.options;
         const sentAt = clock();
-        const connection = this.#take();
+        const connection = this.#acquire();
         try {
             const { statusCode, headers, body } = await connection.request({
                 method: "GET",
@@ -77,55 +85,59 @@
             await body.dump();
             const name = dialect.upstreamName(headers);
             if (name === undefined || name === this.upstream.name) {
-                onAnswer(headers, { sentAt, isHealth: true });
+                onResponse(headers, { sentAt, isHealth: true });
             }
             return { status: statusCode, headers };
         }
         finally {
-            this.#give(connection);
+            this.#release(connection);
         }
     }
 
-    /** Ends connections that carry nothing now: they may have gone silent. */
-    dropIdle(): void {
-        this.#idle.splice(0).forEach(connection => this.#drop(connection));
+    /** Destroys idle connections, because they may be unresponsive. */
+    destroyIdle(): void {
+        this.#idle.splice(0).forEach(connection => this.#discard(connection));
     }
 
     /**
-     * Records that a request had no answer in all its time. Where the upstream has answered one that was sent later, its connection
-     * carried nothing, and the idle ones, which are older than that answer, go too.
+     * Records that a request had no response within its time limit. If the upstream has responded to a request that was
+     * sent later, the connection was unresponsive. The idle connections are older than that response, and are destroyed
+     * too.
      */
     recordUnanswered(sentAt: number): void {
-        if (this.#newestAnswered > sentAt) {
-            this.dropIdle();
+        if (this.#lastAnsweredSentAt > sentAt) {
+            this.destroyIdle();
             this.options.onSilent(this.upstream.address);
         }
     }
 
     async close(): Promise<void> {
-        this.#closed = true;
-        await Promise.all([...this.#all].map(connection => connection.close()));
+        this.#isClosed = true;
+        await Promise.all([...this.#connections].map(connection => connection.close()));
     }
 
-    #take(): UpstreamConnection {
+    #acquire(): UpstreamConnection {
         const idle = this.#idle.pop();
         if (idle !== undefined) {
             return idle;
         }
         const connection = new UpstreamConnection(this.upstream.address, this.options.localIp);
-        this.#all.add(connection);
+        this.#connections.add(connection);
         return connection;
     }
 
-    #give(connection: UpstreamConnection): void {
-        if (this.#all.has(connection) && !this.#closed) {
+    #release(connection: UpstreamConnection): void {
+        if (this.#connections.has(connection) && !this.#isClosed) {
             this.#idle.push(connection);
         }
     }
 
-    /** An answer too many would shift all that follow: the connection is not used again. */
-    #drop(connection: UpstreamConnection): void {
-        this.#all.delete(connection);
+    /**
+     * Destroys a connection. After a surplus response each later request on it would get the response of the one
+     * before.
+     */
+    #discard(connection: UpstreamConnection): void {
+        this.#connections.delete(connection);
         connection.destroy();
     }
 
@@ -135,22 +147,22 @@
         headers: HttpHeaders,
         cancel: Cancel | undefined,
         sentAt: number,
-    ): Promise<UpstreamAnswer> {
+    ): Promise<UpstreamResponse> {
         try {
-            const answer = await connection.request({
+            const response = await connection.request({
                 method: call.method as "GET",
                 path: call.path,
                 headers,
                 body: call.body,
                 signal: cancel,
             });
-            this.#newestAnswered = Math.max(this.#newestAnswered, sentAt);
-            const body = guardBody(connection.whole(answer));
-            body.once("close", () => this.#give(connection));
-            return { status: answer.statusCode, headers: answer.headers, body };
+            this.#lastAnsweredSentAt = Math.max(this.#lastAnsweredSentAt, sentAt);
+            const body = guardBody(connection.checkedBody(response));
+            body.once("close", () => this.#release(connection));
+            return { status: response.statusCode, headers: response.headers, body };
         }
         catch (err) {
-            this.#give(connection);
+            this.#release(connection);
             throw new UpstreamError(isConnectError(err) ? "unreachable" : "upstream-broke", { cause: err });
         }
     }
--- a/src/gate/upstreamrun.ts
+++ b/src/gate/upstreamrun.ts
@@ -1,4 +1,4 @@
-/** One request at the upstream, from its start to the end of its answer. */
+/** Runs one request at the upstream, from its start to the end of the response. */
 import { PassThrough, type Readable } from "node:stream";
 import type { Dialect } from "../dialect/dialect.js";
 import type { GateAnswer } from "../hop/gateanswer.js";
@@ -14,16 +14,13 @@
 import { reasons } from "../policy/retry/reasons.js";
 import type { Clock } from "../time/clock.js";
 import type { CallContexts } from "./callcontexts.js";
-import type { CrashWatch } from "./crashwatch.js";
+import type { CrashDetector } from "./crashdetector.js";
 import type { GateRequest } from "./gaterequest.js";
 import { isFramed } from "./isframed.js";
 import type { UpstreamClient } from "./upstreamclient.js";
 import { UpstreamError } from "./upstreamerror.js";
 
-/**
- * What a run needs; `onEnd` is called once, with the service time when the upstream served the request, the time that its work
- * took, and the calls that the run made.
- */
+/** Dependencies and callbacks that the gate provides. */
 type RunParts = {
     readonly clock: Clock;
     readonly ledger: Ledger;
@@ -31,8 +28,13 @@
     readonly dialect: Dialect;
     readonly client: UpstreamClient;
     readonly levels: LevelClock;
-    readonly crashes: CrashWatch;
+    readonly crashDetector: CrashDetector;
+    /** Called when the upstream has served the request successfully. */
     readonly onServed: (request: RequestKey) => void;
+    /**
+     * Called once at the end of the run, with the service time in milliseconds if the upstream served the request, the
+     * milliseconds of its own work by concurrency level, and the number of calls by service.
+     */
     readonly onEnd: (
         serviceMs: number | undefined,
         work: Float64Array,
@@ -40,44 +42,47 @@
     ) => void;
 };
 
-/** An upstream that is silent for so long past the deadline is cut off, so that its slot is not held for ever. */
-const OVERTIME_MS = 250;
+/** Time past the deadline after which an unresponsive upstream is cut off, so that its slot is not held for ever. */
+const DEADLINE_GRACE_MS = 250;
 
-/** An answer without its note, and what the note must say. */
-type RunAnswer = Omit<GateAnswer, "note"> & {
+/** A response without its note, and the values that the note takes from it. */
+type RunResponse = Omit<GateAnswer, "note"> & {
     readonly calls: boolean;
     readonly retriedBelow: boolean;
     readonly unframed: boolean;
 };
 
-/** Holds a slot until the answer's body has ended or, for a streamed answer, until its head. */
+/**
+ * Runs one request. It holds a slot until the response's body has ended, or only until its head for a streamed
+ * response.
+ */
 export class UpstreamRun {
     readonly #startedAt: number;
     readonly #requestId: string;
-    readonly #work: WorkTime;
+    readonly #workTime: WorkTime;
     readonly #context: ReturnType<CallContexts["open"]>;
     readonly #cancel = new Cancel();
-    readonly #overtime: NodeJS.Timeout;
-    #open = true;
-    #hasHead = false;
-    #suspected: NodeJS.Timeout | undefined;
+    readonly #deadlineTimer: NodeJS.Timeout;
+    #isActive = true;
+    #hasResponseHead = false;
+    #abortTimer: NodeJS.Timeout | undefined;
 
     constructor(private readonly request: GateRequest, private readonly parts: RunParts) {
         this.#startedAt = parts.clock();
         const { headers, head } = request.call;
         const { deadline } = request;
-        this.#work = new WorkTime(parts.levels, this.#startedAt);
+        this.#workTime = new WorkTime(parts.levels, this.#startedAt);
         this.#requestId = parts.dialect.idOf(headers, head.id);
-        const run = { deadline, depth: head.depth, repeated: head.arrival !== "first", work: this.#work };
-        this.#context = parts.contexts.open(this.#requestId, run);
-        this.#overtime = setTimeout(() => {
-            this.#giveUp();
+        const runDetails = { deadline, depth: head.depth, repeated: head.arrival !== "first", work: this.#workTime };
+        this.#context = parts.contexts.open(this.#requestId, runDetails);
+        this.#deadlineTimer = setTimeout(() => {
+            this.#abortUnanswered();
             this.#cancel.abort();
-        }, deadline - this.#startedAt + OVERTIME_MS);
+        }, deadline - this.#startedAt + DEADLINE_GRACE_MS);
     }
 
-    /** It is not the first of its request, or its request is a call of such a one. */
-    get repeated(): boolean {
+    /** True if the run is a repeat, or serves a call that a repeat makes. */
+    get isRepeat(): boolean {
         return this.request.call.head.arrival !== "first";
     }
 
@@ -85,108 +90,110 @@
         return this.request.key;
     }
 
-    /** Calls it off, unless it may run only once: then it is let finish. */
-    callOff(): void {
+    /** Aborts the run, unless the request may run only once: then it runs to its end. */
+    cancel(): void {
         if (!this.request.once) {
             this.#cancel.abort();
         }
     }
 
-    /** How long it has run, in milliseconds. */
+    /** Returns how long the run has taken so far, in milliseconds. */
     ageMs(now: number): number {
         return now - this.#startedAt;
     }
 
-    /** Gives the request up if it has no answer so long after its start: its connection may have gone silent. */
-    suspect(afterMs: number): void {
-        if (!this.#hasHead && this.#suspected === undefined) {
+    /**
+     * Aborts the run if it has no response `afterMs` milliseconds after its start: its connection may be unresponsive.
+     */
+    abortIfUnanswered(afterMs: number): void {
+        if (!this.#hasResponseHead && this.#abortTimer === undefined) {
             const now = this.parts.clock();
-            this.#suspected = setTimeout(() => this.#giveUp(), Math.max(0, this.#startedAt + afterMs - now));
+            this.#abortTimer = setTimeout(() => this.#abortUnanswered(), Math.max(0, this.#startedAt + afterMs - now));
         }
     }
 
-    #giveUp(): void {
-        if (!this.#hasHead) {
+    #abortUnanswered(): void {
+        if (!this.#hasResponseHead) {
             this.#cancel.abort();
             this.parts.client.recordUnanswered(this.#startedAt);
         }
     }
 
-    /** Sends the request; throws an UpstreamError, and then the run has ended. */
-    async send(): Promise<RunAnswer> {
+    /** Sends the request. If it throws an UpstreamError, the run has ended. */
+    async send(): Promise<RunResponse> {
         const { request, parts } = this;
         const callerCancel = request.upstreamCancel();
-        const forget = callerCancel?.onAbort(() => this.#cancel.abort());
+        const removeAbortListener = callerCancel?.onAbort(() => this.#cancel.abort());
         if (callerCancel?.aborted) {
             this.#cancel.abort();
         }
         try {
-            const answer = await parts.client.send(request.call, this.#headers(), this.#cancel);
-            this.#hasHead = true;
-            parts.crashes.lived(this.#startedAt);
-            const streamed = request.call.head.answer === "streamed";
-            if (streamed) {
+            const response = await parts.client.send(request.call, this.#requestHeaders(), this.#cancel);
+            this.#hasResponseHead = true;
+            parts.crashDetector.recordResponse(this.#startedAt);
+            const isStreamed = request.call.head.answer === "streamed";
+            if (isStreamed) {
                 this.#end(true);
             }
             return {
-                status: answer.status,
-                headers: cleanHeaders(answer.headers),
-                body: streamed ? answer.body : this.#watch(answer.body, answer.status),
+                status: response.status,
+                headers: cleanHeaders(response.headers),
+                body: isStreamed ? response.body : this.#trackBody(response.body, response.status),
                 calls: this.#context.calls.size > 0,
                 retriedBelow: this.#context.retriedBelow,
-                unframed: !isFramed(answer.headers),
+                unframed: !isFramed(response.headers),
             };
         }
         catch (err) {
             if (request.once && err instanceof UpstreamError && reasons[err.reason].proves === "not-run") {
-                parts.ledger.disprove(request.call.head.id);
+                parts.ledger.markNotRun(request.call.head.id);
             }
-            this.#recordBroken(err);
-            forget?.();
+            this.#recordFailure(err);
+            removeAbortListener?.();
             this.#end(false);
             throw err;
         }
     }
 
-    #recordBroken(err: unknown): void {
-        const { request: { key }, parts: { crashes } } = this;
+    #recordFailure(err: unknown): void {
+        const { request: { key }, parts: { crashDetector } } = this;
         const reason = err instanceof UpstreamError ? err.reason : undefined;
         if (reason === "upstream-broke") {
-            crashes.ended(key, this.#cancel.aborted);
+            crashDetector.recordBrokenRun(key, this.#cancel.aborted);
         }
         else if (reason === "unreachable") {
-            crashes.gone();
+            crashDetector.recordUnreachable();
         }
     }
 
-    /** Ends the run with the body; a `once` request's answer is read to its end whoever has left. */
-    #watch(body: Readable, status: number): Readable {
+    /** Ends the run with the body. The response to a `once` request is read to its end even if its caller has left. */
+    #trackBody(body: Readable, status: number): Readable {
         body.on("close", () => {
             this.#recordServed(body.readableEnded, status);
             this.#end(true);
         });
-        body.on("error", () => this.parts.crashes.ended(this.request.key, this.#cancel.aborted));
+        body.on("error", () => this.parts.crashDetector.recordBrokenRun(this.request.key, this.#cancel.aborted));
         if (!this.request.once) {
             return body;
         }
-        const out = new PassThrough();
-        body.on("error", err => out.destroy(err));
-        out.on("error", () => {
-            // The upstream's answer is read to its end all the same.
+        const output = new PassThrough();
+        body.on("error", err => output.destroy(err));
+        output.on("error", () => {
+            // The response is read to its end regardless.
         });
-        out.on("close", () => body.unpipe(out).resume());
-        return body.pipe(out);
+        output.on("close", () => body.unpipe(output).resume());
+        return body.pipe(output);
     }
 
-    /** An answer that came whole, and is no failure of the upstream's own, speaks for the request. */
-    #recordServed(whole: boolean, status: number): void {
+    /** Reports the request as served if its response is complete and no server error. */
+    #recordServed(isComplete: boolean, status: number): void {
         const { request: { key }, parts: { onServed } } = this;
-        if (whole && key !== undefined && status < httpStatus.internalServerError) {
+        if (isComplete && key !== undefined && status < httpStatus.internalServerError) {
             onServed(key);
         }
     }
 
-    #headers(): HttpHeaders {
+    #requestHeaders(): HttpHeaders {
         const { call, deadline } = this.request;
         const { dialect } = this.parts;
         return {
@@ -198,16 +205,16 @@
         };
     }
 
-    #end(served: boolean): void {
-        if (!this.#open) {
+    #end(wasServed: boolean): void {
+        if (!this.#isActive) {
             return;
         }
-        this.#open = false;
-        clearTimeout(this.#overtime);
-        clearTimeout(this.#suspected);
+        this.#isActive = false;
+        clearTimeout(this.#deadlineTimer);
+        clearTimeout(this.#abortTimer);
         this.parts.contexts.close(this.#context);
         this.parts.ledger.finish(this.request.call.head.id);
         const now = this.parts.clock();
-        this.parts.onEnd(served ? this.ageMs(now) : undefined, this.#work.read(now), this.#context.calls);
+        this.parts.onEnd(wasServed ? this.ageMs(now) : undefined, this.#workTime.read(now), this.#context.calls);
     }
 }
