--- a/src/policy/admission/admission.ts
+++ b/src/policy/admission/admission.ts
@@ -1,56 +1,56 @@
 /**
- * May a request run now at its upstream, wait, or not? And when should one that is refused come back?
+ * Decides whether a request at a gate runs, is queued or is refused, and when a refused one should be retried. The gate
+ * counts exactly what an ingress can only estimate. Times are milliseconds on the gate's clock.
  *
- * The gate's counts are exact, so what an ingress only guessed is decided here. A request runs while slots are free; it waits
- * when its turn is expected within the time that it may wait and before its deadline; it is refused at once when it is known
- * not to be served here, or when it could go elsewhere sooner. An upstream that is or may be cold, or states a limit, is sent no more in a
- * second than it takes (policy/rate). Times are milliseconds on the gate's clock.
+ * A request runs while a slot is free. It is queued if its turn is expected within its longest wait and before its
+ * deadline. It is refused at once if it can't be served here in time, or if another upstream may serve it sooner. An
+ * upstream that may be cold or that states a rate limit is sent no more requests a second than it takes (policy/rate).
  */
 import type { Pace } from "../failure/pace.js";
 import type { LoadReport } from "../placement/loadreport.js";
 import { limitAtRate } from "../rate/limitatrate.js";
 import type { SendRate } from "../rate/sendrate.js";
+import type { AdmissionDecision } from "./admissiondecision.js";
 import type { Ended } from "./ended.js";
 import { isWorthWaiting } from "./isworthwaiting.js";
 import type { LevelClock } from "./levelclock.js";
 import type { Refusal } from "./refusal.js";
-import type { Refused } from "./refused.js";
+import type { RefusedRequest } from "./refusedrequest.js";
 import type { RuleTimes } from "./ruletimes.js";
 import type { SlotLimit } from "./slotlimit.js";
-import type { Verdict } from "./verdict.js";
 import { WaitEstimate } from "./waitestimate.js";
 import type { Waiting } from "./waiting.js";
 import { WaitQueue } from "./waitqueue.js";
 
-/** Requests for each slot that the queue holds at the most; bounds memory. */
-const QUEUE_PER_SLOT = 16;
+/** Maximum number of queued requests for each slot; bounds memory. */
+const MAX_QUEUED_PER_SLOT = 16;
 /**
- * A request that can go elsewhere does so when it would wait longer than this share of a usual service time: sooner
- * within the data hall than out of it.
+ * Share of the mean service time that a request waits at most while another upstream in the ingress's data hall could
+ * serve it. Lower than OTHER_HALL_SHARE, so that it goes elsewhere sooner within the data hall than out of it.
  */
-const NEAR_SHARE = 0.1;
-/** The same where the request must leave the data hall. */
-const FAR_SHARE = 0.2;
-const RUN: Verdict = { type: "run" };
+const SAME_HALL_SHARE = 0.1;
+/** The same while only upstreams in other data halls could serve the request. */
+const OTHER_HALL_SHARE = 0.2;
+const RUN: AdmissionDecision = { type: "run" };
 
-/** What `next` gives: requests that may run now, and requests whose deadline has passed. */
+/** Requests that `next` removes from the queue; those in `late` have expired. */
 type Released<Item> = { readonly run: Item[]; readonly late: Item[]; };
 
-/** Counts what runs and what waits at one upstream. */
+/** Counts the running requests of one upstream and holds the queued ones. */
 export class Admission<Item extends Waiting> {
     readonly #queue = new WaitQueue<Item>();
-    readonly #waits: WaitEstimate;
+    readonly #waitEstimate: WaitEstimate;
     #running = 0;
-    #held = 0;
+    #reserved = 0;
 
     constructor(
         private readonly limit: SlotLimit,
         private readonly times: RuleTimes,
         private readonly levels: LevelClock,
         private readonly pace: Pace,
-        private readonly rate: SendRate,
+        private readonly sendRate: SendRate,
     ) {
-        this.#waits = new WaitEstimate(limit, times, rate);
+        this.#waitEstimate = new WaitEstimate(limit, times, sendRate);
     }
 
     get running(): number {
@@ -61,43 +61,43 @@
         return this.#queue.length;
     }
 
-    /** Slots for work of siblings: those that are neither in use nor held; none where what may be sent in a time is bounded. */
+    /** Returns how many slots can be offered to other gates of the service; 0 while the request rate is bounded. */
     free(now: number): number {
-        const isBounded = this.rate.perSecond(now) !== undefined;
-        return isBounded ? 0 : Math.max(0, this.limit.current() - this.#running - this.#held - this.#queue.length);
+        const isBounded = this.sendRate.perSecond(now) !== undefined;
+        return isBounded ? 0 : Math.max(0, this.limit.current() - this.#running - this.#reserved - this.#queue.length);
     }
 
-    /** Of the slots, above which the upstream was found to slow down; undefined while none is known. */
+    /** The share of the slots above which the upstream was found to slow down, or undefined if none is known. */
     get learnedShare(): number | undefined {
         return this.limit.learnedShare;
     }
 
-    /** `now` on the gate's clock. */
+    /** Returns the load that the gate reports to ingresses. */
     report(now: number): LoadReport {
         return {
-            running: this.#running + this.#held,
+            running: this.#running + this.#reserved,
             waiting: this.#queue.length,
-            limit: limitAtRate(this.limit.current(), this.times.all.slowMs, this.rate.perSecond(now)),
-            serviceMs: this.times.all.fastMs,
-            baseMs: this.times.all.slowMs,
+            limit: limitAtRate(this.limit.current(), this.times.all.baselineMs, this.sendRate.perSecond(now)),
+            serviceMs: this.times.all.recentMs,
+            baseMs: this.times.all.baselineMs,
         };
     }
 
-    /** Decides on an arrival; one that holds an offer takes the slot held for it. A request that waits is in the queue then. */
-    arrive(item: Item, now: number, holdsOffer = false): Verdict {
-        if (holdsOffer) {
+    /** Decides on a request, and queues it if it has to wait. With `hasReservedSlot` it takes a reserved slot. */
+    arrive(item: Item, now: number, hasReservedSlot = false): AdmissionDecision {
+        if (hasReservedSlot) {
             this.release();
         }
-        this.rate.recordArrival(item.priority, now);
+        this.sendRate.recordArrival(item.priority, now);
         if (now >= item.deadline) {
             return { type: "refuse", refusal: { reason: "deadline", retryAfterMs: 0 } };
         }
-        const isFirst = this.#queue.length === 0 && this.#waits.forClassMs(item.priority, now) === 0;
-        if (isFirst && this.#mayStart(now) && !this.#waitsForPace(item, now)) {
+        const isNext = this.#queue.length === 0 && this.#waitEstimate.priorityWaitMs(item.priority, now) === 0;
+        if (isNext && this.#canStart(now) && !this.#awaitsPace(item, now)) {
             this.#start(item, now);
             return RUN;
         }
-        const refusal = this.#refusal(item, now);
+        const refusal = this.#refusalFor(item, now);
         if (refusal !== undefined) {
             return { type: "refuse", refusal };
         }
@@ -105,27 +105,27 @@
         return { type: "wait" };
     }
 
-    /** Keeps a slot free for a while; false when none is free. */
+    /** Reserves a slot for a request that will arrive; returns false if none is free. */
     hold(now: number): boolean {
         if (this.free(now) === 0) {
             return false;
         }
-        this.#held += 1;
+        this.#reserved += 1;
         return true;
     }
 
-    /** Gives a held slot back. */
+    /** Releases a reserved slot. */
     release(): void {
-        this.#held = Math.max(0, this.#held - 1);
+        this.#reserved = Math.max(0, this.#reserved - 1);
     }
 
     /**
-     * Records that a running request has ended; `serviceMs` is undefined when it says nothing of the upstream. While the upstream states a
-     * limit nothing is learnt from it: it runs few at once, and is in need.
+     * Records that a running request has finished; `serviceMs` is undefined if its time is no measure of the upstream.
+     * Ignores times while the upstream states a rate limit: it is degraded and runs few requests at a time.
      */
     finish(serviceMs: number | undefined, ended: Ended | undefined, now: number): void {
         this.#setRunning(this.#running - 1, now);
-        if (serviceMs !== undefined && ended !== undefined && !this.rate.isLimited) {
+        if (serviceMs !== undefined && ended !== undefined && !this.sendRate.isLimited) {
             const { rule, work, pace = 1 } = ended;
             this.times.observe(rule, serviceMs, work.reduce((sum, ms) => sum + ms, 0) / pace);
             const usualMs = this.times.longMs(rule) * pace;
@@ -133,28 +133,28 @@
         }
     }
 
-    /** True while a slot is free for a request that waits until the upstream works faster. */
+    /** Returns true while the first queued request has a free slot but waits until the upstream works faster. */
     isWaitingForPace(now: number): boolean {
-        const item = this.#queue.first();
-        return item !== undefined && this.#mayStart(now) && this.#waitsForPace(item, now);
+        const item = this.#queue.peek();
+        return item !== undefined && this.#canStart(now) && this.#awaitsPace(item, now);
     }
 
-    /** When the first of those that wait may be sent, where it waits for no slot but for the rate; undefined where it does not. */
+    /** Returns when the first queued request may be sent if only the request rate holds it back, else undefined. */
     opensAt(now: number): number | undefined {
-        const isHeld = this.#queue.length > 0 && this.#hasSlot && !this.rate.isOpen(now);
-        return isHeld ? this.rate.opensAt(1, now) : undefined;
+        const isRateLimited = this.#queue.length > 0 && this.#hasFreeSlot && !this.sendRate.isOpen(now);
+        return isRateLimited ? this.sendRate.opensAt(1, now) : undefined;
     }
 
-    /** Takes a waiting request out; false when it does not wait. */
+    /** Removes a request from the queue; returns false if it is not queued. */
     leave(item: Item): boolean {
         return this.#queue.remove(item);
     }
 
-    /** Decides anew on all that wait, since the upstream takes less than it did; gives those that are refused now. */
-    reconsider(now: number): Refused<Item>[] {
-        const refused: Refused<Item>[] = [];
+    /** Decides again on all queued requests after the request rate has fallen; returns those that are now refused. */
+    reconsider(now: number): RefusedRequest<Item>[] {
+        const refused: RefusedRequest<Item>[] = [];
         for (const item of this.#queue.removeWhere(() => true)) {
-            const refusal = this.#refusal(item, now);
+            const refusal = this.#refusalFor(item, now);
             if (refusal === undefined) {
                 this.#queue.push(item);
             }
@@ -165,18 +165,18 @@
         return refused;
     }
 
-    /** Takes out up to `count` waiting requests that the test allows, to be served elsewhere. */
-    handBack(count: number, test: (item: Item) => boolean): Item[] {
-        let left = count;
-        return this.#queue.removeWhere(item => left > 0 && test(item) && (left -= 1) >= 0);
+    /** Removes up to `count` queued requests that match the predicate, so that other upstreams serve them. */
+    handBack(count: number, predicate: (item: Item) => boolean): Item[] {
+        let remaining = count;
+        return this.#queue.removeWhere(item => remaining > 0 && predicate(item) && (remaining -= 1) >= 0);
     }
 
-    /** Releases what may run now; what has waited past its deadline comes out as late. */
+    /** Removes the requests that may run now, and the expired ones ahead of them, from the queue. */
     next(now: number): Released<Item> {
         const released: Released<Item> = { run: [], late: [] };
         for (;;) {
-            const item = this.#queue.first();
-            if (item === undefined || !this.#mayStart(now) || (now < item.deadline && this.#waitsForPace(item, now))) {
+            const item = this.#queue.peek();
+            if (item === undefined || !this.#canStart(now) || (now < item.deadline && this.#awaitsPace(item, now))) {
                 break;
             }
             this.#queue.shift();
@@ -190,25 +190,25 @@
         return released;
     }
 
-    /** When a request that is refused now is likely to find a slot, in milliseconds. */
+    /** Returns in how many milliseconds a request that is refused now is likely to find a slot. */
     retryAfterMs(item: Item, now: number): number {
-        return this.#waits.comeBackMs(item.rule, this.#waits.waitMs(this.#placeOf(item), now));
+        return this.#waitEstimate.retryAfterMs(item.rule, this.#waitEstimate.waitMs(this.#positionOf(item), now));
     }
 
-    get #hasSlot(): boolean {
-        return this.#running + this.#held < this.limit.current();
+    get #hasFreeSlot(): boolean {
+        return this.#running + this.#reserved < this.limit.current();
     }
 
-    #mayStart(now: number): boolean {
-        return this.#hasSlot && this.rate.isOpen(now);
+    #canStart(now: number): boolean {
+        return this.#hasFreeSlot && this.sendRate.isOpen(now);
     }
 
     #start({ priority }: Item, now: number): void {
         this.#setRunning(this.#running + 1, now);
-        this.rate.recordSent(priority, now);
+        this.sendRate.recordSent(priority, now);
     }
 
-    #waitsForPace({ rule }: Item, now: number): boolean {
+    #awaitsPace({ rule }: Item, now: number): boolean {
         const slowdown = this.pace.slowdown(now);
         return slowdown > 1
             && isWorthWaiting({ workMs: this.times.longMs(rule), slowdown, spellMs: this.pace.spellMs(now) });
@@ -219,30 +219,30 @@
         this.levels.setRunning(running, now);
     }
 
-    /** The turn that an arrival has, by what is ahead of it: the first is 1. */
-    #placeOf(item: Item): number {
-        return this.#queue.ahead(item) + 1;
+    /** Returns the position that a request would have in the queue; the first is 1. */
+    #positionOf(item: Item): number {
+        return this.#queue.countAhead(item) + 1;
     }
 
-    #refusal(item: Item, now: number): Refusal | undefined {
-        const place = this.#placeOf(item);
-        const waitMs = this.#waits.waitMs(place, now);
-        const retryAfterMs = this.#waits.comeBackMs(item.rule, waitMs);
-        const classMs = this.#waits.forClassMs(item.priority, now);
-        if (classMs > 0) {
-            return { reason: "limited", retryAfterMs: this.#waits.comeBackMs(item.rule, classMs) };
+    #refusalFor(item: Item, now: number): Refusal | undefined {
+        const position = this.#positionOf(item);
+        const waitMs = this.#waitEstimate.waitMs(position, now);
+        const retryAfterMs = this.#waitEstimate.retryAfterMs(item.rule, waitMs);
+        const priorityWaitMs = this.#waitEstimate.priorityWaitMs(item.priority, now);
+        if (priorityWaitMs > 0) {
+            return { reason: "limited", retryAfterMs: this.#waitEstimate.retryAfterMs(item.rule, priorityWaitMs) };
         }
-        const worthWaitingMs = this.times.all.slowMs * (item.nearChoices > 0 ? NEAR_SHARE : FAR_SHARE);
-        if (item.choices > 0 && this.#waits.forRateMs(place, now) > worthWaitingMs) {
-            return { reason: this.rate.reason(now), retryAfterMs };
+        const acceptableMs = this.times.all.baselineMs * (item.nearChoices > 0 ? SAME_HALL_SHARE : OTHER_HALL_SHARE);
+        if (item.choices > 0 && this.#waitEstimate.rateWaitMs(position, now) > acceptableMs) {
+            return { reason: this.sendRate.reason(now), retryAfterMs };
         }
-        if (this.#queue.length >= this.limit.current() * QUEUE_PER_SLOT) {
+        if (this.#queue.length >= this.limit.current() * MAX_QUEUED_PER_SLOT) {
             return { reason: "queue-full", retryAfterMs };
         }
-        if (waitMs > Math.min(item.maxWaitMs, item.deadline - now - this.times.usualMs(item.rule))) {
+        if (waitMs > Math.min(item.maxWaitMs, item.deadline - now - this.times.meanServiceMs(item.rule))) {
             return { reason: "wait-too-long", retryAfterMs };
         }
-        if (item.choices > 0 && waitMs > worthWaitingMs) {
+        if (item.choices > 0 && waitMs > acceptableMs) {
             return { reason: "busy", retryAfterMs };
         }
         return undefined;
--- a/src/policy/admission/verdict.ts
+++ b/src/policy/admission/admissiondecision.ts
@@ -1,8 +1,8 @@
-/** What a gate decides on a request that arrives. */
+/** The decision of a gate on a request that arrives. */
 import type { Refusal } from "./refusal.js";
 
-/** Run now, wait in the queue, or be refused at once. */
-export type Verdict =
+/** The request runs now, is queued or is refused. */
+export type AdmissionDecision =
     | { readonly type: "run"; }
     | { readonly type: "wait"; }
     | { readonly type: "refuse"; readonly refusal: Refusal; };
--- a/src/policy/admission/ended.ts
+++ b/src/policy/admission/ended.ts
@@ -1,5 +1,8 @@
-/** What is known of a request that has ended at its upstream. */
+/** What admission learns from a request that has finished at its upstream. */
 import type { RuleName } from "../../ids/rulename.js";
 
-/** Its rule, its work's time (worktime.ts), the upstream's pace when it began. */
+/**
+ * `work` is the time in milliseconds that the upstream worked on the request at each concurrency level (worktime.ts);
+ * `pace` is the upstream's pace when the request started.
+ */
 export type Ended = { readonly rule?: RuleName; readonly work: Float64Array; readonly pace?: number; };
--- a/src/policy/admission/fairqueue.ts
+++ b/src/policy/admission/fairqueue.ts
@@ -1,103 +1,104 @@
-/** Whose turn is it among keys that share by weight? Start-time fair queueing (Goyal and others 1996), each item costing the same. */
+/** Shares turns between keys by weight (start-time fair queueing, Goyal et al. 1996); all items cost the same. */
 
-type Lane<Item> = { items: Item[]; pass: number; weight: number; };
+/** The items of one key. The flow with the lowest `tag`, a virtual time, has the next turn. */
+type Flow<Item> = { items: Item[]; tag: number; weight: number; };
 
-/** A line for each key; the keys share by weight, and none starves. */
+/** Gives each key with items turns in proportion to its weight, so that none starves. */
 export class FairQueue<Key, Item> {
-    readonly #lanes = new Map<Key, Lane<Item>>();
+    readonly #flows = new Map<Key, Flow<Item>>();
     #virtualTime = 0;
     #length = 0;
 
-    /** `before` sorts the items of a key: first in, first out when it is left out. */
+    /** `precedes` orders the items of a key; without it they are first in, first out. */
     constructor(
         private readonly weightOf: (key: Key) => number,
-        private readonly before?: (one: Item, other: Item) => boolean,
+        private readonly precedes?: (a: Item, b: Item) => boolean,
     ) {}
 
     get length(): number {
         return this.#length;
     }
 
-    /** Items that wait under a key. */
-    waiting(key: Key): number {
-        return this.#lanes.get(key)?.items.length ?? 0;
+    /** Returns the number of queued items of a key. */
+    countOf(key: Key): number {
+        return this.#flows.get(key)?.items.length ?? 0;
     }
 
     push(key: Key, item: Item): void {
-        const lane = this.#lanes.get(key) ?? this.#open(key);
-        lane.items.splice(this.#placeOf(lane.items, item), 0, item);
+        const flow = this.#flows.get(key) ?? this.#addFlow(key);
+        flow.items.splice(this.#indexFor(flow.items, item), 0, item);
         this.#length += 1;
     }
 
-    /** The next item, which stays; undefined when none waits. */
-    first(): Item | undefined {
-        const key = this.#next();
-        return key === undefined ? undefined : this.#lanes.get(key)!.items[0];
+    /** Returns the next item without removing it, or undefined if the queue is empty. */
+    peek(): Item | undefined {
+        const key = this.#nextKey();
+        return key === undefined ? undefined : this.#flows.get(key)!.items[0];
     }
 
-    /** Takes the next item, undefined when none waits. */
+    /** Removes and returns the next item, or returns undefined if the queue is empty. */
     shift(): Item | undefined {
-        const key = this.#next();
+        const key = this.#nextKey();
         if (key === undefined) {
             return undefined;
         }
-        const lane = this.#lanes.get(key)!;
-        const item = lane.items.shift();
-        this.#virtualTime = lane.pass;
-        lane.pass += 1 / lane.weight;
+        const flow = this.#flows.get(key)!;
+        const item = flow.items.shift();
+        this.#virtualTime = flow.tag;
+        flow.tag += 1 / flow.weight;
         this.#length -= 1;
-        this.#close(key, lane);
+        this.#removeIfEmpty(key, flow);
         return item;
     }
 
-    /** Takes an item out of its turn; false when it does not wait. */
+    /** Removes an item before its turn; returns false if it is not queued. */
     remove(key: Key, item: Item): boolean {
-        const lane = this.#lanes.get(key);
-        const at = lane?.items.indexOf(item) ?? -1;
-        if (lane === undefined || at < 0) {
+        const flow = this.#flows.get(key);
+        const index = flow?.items.indexOf(item) ?? -1;
+        if (flow === undefined || index < 0) {
             return false;
         }
-        lane.items.splice(at, 1);
+        flow.items.splice(index, 1);
         this.#length -= 1;
-        this.#close(key, lane);
+        this.#removeIfEmpty(key, flow);
         return true;
     }
 
-    /** All that wait, in no particular order. */
+    /** Returns all queued items, in no particular order. */
     items(): Item[] {
-        return [...this.#lanes.values()].flatMap(lane => lane.items);
+        return [...this.#flows.values()].flatMap(flow => flow.items);
     }
 
-    #placeOf(items: readonly Item[], item: Item): number {
-        let at = items.length;
-        while (this.before !== undefined && at > 0 && this.before(item, items[at - 1]!)) {
-            at -= 1;
+    #indexFor(items: readonly Item[], item: Item): number {
+        let index = items.length;
+        while (this.precedes !== undefined && index > 0 && this.precedes(item, items[index - 1]!)) {
+            index -= 1;
         }
-        return at;
+        return index;
     }
 
-    #open(key: Key): Lane<Item> {
+    #addFlow(key: Key): Flow<Item> {
         const weight = this.weightOf(key);
-        const lane = { items: [], pass: this.#virtualTime + 1 / weight, weight };
-        this.#lanes.set(key, lane);
-        return lane;
+        const flow = { items: [], tag: this.#virtualTime + 1 / weight, weight };
+        this.#flows.set(key, flow);
+        return flow;
     }
 
-    #close(key: Key, lane: Lane<Item>): void {
-        if (lane.items.length === 0) {
-            this.#lanes.delete(key);
+    #removeIfEmpty(key: Key, flow: Flow<Item>): void {
+        if (flow.items.length === 0) {
+            this.#flows.delete(key);
         }
     }
 
-    #next(): Key | undefined {
-        let best: Key | undefined;
-        let bestPass = Infinity;
-        for (const [key, lane] of this.#lanes) {
-            if (lane.pass < bestPass) {
-                best = key;
-                bestPass = lane.pass;
+    #nextKey(): Key | undefined {
+        let nextKey: Key | undefined;
+        let lowestTag = Infinity;
+        for (const [key, flow] of this.#flows) {
+            if (flow.tag < lowestTag) {
+                nextKey = key;
+                lowestTag = flow.tag;
             }
         }
-        return best;
+        return nextKey;
     }
 }
--- a/src/policy/admission/findknee.ts
+++ b/src/policy/admission/findknee.ts
@@ -1,40 +1,44 @@
 /**
- * From how many requests at once does an upstream take longer, and is it worth keeping below?
+ * Finds the knee of an upstream: the concurrency level above which its service times rise.
  *
- * The levels are parted in two where that explains most of what times differ by (a regression tree of one split, Breiman and
- * others 1984). The lower part must be clearly faster, and so much that fewer requests at once get more done.
+ * Splits the levels in two where the split explains most of the variance of the times (a regression tree with one
+ * split, Breiman et al. 1984). The split is a knee only if work at the lower levels is clearly faster, by so much that
+ * fewer requests at a time give a higher throughput.
  */
-import { leastLimit } from "./leastlimit.js";
-import type { LevelRates } from "./levelrates.js";
+import type { LevelRegression } from "./levelregression.js";
+import { minLimit } from "./minlimit.js";
 
-/** Answers on each side below which nothing is said. */
-const MIN_SIDE = 6;
-/** The same at the level itself: what was never run is no limit. */
-const MIN_LEVEL = 2;
-/** F statistic: three standard errors, as several splits are tried. */
-const CLEAR_EVIDENCE = 9;
-/** Fewer at once must get so many times as much done, to be worth it. */
-const CLEAR_GAIN = 1.06;
+/** Minimum number of responses on each side of a split. */
+const MIN_RESPONSES_PER_SIDE = 6;
+/** Minimum number of responses at the level itself, so that a level that was never run is not taken for a knee. */
+const MIN_RESPONSES_AT_LEVEL = 2;
+/** Minimum F statistic of a split: three standard errors, because several splits are compared. */
+const MIN_F_STATISTIC = 9;
+/** Minimum ratio of the throughput at the knee to the throughput with all slots. */
+const MIN_GAIN = 1.06;
 
-/** `level`: the most that run without taking longer. `gain`: how many times as much is done then as with all slots. */
+/**
+ * `level` is the highest level without a slowdown; `gain` is the ratio of the throughput there to the throughput with
+ * all slots.
+ */
 type Knee = { readonly level: number; readonly gain: number; };
 
-/** Undefined where no level is clearly better than all slots. */
-export function findKnee(rates: LevelRates, levels: number): Knee | undefined {
+/** Returns the knee, or undefined if no level is clearly better than all slots. */
+export function findKnee(regression: LevelRegression, levels: number): Knee | undefined {
     let best: Knee | undefined;
-    let most = 0;
-    for (let level = levels - 1; level >= leastLimit(levels); level--) {
-        const isKnown = rates.answers(level, level) >= MIN_LEVEL
-            && rates.answers(0, level) >= MIN_SIDE
-            && rates.answers(level + 1, levels) >= MIN_SIDE;
-        if (!isKnown) {
+    let highestFStatistic = 0;
+    for (let level = levels - 1; level >= minLimit(levels); level--) {
+        const hasEnoughResponses = regression.responses(level, level) >= MIN_RESPONSES_AT_LEVEL
+            && regression.responses(0, level) >= MIN_RESPONSES_PER_SIDE
+            && regression.responses(level + 1, levels) >= MIN_RESPONSES_PER_SIDE;
+        if (!hasEnoughResponses) {
             continue;
         }
-        const { slower, evidence } = rates.split(level);
-        if (slower > 1 && evidence > most) {
-            most = evidence;
-            const gain = level / levels * slower;
-            best = evidence > CLEAR_EVIDENCE && gain > CLEAR_GAIN ? { level, gain } : undefined;
+        const { slowdown, fStatistic } = regression.splitAt(level);
+        if (slowdown > 1 && fStatistic > highestFStatistic) {
+            highestFStatistic = fStatistic;
+            const gain = level / levels * slowdown;
+            best = fStatistic > MIN_F_STATISTIC && gain > MIN_GAIN ? { level, gain } : undefined;
         }
     }
     return best;
--- a/src/policy/admission/fixedlimit.ts
+++ b/src/policy/admission/fixedlimit.ts
@@ -1,7 +1,7 @@
-/** How many requests may run at once? A baseline: the slots that operators set. */
+/** Limits the requests that run at a time to the slots that operators set; the baseline for the other policies. */
 import { SlotLimit } from "./slotlimit.js";
 
-/** Never changes. */
+/** Returns a constant limit. */
 export class FixedLimit extends SlotLimit {
     constructor(private readonly slots: number) {
         super();
--- a/src/policy/admission/isworthwaiting.ts
+++ b/src/policy/admission/isworthwaiting.ts
@@ -1,15 +1,18 @@
 /**
- * Should a request whose turn it is wait until its upstream works faster again?
+ * Decides whether a request that could start waits until its slow upstream recovers. Times are in milliseconds.
  *
- * Upstreams share their machines with others and work several times slower for a moment. Work that begins then keeps its slot for as
- * many times as long: it is late itself, and what waits behind it too. It waits when it would lose less by that than by beginning:
- * long work does, short work doesn't.
+ * Upstreams share their machines with other processes and sometimes work several times slower for a moment. A request
+ * that starts then occupies its slot for several times as long, which delays it and the requests queued behind it. It
+ * waits if that costs less time than starting: this is so for long work, but not for short work.
  */
 
-/** Work takes `workMs` at the usual pace and `slowdown` times that if it begins now; the slow spell lasts `spellMs` more. */
+/**
+ * The work takes `workMs` at the usual pace and `slowdown` times that if it starts now; the upstream stays slow for
+ * `spellMs` more.
+ */
 type WaitInput = { readonly workMs: number; readonly slowdown: number; readonly spellMs: number; };
 
-/** Times in milliseconds. */
+/** Returns true if starting now costs more time than waiting for the end of the slow period. */
 export function isWorthWaiting({ workMs, slowdown, spellMs }: WaitInput): boolean {
     return (slowdown - 1) * workMs > spellMs;
 }
--- a/src/policy/admission/learnedlimit.ts
+++ b/src/policy/admission/learnedlimit.ts
@@ -1,122 +1,135 @@
 /**
- * How many requests may run at once? Ramps up from a cold start, and learns whether the upstream gets more done when its last
- * slots stay free.
+ * Limits the requests that run at a time: opens the slots one by one after a start, and learns whether the upstream's
+ * throughput is higher while its last slots stay free.
  *
- * Many upstreams slow down when they are nearly full, and then fewer at once get more done. While such an upstream is full it runs
- * at one level only, and has nothing to compare that with; so what is not known is tried, for short phases between others: lower
- * levels while all slots are open, the next higher one while some are kept free. Phases next to each other see the same noise.
- * One that only looks slow by chance must not be strangled: the limit falls only for a clear gain (findknee.ts).
+ * The input is the time that each response took at each concurrency level, relative to what is usual for such requests.
  *
- * Ways weighed: additive increase and multiplicative decrease needs a sign of overload that is no chance, and here work takes five
- * times as long by chance; a gradient of times against the least time seen (Vegas) takes the same for a full queue. Both only know the
- * level that they are at.
+ * Many upstreams slow down when they are nearly full, so that fewer requests at a time give a higher throughput. A full
+ * upstream runs at one level only, which leaves nothing to compare it with. The policy therefore probes levels of which
+ * too little is known, in short phases between phases without a probe: lower levels while all slots are open, and the
+ * next higher one while some are kept free. Adjacent phases see the same noise. An upstream that seems slow by chance
+ * must not be throttled, so the limit falls only for a clear gain (findknee.ts).
+ *
+ * Alternatives considered: additive increase with multiplicative decrease needs a sign of overload that does not occur
+ * at random, but here work at random takes five times as long. The gradient of times against the shortest time seen
+ * (TCP Vegas) takes that noise for a full queue. Both only know the level at which they run.
  */
 import { findKnee } from "./findknee.js";
-import { leastLimit } from "./leastlimit.js";
 import { levelOf } from "./levelof.js";
-import { LevelRates } from "./levelrates.js";
+import { LevelRegression } from "./levelregression.js";
 import { levelSize } from "./levelsize.js";
+import { minLimit } from "./minlimit.js";
 import { RampLimit } from "./ramplimit.js";
 import { SlotLimit } from "./slotlimit.js";
 
-/** Of the slots, tried while all are open: below a knee at four fifths of them, and below one at three fifths. */
-const TRIED = [{ share: 0.75, wanted: 16 }, { share: 0.58, wanted: 8 }] as const;
-/** Answers wanted from above the limit while some slots are kept free, among those that are remembered. */
-const WANTED_ABOVE = 16;
-/** Answers in a phase for each slot that is open: what was started before has ended by two thirds of them. */
-const PHASE_TURNS = 1.5;
-/** Answers before something is tried where others' limit is taken over: a start under load is no time for it. */
-const UNDISTURBED = 150;
-/** Answers between two decisions. */
-const DECIDE_EVERY = 8;
+/**
+ * Levels probed while all slots are open, as shares of the slots: one below a knee at four fifths of them, one below a
+ * knee at three fifths. A level is probed until `minResponses` responses are known of it.
+ */
+const PROBES = [{ share: 0.75, minResponses: 16 }, { share: 0.58, minResponses: 8 }] as const;
+/** Remembered responses from above the limit; while there are fewer, the next higher level is probed. */
+const MIN_RESPONSES_ABOVE = 16;
+/** Responses in a phase for each open slot. Requests that started before it have finished after two thirds of it. */
+const PHASE_RESPONSES_PER_SLOT = 1.5;
+/** Responses before the first probe after a knee is adopted: an upstream that starts under load is not probed. */
+const RESPONSES_BEFORE_PROBES = 150;
+/** Responses between two updates of the limit. */
+const RESPONSES_PER_DECISION = 8;
 
-/** Told of each answer, with the time that its work took at each level; decides by levels. */
+/** Learns the limit of one upstream; counts in concurrency levels (levelof.ts). */
 export class LearnedLimit extends SlotLimit {
     readonly #ramp: RampLimit;
-    readonly #rates: LevelRates;
-    #limit: number;
-    /** What is tried in this phase; undefined in phases between. The first phase of all is one. */
-    #tried: number | undefined;
-    #answers = 0;
-    /** A knee was found here, and not only taken over from others. */
-    #isFound = false;
+    readonly #regression: LevelRegression;
+    #limitLevel: number;
+    /** The level probed in this phase; undefined in phases without a probe. The first phase has one. */
+    #probedLevel: number | undefined;
+    #responseCount = 0;
+    /** True once a knee was found at this upstream, rather than adopted from others of its service. */
+    #hasFoundKnee = false;
     #phaseEnd: number;
 
-    readonly #top: number;
-    readonly #size: number;
+    readonly #maxLevel: number;
+    readonly #levelSize: number;
 
-    /** `usualShare`: of the slots, where upstreams of the service were found to slow down; undefined while that is not known. */
-    constructor(slots: number, private readonly usualShare: () => number | undefined = () => undefined) {
+    /**
+     * `serviceKneeShare` returns the share of the slots above which upstreams of the service slow down, or undefined if
+     * none is known.
+     */
+    constructor(slots: number, private readonly serviceKneeShare: () => number | undefined = () => undefined) {
         super();
-        this.#size = levelSize(slots);
-        this.#top = levelOf(slots, slots);
+        this.#levelSize = levelSize(slots);
+        this.#maxLevel = levelOf(slots, slots);
         this.#ramp = new RampLimit(slots);
-        this.#rates = new LevelRates(this.#top);
-        this.#limit = this.#top;
-        this.#tried = this.#unknown();
-        this.#phaseEnd = this.#phase();
-        this.#heedOthers();
+        this.#regression = new LevelRegression(this.#maxLevel);
+        this.#limitLevel = this.#maxLevel;
+        this.#probedLevel = this.#levelToProbe();
+        this.#phaseEnd = this.#phaseLength();
+        this.#adoptSharedKnee();
     }
 
     override get learnedShare(): number | undefined {
-        return this.#isFound && this.#limit < this.#top ? this.#limit / this.#top : undefined;
+        return this.#hasFoundKnee && this.#limitLevel < this.#maxLevel ? this.#limitLevel / this.#maxLevel : undefined;
     }
 
     current(): number {
-        return Math.min(this.#ramp.current(), (this.#tried ?? this.#limit) * this.#size);
+        return Math.min(this.#ramp.current(), (this.#probedLevel ?? this.#limitLevel) * this.#levelSize);
     }
 
-    /** What is known to be best, whatever is tried at the moment. */
-    get best(): number {
-        return this.#limit * this.#size;
+    /** The limit outside of probes. */
+    get bestLimit(): number {
+        return this.#limitLevel * this.#levelSize;
     }
 
     observe(times: Float64Array): void {
         this.#ramp.observe();
-        this.#rates.observe(times);
-        this.#answers += 1;
-        if (this.#answers >= this.#phaseEnd) {
-            this.#tried = this.#tried === undefined ? this.#unknown() : undefined;
-            this.#phaseEnd = this.#answers + this.#phase();
+        this.#regression.observe(times);
+        this.#responseCount += 1;
+        if (this.#responseCount >= this.#phaseEnd) {
+            this.#probedLevel = this.#probedLevel === undefined ? this.#levelToProbe() : undefined;
+            this.#phaseEnd = this.#responseCount + this.#phaseLength();
         }
-        if (this.#answers % DECIDE_EVERY === 0) {
-            const knee = findKnee(this.#rates, this.#top);
-            this.#isFound ||= knee !== undefined;
-            this.#limit = knee?.level ?? this.#withoutKnee();
-            this.#heedOthers();
+        if (this.#responseCount % RESPONSES_PER_DECISION === 0) {
+            const knee = findKnee(this.#regression, this.#maxLevel);
+            this.#hasFoundKnee ||= knee !== undefined;
+            this.#limitLevel = knee?.level ?? this.#levelWithoutKnee();
+            this.#adoptSharedKnee();
         }
     }
 
-    /** One more, where that is known to be no slower. */
-    #withoutKnee(): number {
-        const isKnown = this.#rates.answers(this.#limit + 1, this.#top) >= WANTED_ABOVE / 2;
-        return this.#limit < this.#top && isKnown ? this.#limit + 1 : this.#limit;
+    /** Returns the next higher level if enough responses show that it is no slower, else the present one. */
+    #levelWithoutKnee(): number {
+        const hasEnoughResponses =
+            this.#regression.responses(this.#limitLevel + 1, this.#maxLevel) >= MIN_RESPONSES_ABOVE / 2;
+        return this.#limitLevel < this.#maxLevel && hasEnoughResponses ? this.#limitLevel + 1 : this.#limitLevel;
     }
 
-    /** Goes by what was found at others of the service, as long as nothing is known here of the levels above that. */
-    #heedOthers(): void {
-        const share = this.#limit === this.#top ? this.usualShare() : undefined;
+    /**
+     * Adopts the knee that other upstreams of the service have found, as long as too little is known here of the levels
+     * above it.
+     */
+    #adoptSharedKnee(): void {
+        const share = this.#limitLevel === this.#maxLevel ? this.serviceKneeShare() : undefined;
         if (share === undefined) {
             return;
         }
-        const limit = Math.min(this.#top, Math.max(leastLimit(this.#top), Math.round(share * this.#top)));
-        if (this.#rates.answers(limit + 1, this.#top) < WANTED_ABOVE / 2) {
-            this.#limit = limit;
-            this.#tried = undefined;
-            this.#phaseEnd = this.#answers + UNDISTURBED;
+        const level = Math.min(this.#maxLevel, Math.max(minLimit(this.#maxLevel), Math.round(share * this.#maxLevel)));
+        if (this.#regression.responses(level + 1, this.#maxLevel) < MIN_RESPONSES_ABOVE / 2) {
+            this.#limitLevel = level;
+            this.#probedLevel = undefined;
+            this.#phaseEnd = this.#responseCount + RESPONSES_BEFORE_PROBES;
         }
     }
 
-    /** A level that too little is known of to compare it; undefined when there is none. */
-    #unknown(): number | undefined {
-        if (this.#limit < this.#top) {
-            const above = this.#limit + 1;
-            return this.#rates.answers(above, this.#top) < WANTED_ABOVE ? above : undefined;
+    /** Returns a level with too few responses to compare it with others, or undefined if there is none. */
+    #levelToProbe(): number | undefined {
+        if (this.#limitLevel < this.#maxLevel) {
+            const above = this.#limitLevel + 1;
+            return this.#regression.responses(above, this.#maxLevel) < MIN_RESPONSES_ABOVE ? above : undefined;
         }
-        let below = this.#top;
-        for (const { share, wanted } of TRIED) {
-            const level = Math.max(leastLimit(this.#top), Math.floor(this.#top * share));
-            if (level < below && this.#rates.answers(level - 1, level) < wanted) {
+        let below = this.#maxLevel;
+        for (const { share, minResponses } of PROBES) {
+            const level = Math.max(minLimit(this.#maxLevel), Math.floor(this.#maxLevel * share));
+            if (level < below && this.#regression.responses(level - 1, level) < minResponses) {
                 return level;
             }
             below = level - 1;
@@ -124,7 +137,7 @@
         return undefined;
     }
 
-    #phase(): number {
-        return Math.ceil((this.#tried ?? this.#limit) * this.#size * PHASE_TURNS);
+    #phaseLength(): number {
+        return Math.ceil((this.#probedLevel ?? this.#limitLevel) * this.#levelSize * PHASE_RESPONSES_PER_SLOT);
     }
 }
--- a/src/policy/admission/levelclock.ts
+++ b/src/policy/admission/levelclock.ts
@@ -1,31 +1,31 @@
-/** For how long has an upstream run how many requests at once? */
+/** Measures for how long an upstream has run at each concurrency level. */
 import { levelOf } from "./levelof.js";
 
-/** Of one upstream; the present time, in milliseconds, is an argument. */
+/** Accumulates the time of one upstream. `now` is the present time in milliseconds. */
 export class LevelClock {
-    readonly #spentMs: Float64Array;
+    readonly #elapsedMs: Float64Array;
     #level = 0;
-    #at: number;
+    #updatedAt: number;
 
     constructor(private readonly slots: number, now: number) {
-        this.#spentMs = new Float64Array(levelOf(slots, slots) + 1);
-        this.#at = now;
+        this.#elapsedMs = new Float64Array(levelOf(slots, slots) + 1);
+        this.#updatedAt = now;
     }
 
-    /** Records that so many run from now on. */
+    /** Records that `running` requests run from now on. */
     setRunning(running: number, now: number): void {
         this.#advance(now);
         this.#level = levelOf(running, this.slots);
     }
 
-    /** Milliseconds by the level of requests that ran. */
+    /** Returns the milliseconds spent so far at each level; the index is the level. */
     read(now: number): Float64Array {
         this.#advance(now);
-        return this.#spentMs.slice();
+        return this.#elapsedMs.slice();
     }
 
     #advance(now: number): void {
-        this.#spentMs[this.#level]! += Math.max(0, now - this.#at);
-        this.#at = now;
+        this.#elapsedMs[this.#level]! += Math.max(0, now - this.#updatedAt);
+        this.#updatedAt = now;
     }
 }
--- a/src/policy/admission/levelsize.ts
+++ b/src/policy/admission/levelsize.ts
@@ -1,7 +1,7 @@
-/** How finely are numbers of requests that run at once told apart, at an upstream with many slots? */
+/** Groups numbers of concurrent requests into levels, whose number is bounded. */
 
-/** More levels would say no more of where an upstream slows down; bounds what each run keeps. */
-const MOST_LEVELS = 64;
+/** Bounds the memory of each running request; more levels would not locate the knee better. */
+const MAX_LEVELS = 64;
 
-/** So many requests more are the next level: one, unless there are more slots than levels. */
-export const levelSize = (slots: number): number => Math.ceil(slots / MOST_LEVELS);
+/** Returns the number of concurrent requests per level: 1, unless there are more slots than levels. */
+export const levelSize = (slots: number): number => Math.ceil(slots / MAX_LEVELS);
--- a/src/policy/admission/limitname.ts
+++ b/src/policy/admission/limitname.ts
@@ -1,4 +1,7 @@
-/** The policies of limiting, as settings name them. */
+/** The names of the concurrency limit policies in the settings. */
 
-/** `fixed`: the slots; `ramp`: opened one by one; `learned`: and as few as get the most done. */
+/**
+ * `fixed` allows all slots; `ramp` opens them one by one; `learned` also keeps the last ones free where that raises the
+ * throughput.
+ */
 export type LimitName = "fixed" | "ramp" | "learned";
--- a/src/policy/admission/maxdepth.ts
+++ b/src/policy/admission/maxdepth.ts
@@ -1,5 +1,5 @@
 /**
- * How deep may calls between services be nested? The design is for six (docs/CAPACITY.md); deeper ones are most likely a loop,
- * and are refused two levels later.
+ * Maximum nesting depth of calls between services. The design assumes up to six levels (docs/CAPACITY.md); deeper calls
+ * are most likely a loop, and are refused two levels later.
  */
 export const maxDepth = 8;
--- a/src/policy/admission/maxwait.ts
+++ b/src/policy/admission/maxwait.ts
@@ -1,30 +1,30 @@
 /**
- * How long may a request wait for its turn at a gate?
+ * Decides how long a request may be queued at a gate, in milliseconds.
  *
- * Where its rule has a target, a share of that less what is spent already: a caller that is told soon that all are busy can
- * still be served in time when it comes back. A call for a request that already runs waits as long as it can, since the work on
- * that request is lost otherwise.
+ * A request whose rule has a target response time may wait a share of it, less the time already spent: a caller that is
+ * soon refused because all upstreams are busy can retry and still be served in time. A call made for a running request
+ * may wait as long as its service allows, because the work already done on that request would be lost otherwise.
  */
 
-/** Of the target: the rest is for the work itself, and for a caller that is refused and comes back. */
-const WAIT_SHARE = 0.25;
+/** Share of the target for waiting; the rest is for the work itself, and for a retry after a refusal. */
+const TARGET_WAIT_SHARE = 0.25;
 
-/** Times in milliseconds; `startedAt` is on the daemon's clock. */
-type WaitInput = {
-    /** The service's own bound. */
+/** `startedAt` is a time in milliseconds on the daemon's clock. */
+type MaxWaitInput = {
+    /** The longest wait that the service allows. */
     readonly serviceMaxWaitMs: number;
-    /** The time within which an answer is worth most; undefined where the rule does not say. */
+    /** The time within which a response is worth most, by the rule; undefined if the rule has no target. */
     readonly targetMs: number | undefined;
     readonly startedAt: number;
-    /** How many calls between services lie above this request. */
+    /** The number of nested calls between services that led to this request. */
     readonly depth: number;
 };
 
-/** Milliseconds from now on. */
-export function maxWait({ serviceMaxWaitMs, targetMs, startedAt, depth }: WaitInput, now: number): number {
+/** Returns the longest wait from now on, in milliseconds. */
+export function maxWait({ serviceMaxWaitMs, targetMs, startedAt, depth }: MaxWaitInput, now: number): number {
     if (targetMs === undefined || depth > 0) {
         return serviceMaxWaitMs;
     }
-    const leftMs = targetMs * WAIT_SHARE - (now - startedAt);
-    return Math.max(0, Math.min(serviceMaxWaitMs, leftMs));
+    const remainingMs = targetMs * TARGET_WAIT_SHARE - (now - startedAt);
+    return Math.max(0, Math.min(serviceMaxWaitMs, remainingMs));
 }
--- a/src/policy/admission/ramplimit.test.ts
+++ b/src/policy/admission/ramplimit.test.ts
@@ -2,10 +2,10 @@
 import { test } from "node:test";
 import { RampLimit } from "./ramplimit.js";
 
-test("limit: opens slot by slot from a cold start", () => {
+test("ramp limit: opens one slot with each response, from half of the slots", () => {
     const limit = new RampLimit(10);
     assert.equal(limit.current(), 5);
-    for (let answer = 0; answer < 20; answer++) {
+    for (let response = 0; response < 20; response++) {
         limit.observe();
     }
     assert.equal(limit.current(), 10);
--- a/src/policy/admission/ramplimit.ts
+++ b/src/policy/admission/ramplimit.ts
@@ -1,23 +1,23 @@
-/** How many requests may run at once? The slots that operators set, opened one by one from a cold start. */
+/** Limits the requests that run at a time: opens the slots that operators set one by one after a start. */
 import { SlotLimit } from "./slotlimit.js";
 
-/** Of the slots, that a cold upstream starts with; three quarters gave no more (docs/EXPERIMENTS.md, taken back). */
-const COLD_SHARE = 0.5;
+/** Share of the slots that are open at the start; three quarters brought no improvement (docs/EXPERIMENTS.md). */
+const INITIAL_SHARE = 0.5;
 
-/** Each answer opens another slot. */
+/** Opens one more slot with each response. */
 export class RampLimit extends SlotLimit {
-    #opened: number;
+    #openSlots: number;
 
     constructor(private readonly slots: number) {
         super();
-        this.#opened = Math.max(1, Math.ceil(slots * COLD_SHARE));
+        this.#openSlots = Math.max(1, Math.ceil(slots * INITIAL_SHARE));
     }
 
     current(): number {
-        return this.#opened;
+        return this.#openSlots;
     }
 
     observe(): void {
-        this.#opened = Math.min(this.slots, this.#opened + 1);
+        this.#openSlots = Math.min(this.slots, this.#openSlots + 1);
     }
 }
--- a/src/policy/admission/refusal.ts
+++ b/src/policy/admission/refusal.ts
@@ -1,6 +1,6 @@
-/** Why a gate refuses. */
+/** Why a gate refuses a request. */
 
-/** The reason, and when to come back, in milliseconds. */
+/** The reason, and in how many milliseconds the caller should retry. */
 export type Refusal = {
     readonly reason: "queue-full" | "wait-too-long" | "busy" | "cold" | "limited" | "deadline";
     readonly retryAfterMs: number;
--- a/src/policy/admission/requestdeadline.ts
+++ b/src/policy/admission/requestdeadline.ts
@@ -1,20 +1,20 @@
 /**
- * By when must a request have its answer?
+ * Decides the deadline of a request, in milliseconds on the daemon's clock.
  *
- * By its rule's time limit, or sooner if the caller says that it will not wait so long, or if the request for which it is made
- * ends sooner: a chain of calls runs out of time as one.
+ * It is the earliest of the rule's time limit, the caller's own time limit and the deadline of the request for which
+ * this one is made, so that all requests of a chain of calls expire together.
  */
 
-/** Limits in milliseconds, times in milliseconds on the daemon's clock. */
+/** Limits are in milliseconds; times are milliseconds on the daemon's clock. */
 type DeadlineInput = {
     readonly ruleLimitMs: number;
-    /** Infinity for a caller that does not say. */
+    /** Infinity if the caller states no limit. */
     readonly callerLimitMs: number;
-    /** The deadline of the request for which this one is made, if there is one. */
+    /** The deadline of the request for which this one is made, or undefined if there is none. */
     readonly parentDeadline: number | undefined;
 };
 
-/** On the daemon's clock. */
+/** Returns the deadline on the daemon's clock. */
 export function requestDeadline(input: DeadlineInput, startedAt: number): number {
     const { ruleLimitMs, callerLimitMs, parentDeadline = Infinity } = input;
     return Math.min(startedAt + Math.min(ruleLimitMs, callerLimitMs), parentDeadline);
--- a/src/policy/admission/ruletimes.ts
+++ b/src/policy/admission/ruletimes.ts
@@ -1,44 +1,44 @@
-/** How long the requests of each rule take at one upstream. */
+/** Tracks how long the requests of each rule take at one upstream. */
 import type { RuleName } from "../../ids/rulename.js";
-import { LongMean } from "./longmean.js";
+import { LongTermMean } from "./longtermmean.js";
 import { ServiceTimes } from "./servicetimes.js";
 
-/** Rules with times of their own at the most; bounds memory, far above the rules of one upstream that were seen. */
+/** Maximum number of rules with times of their own. Bounds memory; upstreams have far fewer rules in practice. */
 const MAX_RULES = 256;
 
-type RuleTime = { readonly times: ServiceTimes; readonly long: LongMean; };
+type RuleTime = { readonly service: ServiceTimes; readonly work: LongTermMean; };
 
-/** Bounded: the rule that was seen first is forgotten first. */
+/** Holds a bounded number of rules; evicts the one that was added first. */
 export class RuleTimes {
     readonly #all = new ServiceTimes();
     readonly #byRule = new Map<RuleName, RuleTime>();
 
-    /** All rules together. */
+    /** The service times of all rules together. */
     get all(): ServiceTimes {
         return this.#all;
     }
 
-    /** What is usual for the rule, or else for all; in milliseconds. */
-    usualMs(rule: RuleName | undefined): number {
-        return (rule === undefined ? undefined : this.#byRule.get(rule)?.times.slowMs) ?? this.#all.slowMs;
+    /** Returns the mean service time of the rule in milliseconds, or that of all rules if the rule has none yet. */
+    meanServiceMs(rule: RuleName | undefined): number {
+        return (rule === undefined ? undefined : this.#byRule.get(rule)?.service.baselineMs) ?? this.#all.baselineMs;
     }
 
-    /** How long work on the rule takes over a long time, without calls and at the usual pace; in milliseconds. */
+    /** Returns the long-term mean time of work on the rule in milliseconds, without calls and at the usual pace. */
     longMs(rule: RuleName | undefined): number {
-        return (rule === undefined ? undefined : this.#byRule.get(rule)?.long.value) ?? this.#all.slowMs;
+        return (rule === undefined ? undefined : this.#byRule.get(rule)?.work.value) ?? this.#all.baselineMs;
     }
 
-    /** Records a time, and the part of it that the upstream worked, at its usual pace. */
+    /** Records a service time, and the time that the upstream worked on the request, scaled to its usual pace. */
     observe(rule: RuleName | undefined, serviceMs: number, workMs: number): void {
         this.#all.observe(serviceMs);
         if (rule !== undefined) {
-            const time = this.#timeOf(rule);
-            time.times.observe(serviceMs);
-            time.long.observe(workMs);
+            const time = this.#timesOf(rule);
+            time.service.observe(serviceMs);
+            time.work.observe(workMs);
         }
     }
 
-    #timeOf(rule: RuleName): RuleTime {
+    #timesOf(rule: RuleName): RuleTime {
         const known = this.#byRule.get(rule);
         if (known !== undefined) {
             return known;
@@ -46,7 +46,7 @@
         if (this.#byRule.size >= MAX_RULES) {
             this.#byRule.delete(this.#byRule.keys().next().value!);
         }
-        const time = { times: new ServiceTimes(), long: new LongMean() };
+        const time = { service: new ServiceTimes(), work: new LongTermMean() };
         this.#byRule.set(rule, time);
         return time;
     }
--- a/src/policy/admission/servicetimes.ts
+++ b/src/policy/admission/servicetimes.ts
@@ -1,33 +1,33 @@
-/** How long an upstream takes, now and as a rule. */
+/** Tracks the recent and the usual service time of an upstream. */
 
-/** Of the newest time in the fast average: the last five, about. */
-const FAST_WEIGHT = 0.2;
-/** Of the newest time in the slow average: the last hundred, about. */
-const SLOW_WEIGHT = 0.01;
-/** The slow average is a plain mean over the first answers, so that the very first does not set it. */
-const WARMUP = 1 / SLOW_WEIGHT;
-/** Assumed before the first answer, in milliseconds; the same as placement assumes. */
-const START_MS = 5;
+/** Weight of the newest time in the recent mean, which covers about the last five. */
+const RECENT_WEIGHT = 0.2;
+/** Weight of the newest time in the baseline, which covers about the last hundred. */
+const BASELINE_WEIGHT = 0.01;
+/** Samples over which the baseline is at first an arithmetic mean, so that the very first does not dominate it. */
+const WARM_UP_SAMPLES = 1 / BASELINE_WEIGHT;
+/** Assumed before the first response; the same as placement assumes. */
+const INITIAL_MS = 5;
 
-/** A fast and a slow moving average of service times, in milliseconds. */
+/** Keeps two moving averages of service times, in milliseconds: a recent mean and a slowly changing baseline. */
 export class ServiceTimes {
     #count = 0;
-    #fastMs = START_MS;
-    #slowMs = START_MS;
+    #recentMs = INITIAL_MS;
+    #baselineMs = INITIAL_MS;
 
-    get fastMs(): number {
-        return this.#fastMs;
+    get recentMs(): number {
+        return this.#recentMs;
     }
 
-    get slowMs(): number {
-        return this.#slowMs;
+    get baselineMs(): number {
+        return this.#baselineMs;
     }
 
     observe(serviceMs: number): void {
-        this.#count = Math.min(this.#count + 1, WARMUP);
-        const slowWeight = Math.max(SLOW_WEIGHT, 1 / this.#count);
-        const fastWeight = Math.max(FAST_WEIGHT, 1 / this.#count);
-        this.#slowMs += slowWeight * (serviceMs - this.#slowMs);
-        this.#fastMs += fastWeight * (serviceMs - this.#fastMs);
+        this.#count = Math.min(this.#count + 1, WARM_UP_SAMPLES);
+        const baselineWeight = Math.max(BASELINE_WEIGHT, 1 / this.#count);
+        const recentWeight = Math.max(RECENT_WEIGHT, 1 / this.#count);
+        this.#baselineMs += baselineWeight * (serviceMs - this.#baselineMs);
+        this.#recentMs += recentWeight * (serviceMs - this.#recentMs);
     }
 }
--- a/src/policy/admission/slotlimit.ts
+++ b/src/policy/admission/slotlimit.ts
@@ -1,17 +1,17 @@
-/** How many requests a gate lets its upstream serve at once. */
+/** Decides how many requests a gate lets its upstream serve at a time. */
 
-/** A policy of limiting; observes each answer. */
+/** A concurrency limit policy, which observes each response. */
 export abstract class SlotLimit {
-    /** Of the slots, above which the upstream was found to slow down; undefined while none is known. */
+    /** The share of the slots above which the upstream was found to slow down, or undefined if none is known. */
     get learnedShare(): number | undefined {
         return undefined;
     }
 
-    /** The most that may run now. */
+    /** Returns the maximum number of requests that may run now. */
     abstract current(): number;
     /**
-     * Records that the upstream has finished a request; the time that its work took while so many ran at once (the index) is
-     * relative to what is usual for such requests.
+     * Records that the upstream has finished a request. `times` holds the time that its work took at each concurrency
+     * level (the index), relative to what is usual for such requests.
      */
     abstract observe(times: Float64Array): void;
 }
--- a/src/policy/admission/usualshare.ts
+++ b/src/policy/admission/usualshare.ts
@@ -1,11 +1,11 @@
 /**
- * Where do upstreams of a service slow down, by what its gates have found?
+ * Combines the shares of the slots above which the upstreams of a service were found to slow down.
  *
- * The middle of what was found at several: one of them may err, and a new one begins by it.
+ * Takes the lower median, because a single finding may be wrong and a new upstream starts from the result.
  */
 
-/** Shares of the slots; undefined where nothing was found. */
+/** Returns the lower median of the shares, or undefined if there are none. */
 export function usualShare(shares: readonly number[]): number | undefined {
-    const sorted = [...shares].sort((one, other) => one - other);
+    const sorted = [...shares].sort((a, b) => a - b);
     return sorted[Math.floor((sorted.length - 1) / 2)];
 }
--- a/src/policy/admission/waitestimate.ts
+++ b/src/policy/admission/waitestimate.ts
@@ -1,7 +1,8 @@
 /**
- * How long does a request wait at one upstream, and when should one that is refused come back?
+ * Estimates how long a request is queued at one upstream, and when a refused request should be retried.
  *
- * By its place among those that wait: 1 is the first. Times are milliseconds on the gate's clock.
+ * The inputs are the request's position in the queue (1 is the first), the upstream's limit of concurrent requests, its
+ * service times and the rate at which it may be sent requests. Times are milliseconds on the gate's clock.
  */
 import type { Priority } from "../../config/priority.js";
 import type { RuleName } from "../../ids/rulename.js";
@@ -9,35 +10,37 @@
 import type { RuleTimes } from "./ruletimes.js";
 import type { SlotLimit } from "./slotlimit.js";
 
-/** Of a usual service time, added: a caller that comes back just when the queue should have ended mostly finds that it has not. */
-const COME_BACK_SHARE = 0.5;
+/**
+ * Share of the mean service time added to a retry-after: right after the expected wait the queue is mostly not empty.
+ */
+const RETRY_MARGIN_SHARE = 0.5;
 
-/** By what is known of the upstream's slots, times and rate. */
+/** Estimates waits at one upstream from its limit, service times and send rate. */
 export class WaitEstimate {
     constructor(
         private readonly limit: SlotLimit,
         private readonly times: RuleTimes,
-        private readonly rate: SendRate,
+        private readonly sendRate: SendRate,
     ) {}
 
-    /** Until the turn of the one in this place. */
-    waitMs(place: number, now: number): number {
-        const forSlotMs = place * this.times.all.fastMs / this.limit.current();
-        return Math.max(forSlotMs, this.forRateMs(place, now));
+    /** Returns the expected wait of the request at this position, in milliseconds. */
+    waitMs(position: number, now: number): number {
+        const slotWaitMs = position * this.times.all.recentMs / this.limit.current();
+        return Math.max(slotWaitMs, this.rateWaitMs(position, now));
     }
 
-    /** How much of that is because of the rate at which the upstream may be sent requests. */
-    forRateMs(place: number, now: number): number {
-        return Math.max(0, this.rate.opensAt(place, now) - now);
+    /** Returns the part of that wait that is due to the upstream's request rate, in milliseconds. */
+    rateWaitMs(position: number, now: number): number {
+        return Math.max(0, this.sendRate.opensAt(position, now) - now);
     }
 
-    /** Until the next of a class may be sent, by what the more urgent ones leave of a limit. */
-    forClassMs(priority: Priority, now: number): number {
-        return Math.max(0, this.rate.opensForClass(priority, now) - now);
+    /** Returns the milliseconds until the rate limit, as far as more urgent requests leave it, allows this priority. */
+    priorityWaitMs(priority: Priority, now: number): number {
+        return Math.max(0, this.sendRate.opensForClass(priority, now) - now);
     }
 
-    /** When one of a rule should come back that would have waited so long. */
-    comeBackMs(rule: RuleName | undefined, waitMs: number): number {
-        return Math.ceil(waitMs + this.times.usualMs(rule) * COME_BACK_SHARE);
+    /** Returns the retry-after in milliseconds of a refused request of the rule that would have waited `waitMs`. */
+    retryAfterMs(rule: RuleName | undefined, waitMs: number): number {
+        return Math.ceil(waitMs + this.times.meanServiceMs(rule) * RETRY_MARGIN_SHARE);
     }
 }
--- a/src/policy/admission/waiting.ts
+++ b/src/policy/admission/waiting.ts
@@ -1,17 +1,17 @@
-/** A request at a gate, as admission sees it. */
+/** A request that arrives or is queued at a gate. */
 import type { Priority } from "../../config/priority.js";
 import type { RuleName } from "../../ids/rulename.js";
 import type { TeamName } from "../../ids/teamname.js";
 
-/** `deadline` is on the gate's clock, in milliseconds. */
+/** The properties of a request by which admission decides; `deadline` is a time in milliseconds on the gate's clock. */
 export type Waiting = {
     readonly priority: Priority;
     readonly team: TeamName;
     readonly deadline: number;
     readonly maxWaitMs: number;
     readonly rule?: RuleName;
-    /** How many other upstreams the request could still go to. */
+    /** The number of other upstreams that could still serve the request. */
     readonly choices: number;
-    /** Those of them in the ingress's own data hall. */
+    /** The number of those in the ingress's own data hall. */
     readonly nearChoices: number;
 };
--- a/src/policy/admission/waitlimit.ts
+++ b/src/policy/admission/waitlimit.ts
@@ -1,11 +1,11 @@
-/** When does a request's wait at a gate end without its turn: at its longest wait, or at its deadline if that is sooner? */
+/** Decides when a queued request is refused: after its longest wait in milliseconds, or at its deadline if sooner. */
 
-/** Milliseconds from now on, and the reason for which the request is refused then. */
+/** The time from now on, and the reason of the refusal. */
 type WaitLimit = { readonly afterMs: number; readonly reason: "wait-too-long" | "deadline"; };
 
-/** Both in milliseconds from now on. */
-export function waitLimit(maxWaitMs: number, untilDeadlineMs: number): WaitLimit {
-    return maxWaitMs < untilDeadlineMs
+/** Returns the earlier of both limits, which are milliseconds from now on. */
+export function waitLimit(maxWaitMs: number, remainingMs: number): WaitLimit {
+    return maxWaitMs < remainingMs
         ? { afterMs: maxWaitMs, reason: "wait-too-long" }
-        : { afterMs: untilDeadlineMs, reason: "deadline" };
+        : { afterMs: remainingMs, reason: "deadline" };
 }
--- a/src/policy/admission/waitqueue.ts
+++ b/src/policy/admission/waitqueue.ts
@@ -1,67 +1,67 @@
 /**
- * In which order do waiting requests get their turn?
+ * Decides the order in which queued requests run.
  *
- * Classes share by weight, so that urgent ones go first and none starves; teams share a class evenly; of one team's requests of a
- * class, the one with the earliest deadline goes first.
+ * Priorities share the turns by weight, so that urgent requests mostly go first and no priority starves. The teams of a
+ * priority share its turns evenly. Among one team's requests of a priority, the one with the earliest deadline goes
+ * first.
  */
 import type { Priority } from "../../config/priority.js";
 import type { TeamName } from "../../ids/teamname.js";
 import { FairQueue } from "./fairqueue.js";
 import type { Waiting } from "./waiting.js";
 
-/** Shares of the turns, most urgent first: eight of a class for one of the next. */
+/** Weights of the priorities, most urgent first: each gets eight turns for one of the next. */
 const WEIGHTS: Readonly<Record<Priority, number>> = { urgent: 64, normal: 8, background: 1 };
-const ORDER = Object.keys(WEIGHTS) as Priority[];
+const PRIORITIES = Object.keys(WEIGHTS) as Priority[];
 
-/** Of one team's requests of a class, the one with the earlier deadline goes first. */
-const sooner = (one: Waiting, other: Waiting): boolean => one.deadline < other.deadline;
+const hasEarlierDeadline = (a: Waiting, b: Waiting): boolean => a.deadline < b.deadline;
 
-/** Classes share by weight, and teams within a class evenly. */
+/** Holds the queued requests of one upstream. */
 export class WaitQueue<Item extends Waiting> {
-    readonly #classes = new FairQueue<Priority, Priority>(priority => WEIGHTS[priority]);
-    readonly #teams = new Map<Priority, FairQueue<TeamName, Item>>(
-        ORDER.map(priority => [priority, new FairQueue<TeamName, Item>(() => 1, sooner)]),
+    readonly #priorityQueue = new FairQueue<Priority, Priority>(priority => WEIGHTS[priority]);
+    readonly #teamQueues = new Map<Priority, FairQueue<TeamName, Item>>(
+        PRIORITIES.map(priority => [priority, new FairQueue<TeamName, Item>(() => 1, hasEarlierDeadline)]),
     );
 
     get length(): number {
-        return this.#classes.length;
+        return this.#priorityQueue.length;
     }
 
-    /** How many would go before an arrival: all that are more urgent, and of its class those with an earlier deadline. */
-    ahead(item: Item): number {
-        const classes = ORDER.slice(0, ORDER.indexOf(item.priority));
-        const urgent = classes.reduce((sum, name) => sum + this.#classes.waiting(name), 0);
-        const own = this.#teams.get(item.priority)!.items();
-        return urgent + own.filter(other => !sooner(item, other)).length;
+    /** Returns the number of requests ahead of a new one: more urgent ones, and equally urgent ones not due later. */
+    countAhead(item: Item): number {
+        const moreUrgent = PRIORITIES.slice(0, PRIORITIES.indexOf(item.priority));
+        const moreUrgentCount = moreUrgent.reduce((sum, priority) => sum + this.#priorityQueue.countOf(priority), 0);
+        const samePriority = this.#teamQueues.get(item.priority)!.items();
+        return moreUrgentCount + samePriority.filter(other => !hasEarlierDeadline(item, other)).length;
     }
 
     push(item: Item): void {
-        this.#classes.push(item.priority, item.priority);
-        this.#teams.get(item.priority)!.push(item.team, item);
+        this.#priorityQueue.push(item.priority, item.priority);
+        this.#teamQueues.get(item.priority)!.push(item.team, item);
     }
 
-    /** The next that `shift` gives. */
-    first(): Item | undefined {
-        const priority = this.#classes.first();
-        return priority === undefined ? undefined : this.#teams.get(priority)!.first();
+    /** Returns the request that `shift` would remove next, or undefined if the queue is empty. */
+    peek(): Item | undefined {
+        const priority = this.#priorityQueue.peek();
+        return priority === undefined ? undefined : this.#teamQueues.get(priority)!.peek();
     }
 
     shift(): Item | undefined {
-        const priority = this.#classes.shift();
-        return priority === undefined ? undefined : this.#teams.get(priority)!.shift();
+        const priority = this.#priorityQueue.shift();
+        return priority === undefined ? undefined : this.#teamQueues.get(priority)!.shift();
     }
 
     remove(item: Item): boolean {
-        if (!this.#teams.get(item.priority)!.remove(item.team, item)) {
+        if (!this.#teamQueues.get(item.priority)!.remove(item.team, item)) {
             return false;
         }
-        return this.#classes.remove(item.priority, item.priority);
+        return this.#priorityQueue.remove(item.priority, item.priority);
     }
 
-    /** Takes out whatever the test picks. */
-    removeWhere(test: (item: Item) => boolean): Item[] {
-        const picked = [...this.#teams.values()].flatMap(queue => queue.items()).filter(test);
-        picked.forEach(item => this.remove(item));
-        return picked;
+    /** Removes and returns the requests that match the predicate. */
+    removeWhere(predicate: (item: Item) => boolean): Item[] {
+        const removed = [...this.#teamQueues.values()].flatMap(queue => queue.items()).filter(predicate);
+        removed.forEach(item => this.remove(item));
+        return removed;
     }
 }
--- a/src/policy/admission/worktime.test.ts
+++ b/src/policy/admission/worktime.test.ts
@@ -5,7 +5,7 @@
 import { levelSize } from "./levelsize.js";
 import { WorkTime } from "./worktime.js";
 
-test("work time: by the number that ran, without the calls that were waited for", () => {
+test("work time: is split by concurrency level and excludes the time of calls", () => {
     const clock = new LevelClock(4, 0);
     clock.setRunning(1, 0);
     const work = new WorkTime(clock, 0);
@@ -19,7 +19,7 @@
     assert.deepEqual([...work.read(70)], [0, 20, 5, 10, 0]);
 });
 
-test("work time: a run that ends while a call is under way has worked until the call began", () => {
+test("work time: a request that ends during a call has been worked on until the call began", () => {
     const clock = new LevelClock(2, 0);
     clock.setRunning(1, 0);
     const work = new WorkTime(clock, 0);
@@ -28,7 +28,7 @@
     work.callEnded(120);
 });
 
-test("work time: an upstream with many slots is told apart by fewer levels, each of as many", () => {
+test("work time: an upstream with many slots has fewer levels than slots, all of the same size", () => {
     assert.equal(levelSize(64), 1);
     assert.equal(levelSize(650), 11);
     assert.equal(levelOf(0, 650), 0);
--- a/src/policy/admission/worktime.ts
+++ b/src/policy/admission/worktime.ts
@@ -1,38 +1,38 @@
 /**
- * How long has an upstream worked on a request, while how many ran?
+ * Measures how long an upstream has worked on a request at each concurrency level.
  *
- * The calls that it makes for the request are left out: while it waits for them it does not work on it, and how long they take
- * says nothing of how full it is itself.
+ * Excludes the time of the calls that the upstream makes for the request: it does not work on the request meanwhile,
+ * and their duration does not depend on its own load.
  */
 import type { LevelClock } from "./levelclock.js";
 
-/** Of one run; calls may be under way together. */
+/** Measures the work on one running request, which may make several calls at a time. */
 export class WorkTime {
-    readonly #begun: Float64Array;
-    #calls = 0;
-    #pausedAt: Float64Array | undefined;
+    readonly #startReading: Float64Array;
+    #openCalls = 0;
+    #pausedReading: Float64Array | undefined;
 
     constructor(private readonly clock: LevelClock, now: number) {
-        this.#begun = clock.read(now);
+        this.#startReading = clock.read(now);
     }
 
     callBegan(now: number): void {
-        this.#calls += 1;
-        this.#pausedAt ??= this.clock.read(now);
+        this.#openCalls += 1;
+        this.#pausedReading ??= this.clock.read(now);
     }
 
     callEnded(now: number): void {
-        this.#calls -= 1;
-        if (this.#calls === 0 && this.#pausedAt !== undefined) {
-            const resumed = this.clock.read(now);
-            this.#pausedAt.forEach((ms, level) => this.#begun[level]! += resumed[level]! - ms);
-            this.#pausedAt = undefined;
+        this.#openCalls -= 1;
+        if (this.#openCalls === 0 && this.#pausedReading !== undefined) {
+            const resumedReading = this.clock.read(now);
+            this.#pausedReading.forEach((ms, level) => this.#startReading[level]! += resumedReading[level]! - ms);
+            this.#pausedReading = undefined;
         }
     }
 
-    /** Milliseconds, by the level of requests that ran. */
+    /** Returns the milliseconds worked so far at each level; the index is the level. */
     read(now: number): Float64Array {
-        const end = this.#pausedAt ?? this.clock.read(now);
-        return end.map((ms, level) => ms - this.#begun[level]!);
+        const endReading = this.#pausedReading ?? this.clock.read(now);
+        return endReading.map((ms, level) => ms - this.#startReading[level]!);
     }
 }
