--- a/src/policy/admission/admission.ts
+++ b/src/policy/admission/admission.ts
@@ -8,7 +8,7 @@
  */
 import type { Pace } from "../failure/pace.js";
 import type { LoadReport } from "../placement/loadreport.js";
-import { limitAtRate } from "../rate/limitatrate.js";
+import { concurrencyAtRate } from "../rate/concurrencyatrate.js";
 import type { SendRate } from "../rate/sendrate.js";
 import type { AdmissionDecision } from "./admissiondecision.js";
 import type { Ended } from "./ended.js";
@@ -77,7 +77,7 @@
         return {
             running: this.#running + this.#reserved,
             waiting: this.#queue.length,
-            limit: limitAtRate(this.limit.current(), this.times.all.baselineMs, this.sendRate.perSecond(now)),
+            limit: concurrencyAtRate(this.limit.current(), this.times.all.baselineMs, this.sendRate.perSecond(now)),
             serviceMs: this.times.all.recentMs,
             baseMs: this.times.all.baselineMs,
         };
@@ -141,8 +141,8 @@
 
     /** Returns when the first queued request may be sent if only the request rate holds it back, else undefined. */
     opensAt(now: number): number | undefined {
-        const isRateLimited = this.#queue.length > 0 && this.#hasFreeSlot && !this.sendRate.isOpen(now);
-        return isRateLimited ? this.sendRate.opensAt(1, now) : undefined;
+        const isRateLimited = this.#queue.length > 0 && this.#hasFreeSlot && !this.sendRate.canSend(now);
+        return isRateLimited ? this.sendRate.sendableAt(1, now) : undefined;
     }
 
     /** Removes a request from the queue; returns false if it is not queued. */
@@ -200,7 +200,7 @@
     }
 
     #canStart(now: number): boolean {
-        return this.#hasFreeSlot && this.sendRate.isOpen(now);
+        return this.#hasFreeSlot && this.sendRate.canSend(now);
     }
 
     #start({ priority }: Item, now: number): void {
--- a/src/policy/admission/waitestimate.ts
+++ b/src/policy/admission/waitestimate.ts
@@ -31,12 +31,12 @@
 
     /** Returns the part of that wait that is due to the upstream's request rate, in milliseconds. */
     rateWaitMs(position: number, now: number): number {
-        return Math.max(0, this.sendRate.opensAt(position, now) - now);
+        return Math.max(0, this.sendRate.sendableAt(position, now) - now);
     }
 
     /** Returns the milliseconds until the rate limit, as far as more urgent requests leave it, allows this priority. */
     priorityWaitMs(priority: Priority, now: number): number {
-        return Math.max(0, this.sendRate.opensForClass(priority, now) - now);
+        return Math.max(0, this.sendRate.sendableForPriorityAt(priority, now) - now);
     }
 
     /** Returns the retry-after in milliseconds of a refused request of the rule that would have waited `waitMs`. */
--- a/src/policy/cold/coldguard.ts
+++ b/src/policy/cold/coldguard.ts
@@ -8,7 +8,7 @@
  *
  * Times are milliseconds on the daemon's clock.
  */
-import { EvenRate } from "../rate/evenrate.js";
+import { RateLimiter } from "../rate/ratelimiter.js";
 import type { ColdLimits } from "./coldlimits.js";
 import { coldRate } from "./coldrate.js";
 
@@ -20,7 +20,7 @@
     #coldUntil = -Infinity;
     #askedAt = -Infinity;
     #limits: ColdLimits | undefined;
-    #rate: EvenRate | undefined;
+    #rate: RateLimiter | undefined;
 
     /** `openedAt`: since when the upstream is known here. */
     constructor(private readonly openedAt: number, limits?: ColdLimits) {
@@ -31,7 +31,7 @@
     setLimits(limits: ColdLimits | undefined): void {
         if (JSON.stringify(limits) !== JSON.stringify(this.#limits)) {
             this.#limits = limits;
-            this.#rate = limits && new EvenRate(coldRate(limits));
+            this.#rate = limits && new RateLimiter(coldRate(limits));
         }
     }
 
@@ -53,7 +53,7 @@
         const leftMs = coldMs ?? Math.max(0, this.openedAt + this.#limits.startMs - now);
         this.#coldUntil = leftMs > 0 ? now + leftMs : -Infinity;
         if (leftMs === 0) {
-            this.#rate?.forgetBefore(askedAt);
+            this.#rate?.discardBefore(askedAt);
         }
     }
 
@@ -63,7 +63,7 @@
     }
 
     recordSent(now: number): void {
-        this.#rate?.record(now);
+        this.#rate?.recordSent(now);
     }
 
     isOpen(now: number): boolean {
@@ -72,11 +72,11 @@
 
     /** When so many more may be sent, by what is known. */
     opensAt(count: number, now: number): number {
-        return this.#rate?.opensAt(count, now) ?? now;
+        return this.#rate?.sendableAt(count, now) ?? now;
     }
 
     /** True when the upstream should be asked whether it is cold: ahead of the time when no more may be sent. */
     shouldAsk(now: number): boolean {
-        return !this.isCold(now) && now - this.#askedAt >= ASK_EVERY_MS && this.#rate?.isLow(now) === true;
+        return !this.isCold(now) && now - this.#askedAt >= ASK_EVERY_MS && this.#rate?.isMoreThanHalfUsed(now) === true;
     }
 }
--- a/src/policy/cold/coldrate.ts
+++ b/src/policy/cold/coldrate.ts
@@ -18,5 +18,5 @@
 export function coldRate({ perSecond, overage, slack }: ColdLimits): Rate {
     const most = Math.max(1, Math.floor(perSecond * overage + slack));
     const burst = Math.max(1, Math.round(most * BURST_SHARE));
-    return { burst, everyMs: MS_PER_SECOND / (most * USED_SHARE - (burst - 1)) };
+    return { burst, intervalMs: MS_PER_SECOND / (most * USED_SHARE - (burst - 1)) };
 }
--- a/src/policy/placement/rateshare.test.ts
+++ b/src/policy/placement/rateshare.test.ts
@@ -24,7 +24,7 @@
         const open = shares.filter(each => random() < requestsPerSecond / 1000 && each.isOpen(now));
         for (const each of open) {
             each.recordSent(now);
-            if (limit.opensAt(1, now) <= now) {
+            if (limit.sendableAt(1, now) <= now) {
                 limit.recordSent(now);
                 answers.push({ at: now + ANSWER_MS, to: each });
                 count.taken += now < 5000 ? 0 : 1;
--- a/src/policy/rate/rate.ts
+++ b/src/policy/rate/rate.ts
@@ -1,4 +1,4 @@
-/** How many requests may be sent to an upstream, evenly in time. */
+/** An even rate at which requests may be sent to an upstream. */
 
-/** So many at once, and then one each so many milliseconds. */
-export type Rate = { readonly burst: number; readonly everyMs: number; };
+/** Allows `burst` requests at once, then one every `intervalMs`. */
+export type Rate = { readonly burst: number; readonly intervalMs: number; };
--- a/src/policy/rate/requestlimit.test.ts
+++ b/src/policy/rate/requestlimit.test.ts
@@ -5,154 +5,157 @@
 import type { StatedLimit } from "./statedlimit.js";
 
 const NONE: StatedLimit = { type: "none" };
-/** An answer to a request that was sent then. */
-const request = (sentAt: number): { readonly sentAt: number; readonly isHealth: boolean; } => ({
+/** Describes a response to a request that was sent at `sentAt`. */
+const requestSentAt = (sentAt: number): { readonly sentAt: number; readonly isHealth: boolean; } => ({
     sentAt,
     isHealth: false,
 });
-const states = (perSecond: number): StatedLimit => ({ type: "perSecond", perSecond });
+const stated = (perSecond: number): StatedLimit => ({ type: "perSecond", perSecond });
 
-test("limit: it holds from the first answer that states it, until a later one does not", () => {
+test("stated limit: applies from the first response that states it until a later one does not", () => {
     const limit = new RequestLimit();
-    limit.recordAnswer(NONE, request(0), 10);
+    limit.recordAnswer(NONE, requestSentAt(0), 10);
     assert.equal(limit.perSecond, undefined);
-    limit.recordAnswer(states(7.8), request(20), 40);
+    limit.recordAnswer(stated(7.8), requestSentAt(20), 40);
     assert.equal(limit.perSecond, 7.8);
-    limit.recordAnswer(states(3), request(50), 60);
+    limit.recordAnswer(stated(3), requestSentAt(50), 60);
     assert.equal(limit.perSecond, 3);
-    limit.recordAnswer(NONE, request(70), 80);
+    limit.recordAnswer(NONE, requestSentAt(70), 80);
     assert.equal(limit.perSecond, undefined);
 });
 
-test("limit: an answer that was under way when it was stated does not end it", () => {
+test("stated limit: a response that was in flight when the limit was stated does not end it", () => {
     const limit = new RequestLimit();
-    limit.recordAnswer(states(7.8), request(20), 40);
-    limit.recordAnswer(NONE, request(30), 50);
-    limit.recordAnswer(NONE, request(40), 51);
+    limit.recordAnswer(stated(7.8), requestSentAt(20), 40);
+    limit.recordAnswer(NONE, requestSentAt(30), 50);
+    limit.recordAnswer(NONE, requestSentAt(40), 51);
     assert.equal(limit.perSecond, 7.8);
 });
 
-test("limit: of two that were under way at the same time the lower one holds", () => {
+test("stated limit: the lower one of two responses in flight at the same time applies", () => {
     const limit = new RequestLimit();
-    limit.recordAnswer(states(3), request(10), 20);
-    limit.recordAnswer(states(9), request(15), 25);
+    limit.recordAnswer(stated(3), requestSentAt(10), 20);
+    limit.recordAnswer(stated(9), requestSentAt(15), 25);
     assert.equal(limit.perSecond, 3);
-    limit.recordAnswer(states(9), request(30), 40);
+    limit.recordAnswer(stated(9), requestSentAt(30), 40);
     assert.equal(limit.perSecond, 9);
 });
 
-test("limit: a value that can't be read changes nothing", () => {
+test("stated limit: an unreadable value changes nothing", () => {
     const limit = new RequestLimit();
-    limit.recordAnswer(states(3), request(10), 20);
-    limit.recordAnswer({ type: "unreadable", text: "abc" }, request(30), 40);
+    limit.recordAnswer(stated(3), requestSentAt(10), 20);
+    limit.recordAnswer({ type: "unreadable", text: "abc" }, requestSentAt(30), 40);
     assert.equal(limit.perSecond, 3);
 });
 
-test("limit: a health answer without it ends it only where health answers state it too", () => {
+test("stated limit: a health response without it ends it only if health responses state it too", () => {
     const health = (sentAt: number): Parameters<RequestLimit["recordAnswer"]>[1] => ({ sentAt, isHealth: true });
     const limit = new RequestLimit();
-    limit.recordAnswer(states(3), request(10), 20);
+    limit.recordAnswer(stated(3), requestSentAt(10), 20);
     limit.recordAnswer(NONE, health(30), 40);
     assert.equal(limit.perSecond, 3);
-    limit.recordAnswer(states(3), health(50), 60);
+    limit.recordAnswer(stated(3), health(50), 60);
     limit.recordAnswer(NONE, health(70), 80);
     assert.equal(limit.perSecond, undefined);
 });
 
-test("limit: what senders were told holds in a gate that has just started, until the upstream itself has answered there", () => {
+test("stated limit: a restarted gate applies the limit that senders know until the upstream itself responds", () => {
     const limit = new RequestLimit();
     limit.recordTold(7.8, 0);
     assert.equal(limit.perSecond, 7.8);
-    assert.ok(limit.opensAt(1, 0) > 100, "nothing at once: what was sent before the start is not known");
-    limit.recordAnswer(NONE, request(-5), 10);
+    assert.ok(limit.sendableAt(1, 0) > 100, "no burst: requests sent before the start are not known");
+    limit.recordAnswer(NONE, requestSentAt(-5), 10);
     assert.equal(limit.perSecond, undefined);
     limit.recordTold(7.8, 20);
     assert.equal(limit.perSecond, undefined);
 });
 
-test("limit: questions to the health endpoint take no request's place", () => {
+test("stated limit: health probes use no capacity that requests need", () => {
     const limit = new RequestLimit();
     assert.equal(limit.mayAskHealth(0), true);
-    limit.recordAnswer(states(2), request(0), 10);
+    limit.recordAnswer(stated(2), requestSentAt(0), 10);
     limit.recordSent(1000);
     assert.equal(limit.mayAskHealth(2000), false);
     assert.equal(limit.mayAskHealth(5000), true);
 });
 
 const WINDOW_MS = 4000;
-const mostInAWindow = (times: readonly number[]): number => {
+const maxInWindow = (times: readonly number[]): number => {
     let first = 0;
-    return times.reduce((most, at, index) => {
+    return times.reduce((max, at, index) => {
         while (at - times[first]! > WINDOW_MS) {
             first += 1;
         }
-        return Math.max(most, index - first + 1);
+        return Math.max(max, index - first + 1);
     }, 0);
 };
 
-type Play = {
-    readonly everyMs: number;
-    readonly answerMs: readonly number[];
+type Scenario = {
+    readonly arrivalIntervalMs: number;
+    readonly responseMs: readonly number[];
     readonly perSecond: number;
     readonly statedAt: number;
-    readonly starts: readonly number[];
+    readonly gateStarts: readonly number[];
 };
 
-/** When requests are sent to an upstream that states a limit from a moment on; its gate starts anew now and then, and senders tell it. */
-const sentUnder = ({ everyMs, answerMs, perSecond, statedAt, starts }: Play): number[] => {
+/**
+ * Returns when requests are sent to an upstream that states a limit from `statedAt` on, while senders know it and its
+ * gate restarts.
+ */
+const simulateSends = ({ arrivalIntervalMs, responseMs, perSecond, statedAt, gateStarts }: Scenario): number[] => {
     const sent: number[] = [];
     let limit = new RequestLimit();
-    let isTold = false;
-    let flying: { readonly sentAt: number; readonly endsAt: number; }[] = [];
+    let isKnownToSenders = false;
+    let inFlight: { readonly sentAt: number; readonly endsAt: number; }[] = [];
     for (let now = 0; now < 16_000; now += 1) {
-        if (starts.includes(now)) {
+        if (gateStarts.includes(now)) {
             limit = new RequestLimit();
-            flying = [];
+            inFlight = [];
         }
-        flying.filter(({ endsAt }) => endsAt === now).forEach(({ sentAt }) => {
-            isTold ||= now >= statedAt;
-            limit.recordAnswer(now >= statedAt ? states(perSecond) : NONE, request(sentAt), now);
+        inFlight.filter(({ endsAt }) => endsAt === now).forEach(({ sentAt }) => {
+            isKnownToSenders ||= now >= statedAt;
+            limit.recordAnswer(now >= statedAt ? stated(perSecond) : NONE, requestSentAt(sentAt), now);
         });
-        if (now % everyMs === 0) {
-            if (isTold) {
+        if (now % arrivalIntervalMs === 0) {
+            if (isKnownToSenders) {
                 limit.recordTold(perSecond, now);
             }
-            if (limit.opensAt(1, now) <= now) {
+            if (limit.sendableAt(1, now) <= now) {
                 limit.recordSent(now);
                 sent.push(now);
-                flying.push({ sentAt: now, endsAt: now + answerMs[sent.length % answerMs.length]! });
+                inFlight.push({ sentAt: now, endsAt: now + responseMs[sent.length % responseMs.length]! });
             }
         }
     }
     return sent;
 };
 
-// Guards against an upstream that states a limit and is sent more than one and a half times what it allows in 4 s, and five.
-test("limit: under any load, answers that overtake each other and starts of the gate, no 4 s hold more than the bound", () => {
+// Guards against sending an upstream more than one and a half times its stated limit plus five requests in 4 s.
+test("stated limit: no 4 s exceed the bound under any load, order of responses and gate restarts", () => {
     fc.assert(fc.property(
         fc.record({
-            everyMs: fc.integer({ min: 1, max: 80 }),
-            answerMs: fc.array(fc.integer({ min: 1, max: 300 }), { minLength: 1, maxLength: 5 }),
+            arrivalIntervalMs: fc.integer({ min: 1, max: 80 }),
+            responseMs: fc.array(fc.integer({ min: 1, max: 300 }), { minLength: 1, maxLength: 5 }),
             perSecond: fc.double({ min: 0, max: 60, noNaN: true }),
             statedAt: fc.integer({ min: 0, max: 4000 }),
-            starts: fc.array(fc.integer({ min: 4500, max: 15_000 }), { maxLength: 4 }),
+            gateStarts: fc.array(fc.integer({ min: 4500, max: 15_000 }), { maxLength: 4 }),
         }),
-        play => {
-            const counted = sentUnder(play).filter(at => at > play.statedAt + 500);
-            const allowed = 1.5 * 4 * play.perSecond + 5;
-            assert.ok(mostInAWindow(counted) <= allowed, `${mostInAWindow(counted)} of ${allowed}`);
+        scenario => {
+            const counted = simulateSends(scenario).filter(at => at > scenario.statedAt + 500);
+            const allowed = 1.5 * 4 * scenario.perSecond + 5;
+            assert.ok(maxInWindow(counted) <= allowed, `${maxInWindow(counted)} of ${allowed}`);
         },
     ));
 });
 
-test("limit: the rate holds over a change, and a limit stated again and again grants nothing at once", () => {
+test("stated limit: a change of the limit keeps the rate, and restating it grants no burst", () => {
     const limit = new RequestLimit();
     let sent = 0;
     for (let now = 0; now < 4000; now += 1) {
         if (now % 100 === 0) {
-            limit.recordAnswer(states(now % 200 === 0 ? 4 : 8), request(now), now);
+            limit.recordAnswer(stated(now % 200 === 0 ? 4 : 8), requestSentAt(now), now);
         }
-        if (limit.opensAt(1, now) <= now) {
+        if (limit.sendableAt(1, now) <= now) {
             limit.recordSent(now);
             sent += 1;
         }
--- a/src/policy/rate/requestlimit.ts
+++ b/src/policy/rate/requestlimit.ts
@@ -1,87 +1,97 @@
 /**
- * How many requests a second does an upstream take, by its own answers, and may one more be sent?
+ * Limits the requests sent to an upstream to the rate that it states in its responses.
  *
- * An upstream in need states a limit in its answers, for as long as it holds. Its gate is the only way in, so it holds the limit for all
- * daemons together: at an even rate from the first answer on that states it. Answers overtake each other on several connections; one without
- * the limit ends it only if its request was sent after the limit was last stated.
+ * The inputs are the limits in requests a second that responses state and that senders of requests know. Times are
+ * milliseconds on the daemon's clock.
  *
- * A gate that has just started knows nothing of it, while hosts that have passed on such answers do. They say so with each request, and that
- * holds until the upstream itself has answered here. Times are milliseconds on the daemon's clock.
+ * A degraded upstream states a rate limit in its responses for as long as the limit applies. Its gate is the only way
+ * in, so the gate enforces the limit for all daemons together, at an even rate from the first response that states it.
+ * Responses on different connections may overtake each other, so one without the limit ends it only if its request was
+ * sent after the limit was last stated.
+ *
+ * A gate that has just started does not know the limit, but hosts that have forwarded such responses do. They send it
+ * with each request, and the gate applies it until it receives a response of the upstream itself.
  */
-import { EvenRate } from "./evenrate.js";
-import { rateOf } from "./rateof.js";
+import { RateLimiter } from "./ratelimiter.js";
 import type { StatedLimit } from "./statedlimit.js";
+import { toRate } from "./torate.js";
 
-/** Without a request for so long, the upstream's health endpoint may be asked; milliseconds. */
-const QUIET_MS = 4000;
+/** Time without a request after which the upstream's health endpoint may be probed. */
+const HEALTH_PROBE_IDLE_MS = 4000;
 
-/** An answer of the upstream: when its request was sent, and whether that was a question to its health endpoint. */
-type Answer = { readonly sentAt: number; readonly isHealth: boolean; };
+/** When the request of a response was sent, and whether it was a probe of the health endpoint. */
+type ResponseInfo = { readonly sentAt: number; readonly isHealth: boolean; };
 
-/** Of one upstream, as its gate knows it. */
+/** Holds the rate limit that one upstream states, as its gate knows it. */
 export class RequestLimit {
     #perSecond: number | undefined;
     #statedAt = -Infinity;
     #sentAt = -Infinity;
-    #rate: EvenRate | undefined;
-    /** The upstream itself has answered a request here. */
-    #isAnswered = false;
-    /** Its health endpoint states the limit too, so that its silence says something. */
-    #isOnHealth = false;
+    #limiter: RateLimiter | undefined;
+    /** True once the upstream has sent this gate a response that shows whether it states a limit. */
+    #hasReceivedResponse = false;
+    /** True once the health endpoint has stated the limit, so that a health response without it ends the limit. */
+    #isStatedOnHealth = false;
 
-    /** Requests a second that it takes; undefined while it states no limit. */
+    /** The stated limit in requests a second, or undefined while the upstream states none. */
     get perSecond(): number | undefined {
         return this.#perSecond;
     }
 
-    /** Records what an answer says. */
-    recordAnswer(stated: StatedLimit, { sentAt, isHealth }: Answer, now: number): void {
+    /** Records the limit that a response states, or that it states none. */
+    recordAnswer(stated: StatedLimit, { sentAt, isHealth }: ResponseInfo, now: number): void {
         const isStated = stated.type === "perSecond";
-        this.#isOnHealth ||= isHealth && isStated;
-        const counts = !isHealth || this.#isOnHealth;
-        this.#isAnswered ||= counts;
+        this.#isStatedOnHealth ||= isHealth && isStated;
+        const isConclusive = !isHealth || this.#isStatedOnHealth;
+        this.#hasReceivedResponse ||= isConclusive;
         if (isStated) {
             const isLater = sentAt > this.#statedAt;
-            this.#set(isLater ? stated.perSecond : Math.min(stated.perSecond, this.#perSecond ?? Infinity), now);
+            this.#setPerSecond(
+                isLater ? stated.perSecond : Math.min(stated.perSecond, this.#perSecond ?? Infinity),
+                now,
+            );
             this.#statedAt = now;
         }
-        else if (stated.type === "none" && counts && sentAt > this.#statedAt) {
+        else if (stated.type === "none" && isConclusive && sentAt > this.#statedAt) {
             this.#perSecond = undefined;
-            this.#rate = undefined;
+            this.#limiter = undefined;
         }
     }
 
-    /** Records what the sender of a request has been told; it holds while the upstream has not answered here. */
+    /** Records the limit that the sender of a request knows; ignored once the upstream itself has responded here. */
     recordTold(perSecond: number, now: number): void {
-        if (!this.#isAnswered) {
-            this.#set(Math.min(perSecond, this.#perSecond ?? Infinity), now);
+        if (!this.#hasReceivedResponse) {
+            this.#setPerSecond(Math.min(perSecond, this.#perSecond ?? Infinity), now);
         }
     }
 
-    /** Records that a request, or a question to its health endpoint, is sent. */
+    /** Records that a request or a probe of the health endpoint is sent. */
     recordSent(now: number): void {
         this.#sentAt = now;
-        this.#rate?.record(now);
+        this.#limiter?.recordSent(now);
     }
 
-    /** When so many more may be sent; not later than `now` when they may be at once. */
-    opensAt(count: number, now: number): number {
-        return this.#rate?.opensAt(count, now) ?? now;
+    /** Returns when `count` more requests may be sent; not later than `now` if they may be sent at once. */
+    sendableAt(count: number, now: number): number {
+        return this.#limiter?.sendableAt(count, now) ?? now;
     }
 
-    /** False while a question to the health endpoint would take the place of a request. */
+    /** Returns false while a probe of the health endpoint would use up capacity that requests need. */
     mayAskHealth(now: number): boolean {
-        return this.#rate === undefined || now - this.#sentAt >= QUIET_MS && this.#rate.opensAt(1, now) <= now;
+        return this.#limiter === undefined
+            || now - this.#sentAt >= HEALTH_PROBE_IDLE_MS && this.#limiter.sendableAt(1, now) <= now;
     }
 
-    /** What was sent before the limit was known is not counted, so nothing is sent at once. */
-    #set(perSecond: number, now: number): void {
-        if (this.#rate === undefined) {
-            this.#rate = new EvenRate(rateOf(perSecond));
-            this.#rate.useUp(now);
+    /**
+     * Sets the limit. A new limit starts without a burst, because requests sent before it was known are not counted.
+     */
+    #setPerSecond(perSecond: number, now: number): void {
+        if (this.#limiter === undefined) {
+            this.#limiter = new RateLimiter(toRate(perSecond));
+            this.#limiter.exhaustBurst(now);
         }
         else if (perSecond !== this.#perSecond) {
-            this.#rate.setRate(rateOf(perSecond), now);
+            this.#limiter.setRate(toRate(perSecond), now);
         }
         this.#perSecond = perSecond;
     }
--- a/src/policy/rate/sendrate.ts
+++ b/src/policy/rate/sendrate.ts
@@ -1,61 +1,64 @@
 /**
- * May one more request be sent to an upstream now, by its request rate?
+ * Decides when the request rate allows one more request to an upstream.
  *
- * Two things bound that rate: it is or may be cold (policy/cold), and it states a limit. Each counts all that is sent; the later of both
- * decides. Times are milliseconds on the daemon's clock.
+ * Two limits bound the rate: that of an upstream that is or may be cold (policy/cold), and the rate limit that the
+ * upstream states. Each counts all requests sent, and the stricter one applies. Times are milliseconds on the daemon's
+ * clock.
  */
 import type { Priority } from "../../config/priority.js";
 import type { ColdGuard } from "../cold/coldguard.js";
-import { ClassRates } from "./classrates.js";
+import { PriorityRates } from "./priorityrates.js";
 import type { RequestLimit } from "./requestlimit.js";
 
-/** Of one upstream, as its gate knows it. */
+/** Combines the rate limits of one upstream, as its gate knows them. */
 export class SendRate {
-    readonly #classes = new ClassRates();
+    readonly #priorityRates = new PriorityRates();
 
-    constructor(private readonly cold: ColdGuard, private readonly limit: RequestLimit) {}
+    constructor(private readonly coldGuard: ColdGuard, private readonly statedLimit: RequestLimit) {}
 
-    /** True while the upstream states a limit: how it works now says nothing of other times. */
+    /** True while the upstream states a limit; its service times are not typical then. */
     get isLimited(): boolean {
-        return this.limit.perSecond !== undefined;
+        return this.statedLimit.perSecond !== undefined;
     }
 
-    /** Requests a second that it may be sent; undefined while that is not bounded. */
+    /** Returns the requests a second that the upstream may be sent, or undefined while the rate is not bounded. */
     perSecond(now: number): number | undefined {
-        const known = [this.cold.perSecond(now), this.limit.perSecond].filter(rate => rate !== undefined);
-        return known.length === 0 ? undefined : Math.min(...known);
+        const bounds = [this.coldGuard.perSecond(now), this.statedLimit.perSecond].filter(rate => rate !== undefined);
+        return bounds.length === 0 ? undefined : Math.min(...bounds);
     }
 
-    /** Records that a request has come to the gate, whatever becomes of it. */
+    /** Records that a request has arrived at the gate, whether or not it is sent. */
     recordArrival(priority: Priority, now: number): void {
-        this.#classes.recordArrival(priority, now);
+        this.#priorityRates.recordArrival(priority, now);
     }
 
     recordSent(priority: Priority, now: number): void {
-        this.cold.recordSent(now);
-        this.limit.recordSent(now);
-        if (this.limit.perSecond !== undefined) {
-            this.#classes.recordSent(priority, this.limit.perSecond, now);
+        this.coldGuard.recordSent(now);
+        this.statedLimit.recordSent(now);
+        if (this.statedLimit.perSecond !== undefined) {
+            this.#priorityRates.recordSent(priority, this.statedLimit.perSecond, now);
         }
     }
 
-    isOpen(now: number): boolean {
-        return this.opensAt(1, now) <= now;
+    canSend(now: number): boolean {
+        return this.sendableAt(1, now) <= now;
     }
 
-    /** When the next request of a class may be sent, by what the more urgent ones leave of a limit. */
-    opensForClass(priority: Priority, now: number): number {
-        const { perSecond } = this.limit;
-        return perSecond === undefined ? now : this.#classes.opensAt(priority, perSecond, now);
+    /** Returns when the stated limit, as far as more urgent requests leave it, allows a request of the priority. */
+    sendableForPriorityAt(priority: Priority, now: number): number {
+        const { perSecond } = this.statedLimit;
+        return perSecond === undefined ? now : this.#priorityRates.nextSendAt(priority, perSecond, now);
     }
 
-    /** When so many more may be sent, by what is known. */
-    opensAt(count: number, now: number): number {
-        return Math.max(this.cold.opensAt(count, now), this.limit.opensAt(count, now));
+    /** Returns when both limits allow `count` more requests. */
+    sendableAt(count: number, now: number): number {
+        return Math.max(this.coldGuard.opensAt(count, now), this.statedLimit.sendableAt(count, now));
     }
 
-    /** What a request that is held back waits for. */
+    /** Returns which of the two limits holds a request back for longer. */
     reason(now: number): "cold" | "limited" {
-        return this.isLimited && this.limit.opensAt(1, now) >= this.cold.opensAt(1, now) ? "limited" : "cold";
+        return this.isLimited && this.statedLimit.sendableAt(1, now) >= this.coldGuard.opensAt(1, now)
+            ? "limited"
+            : "cold";
     }
 }
--- a/src/policy/rate/statedlimit.ts
+++ b/src/policy/rate/statedlimit.ts
@@ -1,6 +1,6 @@
-/** What an answer says of the requests a second that its upstream takes. */
+/** The rate limit that a response of an upstream states. */
 
-/** `unreadable` is a value that is no decimal number, or more than one. */
+/** `none` states no limit; `unreadable` is a value that is not a decimal number, or more than one value. */
 export type StatedLimit =
     | { readonly type: "none"; }
     | { readonly type: "perSecond"; readonly perSecond: number; }
