--- a/src/policy/cold/coldguard.test.ts
+++ b/src/policy/cold/coldguard.test.ts
@@ -6,56 +6,57 @@
 
 const SECOND_MS = 1000;
 
-const limits = (perSecond: number, overage = 1.5, slack = 8): ColdLimits => ({
+const createLimits = (perSecond: number, overage = 1.5, slack = 8): ColdLimits => ({
     perSecond,
     overage,
     slack,
     startMs: 3000,
 });
-const boundOf = ({ perSecond, overage, slack }: ColdLimits): number => perSecond * overage + slack;
+const maxPerSecond = ({ perSecond, overage, slack }: ColdLimits): number => perSecond * overage + slack;
 
-/** The most of these times that lie in one second. */
-const mostInASecond = (times: readonly number[]): number => {
-    let most = 0;
+/** Returns the maximum number of these times within one second. */
+const maxInOneSecond = (times: readonly number[]): number => {
+    let max = 0;
     let first = 0;
-    times.forEach((time, at) => {
+    times.forEach((time, index) => {
         while (time - times[first]! > SECOND_MS) {
             first += 1;
         }
-        most = Math.max(most, at - first + 1);
+        max = Math.max(max, index - first + 1);
     });
-    return most;
+    return max;
 };
 
 type Load = {
-    /** Between two requests that arrive, in milliseconds. */
-    readonly everyMs: number;
-    /** A question and its answer take so long. */
-    readonly answerMs: readonly number[];
-    /** From when on it is cold, and for how long. */
+    readonly arrivalIntervalMs: number;
+    /** How long the probes take, in turn. */
+    readonly probeMs: readonly number[];
+    /** When the upstream turns cold, and for how long. */
     readonly coldAt: number;
     readonly coldMs: number;
 };
 
-/** When requests are sent to an upstream that turns cold at a moment of which nobody is told; what may not be sent goes elsewhere. */
-const sentUnder = ({ everyMs, answerMs, coldAt, coldMs }: Load, bound: ColdLimits): number[] => {
-    const guard = new ColdGuard(-SECOND_MS * 10, bound);
-    const coldLeft = (now: number): number => now < coldAt ? 0 : Math.max(0, coldAt + coldMs - now);
+/**
+ * Returns when requests are sent to an upstream that turns cold without notice; those that may not be sent are dropped.
+ */
+const simulateSends = ({ arrivalIntervalMs, probeMs, coldAt, coldMs }: Load, limits: ColdLimits): number[] => {
+    const guard = new ColdGuard(-SECOND_MS * 10, limits);
+    const coldRemainingAt = (now: number): number => now < coldAt ? 0 : Math.max(0, coldAt + coldMs - now);
     const sent: number[] = [];
-    let question: { readonly askedAt: number; readonly at: number; readonly coldMs: number; } | undefined;
-    let questions = 0;
+    let probe: { readonly sentAt: number; readonly endsAt: number; readonly coldMs: number; } | undefined;
+    let probeCount = 0;
     for (let now = 0; now < 8 * SECOND_MS; now += 1) {
-        if (question !== undefined && now >= question.at) {
-            guard.recordAnswer(question.coldMs, question.askedAt, now);
-            question = undefined;
+        if (probe !== undefined && now >= probe.endsAt) {
+            guard.recordAnswer(probe.coldMs, probe.sentAt, now);
+            probe = undefined;
         }
-        if (question === undefined && guard.shouldAsk(now)) {
-            const took = answerMs[questions++ % answerMs.length]!;
-            const saidAt = now + Math.floor(took / 2);
-            question = { askedAt: now, at: now + took, coldMs: coldLeft(saidAt) };
+        if (probe === undefined && guard.shouldAsk(now)) {
+            const durationMs = probeMs[probeCount++ % probeMs.length]!;
+            const stateAt = now + Math.floor(durationMs / 2);
+            probe = { sentAt: now, endsAt: now + durationMs, coldMs: coldRemainingAt(stateAt) };
             guard.recordQuestion(now);
         }
-        if (now % everyMs === 0 && guard.isOpen(now)) {
+        if (now % arrivalIntervalMs === 0 && guard.isOpen(now)) {
             guard.recordSent(now);
             sent.push(now);
         }
@@ -63,32 +64,35 @@
     return sent;
 };
 
-test("cold: an upstream that turns cold at any moment gets no more than its bound in any second, whenever it is heard of", () => {
+test("cold: an upstream that turns cold gets at most its bound in any second, however late it is detected", () => {
     fc.assert(fc.property(
         fc.record({
-            everyMs: fc.integer({ min: 1, max: 60 }),
-            answerMs: fc.array(fc.integer({ min: 1, max: 250 }), { minLength: 1, maxLength: 5 }),
+            arrivalIntervalMs: fc.integer({ min: 1, max: 60 }),
+            probeMs: fc.array(fc.integer({ min: 1, max: 250 }), { minLength: 1, maxLength: 5 }),
             coldAt: fc.integer({ min: -1000, max: 6000 }),
             coldMs: fc.integer({ min: 1, max: 4000 }),
         }),
         fc.integer({ min: 1, max: 40 }),
         (load, perSecond) => {
-            const bound = limits(perSecond);
-            const times = sentUnder(load, bound).filter(at => at >= load.coldAt && at < load.coldAt + load.coldMs);
-            assert.ok(mostInASecond(times) <= boundOf(bound), `${mostInASecond(times)} of ${boundOf(bound)}`);
+            const bound = createLimits(perSecond);
+            const times = simulateSends(load, bound).filter(at => at >= load.coldAt && at < load.coldAt + load.coldMs);
+            assert.ok(
+                maxInOneSecond(times) <= maxPerSecond(bound),
+                `${maxInOneSecond(times)} of ${maxPerSecond(bound)}`,
+            );
         },
     ));
 });
 
-test("cold: a warm upstream gets all that comes while it answers questions in time", () => {
-    const load = { everyMs: 8, answerMs: [5, 20], coldAt: 1e9, coldMs: 0 };
-    const sent = sentUnder(load, limits(11.2));
-    assert.equal(sent.length, 8 * SECOND_MS / load.everyMs);
+test("cold: a warm upstream gets all requests while it responds to probes in time", () => {
+    const load = { arrivalIntervalMs: 8, probeMs: [5, 20], coldAt: 1e9, coldMs: 0 };
+    const sent = simulateSends(load, createLimits(11.2));
+    assert.equal(sent.length, 8 * SECOND_MS / load.arrivalIntervalMs);
 });
 
-test("cold: a cold upstream gets no less than what it works off, evenly, and all again when it is warm", () => {
-    const load = { everyMs: 8, answerMs: [5], coldAt: 2000, coldMs: 3000 };
-    const sent = sentUnder(load, limits(11.2));
+test("cold: a cold upstream gets at least the rate that it can serve, evenly, and all requests once warm", () => {
+    const load = { arrivalIntervalMs: 8, probeMs: [5], coldAt: 2000, coldMs: 3000 };
+    const sent = simulateSends(load, createLimits(11.2));
     const between = (from: number, to: number): number => sent.filter(at => at >= from && at < to).length;
     const quarters = [3000, 3250, 3500, 3750, 4000, 4250, 4500, 4750].map(from => between(from, from + 250));
     assert.ok(Math.max(...quarters) - Math.min(...quarters) <= 1, quarters.join());
@@ -96,8 +100,8 @@
     assert.equal(between(6000, 8000), 250);
 });
 
-test("cold: one that never says is taken for cold for the time of a start, and for warm after it", () => {
-    const guard = new ColdGuard(0, limits(10));
+test("cold: an upstream that does not report it is assumed cold for the start time, then warm", () => {
+    const guard = new ColdGuard(0, createLimits(10));
     guard.recordAnswer(undefined, 100, 110);
     assert.equal(guard.isCold(2999), true);
     assert.equal(guard.isCold(3000), false);
@@ -105,7 +109,7 @@
     assert.equal(guard.isCold(3110), false);
 });
 
-test("cold: without limits nothing is asked and nothing held back", () => {
+test("cold: without limits no probe is sent and no request held back", () => {
     const guard = new ColdGuard(0);
     for (let now = 0; now < 1000; now++) {
         assert.equal(guard.isOpen(now) && !guard.shouldAsk(now), true);
@@ -115,9 +119,9 @@
     assert.equal(guard.perSecond(1002), undefined);
 });
 
-test("cold: limits that the configuration changes hold from then on", () => {
+test("cold: changed limits apply at once", () => {
     const guard = new ColdGuard(0);
-    guard.setLimits(limits(1, 1, 0));
+    guard.setLimits(createLimits(1, 1, 0));
     guard.recordAnswer(5000, 0, 0);
     guard.recordSent(0);
     assert.equal(guard.isOpen(500), false);
--- a/src/policy/cold/coldguard.ts
+++ b/src/policy/cold/coldguard.ts
@@ -1,82 +1,88 @@
 /**
- * Is an upstream cold, and may one more request be sent to it?
+ * Limits the requests sent to an upstream that is or may be cold.
  *
- * It may turn cold at any moment: at a start, when it returns with its hall, at the end of an evacuation. What it is sent must stay within
- * its bound from that moment on, and nobody tells the gate at once. So all that is sent counts as sent to a cold one until the upstream has
- * been asked and has said that it is not; what was sent before the question is forgotten then. Thus in no second does a cold upstream get more than its
- * bound, whenever it is heard of, and a warm one costs some questions a second.
+ * The inputs are the service's limits for cold upstreams in requests a second and the responses to probes, which report
+ * for how many milliseconds the upstream stays cold. Times are milliseconds on the daemon's clock.
  *
- * Times are milliseconds on the daemon's clock.
+ * An upstream may turn cold at any moment: at a start, when it returns with its hall, or at the end of an evacuation.
+ * The bound applies from that moment on, but the gate is not notified of it. So every request counts as sent to a cold
+ * upstream until a probe reports that the upstream is not cold; the requests sent before that probe are then discarded.
+ * Thus a cold upstream gets no more than its bound in any second, however late the gate detects it, and a warm one
+ * costs a few probes a second.
  */
 import { RateLimiter } from "../rate/ratelimiter.js";
 import type { ColdLimits } from "./coldlimits.js";
 import { coldRate } from "./coldrate.js";
 
-/** It is asked no oftener than this, in milliseconds. */
-const ASK_EVERY_MS = 20;
+/** Minimum time between two probes. */
+const MIN_PROBE_INTERVAL_MS = 20;
 
-/** Of one upstream; one whose service has no limits for cold ones is never held back. */
+/** Limits the requests to one upstream while its service has limits for cold upstreams. */
 export class ColdGuard {
     #coldUntil = -Infinity;
-    #askedAt = -Infinity;
+    #probedAt = -Infinity;
     #limits: ColdLimits | undefined;
-    #rate: RateLimiter | undefined;
+    #limiter: RateLimiter | undefined;
 
-    /** `openedAt`: since when the upstream is known here. */
-    constructor(private readonly openedAt: number, limits?: ColdLimits) {
+    /** `knownSince` is the time since which the gate knows the upstream. */
+    constructor(private readonly knownSince: number, limits?: ColdLimits) {
         this.setLimits(limits);
     }
 
-    /** Follows the configuration; undefined where the service has no limits for cold upstreams. */
+    /** Applies the limits of the configuration; undefined if the service has no limits for cold upstreams. */
     setLimits(limits: ColdLimits | undefined): void {
         if (JSON.stringify(limits) !== JSON.stringify(this.#limits)) {
             this.#limits = limits;
-            this.#rate = limits && new RateLimiter(coldRate(limits));
+            this.#limiter = limits && new RateLimiter(coldRate(limits));
         }
     }
 
-    /** True while the upstream is cold, as it has said. */
+    /** Returns true while the upstream is cold by its last report. */
     isCold(now: number): boolean {
         return now < this.#coldUntil;
     }
 
-    /** Requests a second that it may be sent; undefined while that is not bounded. */
+    /** Returns the requests a second that the upstream may be sent, or undefined while the rate is not bounded. */
     perSecond(now: number): number | undefined {
         return this.isCold(now) ? this.#limits?.perSecond : undefined;
     }
 
-    /** Records that it was asked at `askedAt`, and for how long it says that it is cold; undefined when it does not say. */
-    recordAnswer(coldMs: number | undefined, askedAt: number, now: number): void {
+    /**
+     * Records the response to a probe sent at `probedAt`. `coldMs` is the time left until the upstream is warm, or
+     * undefined if it does not report one.
+     */
+    recordAnswer(coldMs: number | undefined, probedAt: number, now: number): void {
         if (this.#limits === undefined) {
             return;
         }
-        const leftMs = coldMs ?? Math.max(0, this.openedAt + this.#limits.startMs - now);
-        this.#coldUntil = leftMs > 0 ? now + leftMs : -Infinity;
-        if (leftMs === 0) {
-            this.#rate?.discardBefore(askedAt);
+        const remainingMs = coldMs ?? Math.max(0, this.knownSince + this.#limits.startMs - now);
+        this.#coldUntil = remainingMs > 0 ? now + remainingMs : -Infinity;
+        if (remainingMs === 0) {
+            this.#limiter?.discardBefore(probedAt);
         }
     }
 
-    /** Records that it is being asked. */
+    /** Records that a probe is sent. */
     recordQuestion(now: number): void {
-        this.#askedAt = now;
+        this.#probedAt = now;
     }
 
     recordSent(now: number): void {
-        this.#rate?.recordSent(now);
+        this.#limiter?.recordSent(now);
     }
 
     isOpen(now: number): boolean {
-        return this.opensAt(1, now) <= now;
+        return this.sendableAt(1, now) <= now;
     }
 
-    /** When so many more may be sent, by what is known. */
-    opensAt(count: number, now: number): number {
-        return this.#rate?.sendableAt(count, now) ?? now;
+    /** Returns when `count` more requests may be sent. */
+    sendableAt(count: number, now: number): number {
+        return this.#limiter?.sendableAt(count, now) ?? now;
     }
 
-    /** True when the upstream should be asked whether it is cold: ahead of the time when no more may be sent. */
+    /** Returns true if the upstream should be probed, which is so before the requests that may be sent run out. */
     shouldAsk(now: number): boolean {
-        return !this.isCold(now) && now - this.#askedAt >= ASK_EVERY_MS && this.#rate?.isMoreThanHalfUsed(now) === true;
+        return !this.isCold(now) && now - this.#probedAt >= MIN_PROBE_INTERVAL_MS
+            && this.#limiter?.isMoreThanHalfUsed(now) === true;
     }
 }
--- a/src/policy/cold/coldlimits.ts
+++ b/src/policy/cold/coldlimits.ts
@@ -1,12 +1,12 @@
-/** What a service's upstreams take while they are cold. */
+/** The request limits of a service's upstreams while they are cold. */
 
-/** As operators know it. */
+/** The limits as operators configure them. */
 export type ColdLimits = {
-    /** Requests a second that a cold one works off. */
+    /** The requests a second that a cold upstream can serve. */
     readonly perSecond: number;
-    /** What it may be sent in any second: this many times as many, and `slack` more. Well above that it falls over. */
+    /** A cold upstream may be sent `perSecond` times this, plus `slack`, in any second. Far more requests make it fail. */
     readonly overage: number;
     readonly slack: number;
-    /** How long one that does not say is taken for cold after its start, in milliseconds. */
+    /** How long an upstream that does not report it is assumed to be cold after its start, in milliseconds. */
     readonly startMs: number;
 };
--- a/src/policy/rate/sendrate.ts
+++ b/src/policy/rate/sendrate.ts
@@ -52,12 +52,12 @@
 
     /** Returns when both limits allow `count` more requests. */
     sendableAt(count: number, now: number): number {
-        return Math.max(this.coldGuard.opensAt(count, now), this.statedLimit.sendableAt(count, now));
+        return Math.max(this.coldGuard.sendableAt(count, now), this.statedLimit.sendableAt(count, now));
     }
 
     /** Returns which of the two limits holds a request back for longer. */
     reason(now: number): "cold" | "limited" {
-        return this.isLimited && this.statedLimit.sendableAt(1, now) >= this.coldGuard.opensAt(1, now)
+        return this.isLimited && this.statedLimit.sendableAt(1, now) >= this.coldGuard.sendableAt(1, now)
             ? "limited"
             : "cold";
     }
