--- a/src/policy/halls/applyhallschange.test.ts
+++ b/src/policy/halls/applyhallschange.test.ts
@@ -7,10 +7,10 @@
 import type { HallsChange } from "./hallschange.js";
 import { isLaterMark } from "./islatermark.js";
 
-const NOTHING: EvacuatedHalls = { mark: { era: 0, revision: 0 }, halls: [] };
+const EMPTY: EvacuatedHalls = { mark: { era: 0, revision: 0 }, halls: [] };
 const hall = (name: string): HallName => name as HallName;
 
-const change = (revision: number, more: Partial<HallsChange> = {}): HallsChange => ({
+const createChange = (revision: number, more: Partial<HallsChange> = {}): HallsChange => ({
     mark: { era: 0, revision },
     complete: true,
     evacuated: [],
@@ -19,63 +19,66 @@
     ...more,
 });
 
-test("halls: an older word changes nothing, also one that is complete", () => {
-    const known = applyHallsChange(NOTHING, change(5, { evacuated: [hall("a")] }))!;
+test("halls: a stale change has no effect, even if it is complete", () => {
+    const known = applyHallsChange(EMPTY, createChange(5, { evacuated: [hall("a")] }))!;
     assert.deepEqual(known.halls, ["a"]);
-    assert.equal(applyHallsChange(known, change(4)), undefined);
-    assert.equal(applyHallsChange(known, change(5, { ended: [hall("a")], complete: false })), undefined);
-    assert.deepEqual(applyHallsChange(known, change(6))!.halls, []);
+    assert.equal(applyHallsChange(known, createChange(4)), undefined);
+    assert.equal(applyHallsChange(known, createChange(5, { ended: [hall("a")], complete: false })), undefined);
+    assert.deepEqual(applyHallsChange(known, createChange(6))!.halls, []);
 });
 
-test("halls: a word of a later era goes before one of a higher revision", () => {
-    const known = applyHallsChange(NOTHING, change(50, { evacuated: [hall("a")] }))!;
-    const later = { ...change(3, { evacuated: [hall("b")] }), mark: { era: 1, revision: 3 } };
+test("halls: a change of a later era supersedes one of a higher revision", () => {
+    const known = applyHallsChange(EMPTY, createChange(50, { evacuated: [hall("a")] }))!;
+    const later = { ...createChange(3, { evacuated: [hall("b")] }), mark: { era: 1, revision: 3 } };
     assert.deepEqual(applyHallsChange(known, later)!.halls, ["b"]);
     assert.equal(isLaterMark(known.mark, later.mark), false);
 });
 
-test("halls: an entry that can't be read leaves its hall as it was", () => {
-    const known = applyHallsChange(NOTHING, change(5, { evacuated: [hall("a")] }))!;
+test("halls: an unreadable entry leaves the state of its hall unchanged", () => {
+    const known = applyHallsChange(EMPTY, createChange(5, { evacuated: [hall("a")] }))!;
     const unreadable = [hall("a"), hall("b")];
-    assert.deepEqual(applyHallsChange(known, change(6, { unreadable }))!.halls, ["a"]);
-    assert.deepEqual(applyHallsChange(known, change(6, { unreadable, complete: false }))!.halls, ["a"]);
+    assert.deepEqual(applyHallsChange(known, createChange(6, { unreadable }))!.halls, ["a"]);
+    assert.deepEqual(applyHallsChange(known, createChange(6, { unreadable, complete: false }))!.halls, ["a"]);
 });
 
-type Step = { readonly hall: HallName; readonly evacuated: boolean; };
+type StoreChange = { readonly hall: HallName; readonly evacuated: boolean; };
 
-/** What the store has after each of its changes, by revision. */
-const historyOf = (steps: readonly Step[]): readonly (readonly HallName[])[] => {
+/** Returns the evacuated halls after each change of the store, by revision. */
+const hallsByRevision = (changes: readonly StoreChange[]): readonly (readonly HallName[])[] => {
     const states: HallName[][] = [[]];
-    for (const step of steps) {
-        const others = states.at(-1)!.filter(other => other !== step.hall);
-        states.push(step.evacuated ? [...others, step.hall].sort() : others);
+    for (const change of changes) {
+        const others = states.at(-1)!.filter(other => other !== change.hall);
+        states.push(change.evacuated ? [...others, change.hall].sort() : others);
     }
     return states;
 };
 
-/** A watch's answer: what has happened behind `from`, up to `to`, the last word on each hall. */
-const between = (steps: readonly Step[], from: number, to: number): HallsChange => {
-    const last = new Map(steps.slice(from, to).map(step => [step.hall, step.evacuated]));
-    const of = (evacuated: boolean): HallName[] => [...last].filter(([, its]) => its === evacuated).map(([its]) => its);
-    return change(to + 1, { complete: false, evacuated: of(true), ended: of(false) });
+/** Returns what a watch reports: the latest state of each hall that changed after `from` and up to `to`. */
+const changesBetween = (changes: readonly StoreChange[], from: number, to: number): HallsChange => {
+    const last = new Map(changes.slice(from, to).map(step => [step.hall, step.evacuated]));
+    const hallsWhere = (evacuated: boolean): HallName[] =>
+        [...last].filter(([, value]) => value === evacuated).map(([name]) => name);
+    return createChange(to + 1, { complete: false, evacuated: hallsWhere(true), ended: hallsWhere(false) });
 };
 
-const steps = fc.array(
+const storeChanges = fc.array(
     fc.record({ hall: fc.constantFrom(hall("a"), hall("b"), hall("c")), evacuated: fc.boolean() }),
     { minLength: 1, maxLength: 8 },
 );
 
-test("halls: whatever words arrive in whatever order, what is known is what the store had then", () => {
-    fc.assert(fc.property(steps, fc.array(fc.nat(), { maxLength: 12 }), (history, draws) => {
-        const states = historyOf(history);
-        let known = NOTHING;
+test("halls: the known state matches the store's at its mark, whatever changes arrive in whatever order", () => {
+    fc.assert(fc.property(storeChanges, fc.array(fc.nat(), { maxLength: 12 }), (history, draws) => {
+        const states = hallsByRevision(history);
+        let known = EMPTY;
         let watchedTo = 0;
         for (const draw of draws) {
             const to = draw % states.length;
             const isWatch = draw % 2 === 0 && to >= watchedTo && known.mark.revision > 0;
-            const said = isWatch ? between(history, watchedTo, to) : change(to + 1, { evacuated: states[to]! });
+            const received = isWatch
+                ? changesBetween(history, watchedTo, to)
+                : createChange(to + 1, { evacuated: states[to]! });
             watchedTo = Math.max(watchedTo, to);
-            known = applyHallsChange(known, said) ?? known;
+            known = applyHallsChange(known, received) ?? known;
             assert.deepEqual(known.halls, states[known.mark.revision - 1]);
         }
     }));
--- a/src/policy/halls/applyhallschange.ts
+++ b/src/policy/halls/applyhallschange.ts
@@ -1,11 +1,12 @@
-/** Which halls are evacuated after what the store has said? */
+/** Applies a change from the store to the halls that are known to be evacuated. */
 import type { EvacuatedHalls } from "./evacuatedhalls.js";
 import type { HallsChange } from "./hallschange.js";
 import { isLaterMark } from "./islatermark.js";
 
 /**
- * Undefined for a change that is no later than what is known. One that is not complete may begin before what is known: it has the last
- * word on each hall that it names, and nothing has changed for the others.
+ * Returns the new state, or undefined if the change is not later than the known state. A change that is not complete
+ * may start before the known state: it holds the latest state of each hall that it names, and the other halls have not
+ * changed.
  */
 export function applyHallsChange(known: EvacuatedHalls, change: HallsChange): EvacuatedHalls | undefined {
     const { mark, complete, evacuated, ended, unreadable } = change;
--- a/src/policy/halls/evacuatedhalls.ts
+++ b/src/policy/halls/evacuatedhalls.ts
@@ -1,6 +1,6 @@
-/** Which halls operators have evacuated. */
+/** The halls that operators have evacuated. */
 import type { HallName } from "../../ids/hallname.js";
 import type { StoreMark } from "./storemark.js";
 
-/** `mark`: the store had this when it had come so far. */
+/** The state of the store at the position `mark`. */
 export type EvacuatedHalls = { readonly mark: StoreMark; readonly halls: readonly HallName[]; };
--- a/src/policy/halls/hallschange.ts
+++ b/src/policy/halls/hallschange.ts
@@ -1,14 +1,14 @@
-/** What the store says of the evacuation of halls. */
+/** A report of the store on evacuated halls: all of them, or changes. */
 import type { HallName } from "../../ids/hallname.js";
 import type { StoreMark } from "./storemark.js";
 
-/** `complete`: the store has no other entries; else it is what has changed since the last answer. */
+/** With `complete` the store has no other entries; otherwise the report holds the changes since the last response. */
 export type HallsChange = {
     readonly mark: StoreMark;
     readonly complete: boolean;
     readonly evacuated: readonly HallName[];
-    /** Whose entries are gone. */
+    /** Halls whose entries were deleted. */
     readonly ended: readonly HallName[];
-    /** Whose entries can't be read: what was known of them stays. */
+    /** Halls whose entries can't be read; their known state stays. */
     readonly unreadable: readonly HallName[];
 };
--- a/src/policy/halls/islatermark.ts
+++ b/src/policy/halls/islatermark.ts
@@ -1,7 +1,7 @@
-/** Which of two points in the life of the store is the later one? */
+/** Compares two positions in the history of the store. */
 import type { StoreMark } from "./storemark.js";
 
-/** True when `mark` is later than `other`. */
+/** Returns true if `mark` is later than `other`. */
 export function isLaterMark(mark: StoreMark, other: StoreMark): boolean {
     return mark.era > other.era || mark.era === other.era && mark.revision > other.revision;
 }
--- a/src/policy/halls/storemark.ts
+++ b/src/policy/halls/storemark.ts
@@ -1,4 +1,7 @@
-/** A point in the life of the store. */
+/** A position in the history of the store. */
 
-/** `era` rises each time that the store comes back from a copy, `revision` with each change; revisions of two eras can't be compared. */
+/**
+ * `era` rises with each restore of the store from a backup, `revision` with each change; revisions compare only within
+ * an era.
+ */
 export type StoreMark = { readonly era: number; readonly revision: number; };
