--- a/src/policy/admission/admission.test.ts
+++ b/src/policy/admission/admission.test.ts
@@ -30,112 +30,112 @@
         new SendRate(new ColdGuard(0), new RequestLimit()),
     );
 
-const finishRequest = (gate: Admission<Waiting>, ms: number, now = 0): void =>
-    gate.finish(ms, { work: Float64Array.of(0, ms) }, now);
+const finishRequest = (admission: Admission<Waiting>, ms: number, now = 0): void =>
+    admission.finish(ms, { work: Float64Array.of(0, ms) }, now);
 
 test("admission: runs requests up to the slots, then queues them, then refuses them", () => {
-    const gate = createAdmission(1);
-    assert.equal(gate.arrive(createItem(), 0).type, "run");
-    assert.equal(gate.arrive(createItem(), 0).type, "wait");
-    for (let at = 0; at < 15; at++) {
-        gate.arrive(createItem(), 0);
+    const admission = createAdmission(1);
+    assert.equal(admission.arrive(createItem(), 0).type, "run");
+    assert.equal(admission.arrive(createItem(), 0).type, "wait");
+    for (let index = 0; index < 15; index++) {
+        admission.arrive(createItem(), 0);
     }
-    const verdict = gate.arrive(createItem(), 0);
-    assert.equal(verdict.type === "refuse" && verdict.refusal.reason, "queue-full");
+    const decision = admission.arrive(createItem(), 0);
+    assert.equal(decision.type === "refuse" && decision.refusal.reason, "queue-full");
 });
 
 test("admission: refuses a request at once if it would wait past its deadline", () => {
-    const gate = createAdmission(1);
-    gate.arrive(createItem(), 0);
-    const verdict = gate.arrive(createItem("normal", "a", 6), 0);
-    assert.equal(verdict.type === "refuse" && verdict.refusal.reason, "wait-too-long");
-    assert.equal(gate.arrive(createItem("normal", "a", 0), 0).type, "refuse");
+    const admission = createAdmission(1);
+    admission.arrive(createItem(), 0);
+    const decision = admission.arrive(createItem("normal", "a", 6), 0);
+    assert.equal(decision.type === "refuse" && decision.refusal.reason, "wait-too-long");
+    assert.equal(admission.arrive(createItem("normal", "a", 0), 0).type, "refuse");
 });
 
 test("admission: urgent requests go first, and background ones do not starve", () => {
-    const gate = createAdmission(1);
-    gate.arrive(createItem(), 0);
+    const admission = createAdmission(1);
+    admission.arrive(createItem(), 0);
     const background = createItem("background");
-    gate.arrive(background, 0);
+    admission.arrive(background, 0);
     const order: Priority[] = [];
     for (let turn = 0; turn < 80; turn++) {
-        gate.arrive(createItem("urgent"), 0);
-        finishRequest(gate, 1);
-        order.push(gate.next(0).run[0]!.priority);
+        admission.arrive(createItem("urgent"), 0);
+        finishRequest(admission, 1);
+        order.push(admission.next(0).run[0]!.priority);
     }
     assert.equal(order[0], "urgent");
     assert.ok(order.includes("background"));
 });
 
 test("admission: teams share the turns of a priority evenly", () => {
-    const gate = createAdmission(1);
-    gate.arrive(createItem(), 0);
-    for (let at = 0; at < 10; at++) {
-        gate.arrive(createItem("normal", "many"), 0);
+    const admission = createAdmission(1);
+    admission.arrive(createItem(), 0);
+    for (let index = 0; index < 10; index++) {
+        admission.arrive(createItem("normal", "many"), 0);
     }
-    gate.arrive(createItem("normal", "few"), 0);
+    admission.arrive(createItem("normal", "few"), 0);
     const served: string[] = [];
     for (let turn = 0; turn < 3; turn++) {
-        finishRequest(gate, 1);
-        served.push(gate.next(0).run[0]!.team);
+        finishRequest(admission, 1);
+        served.push(admission.next(0).run[0]!.team);
     }
     assert.ok(served.includes("few"));
 });
 
 test("admission: a queued request whose deadline has passed is released as expired", () => {
-    const gate = createAdmission(1);
-    gate.arrive(createItem(), 0);
-    const waiting = createItem("normal", "a", 100);
-    gate.arrive(waiting, 0);
-    finishRequest(gate, 1);
-    assert.deepEqual(gate.next(100), { run: [], late: [waiting] });
+    const admission = createAdmission(1);
+    admission.arrive(createItem(), 0);
+    const queued = createItem("normal", "a", 100);
+    admission.arrive(queued, 0);
+    finishRequest(admission, 1);
+    assert.deepEqual(admission.next(100), { run: [], late: [queued] });
 });
 
 test("admission: a reserved slot serves only the request for which it is reserved", () => {
-    const gate = createAdmission(1);
-    assert.equal(gate.hold(0), true);
-    assert.equal(gate.hold(0), false);
-    assert.equal(gate.arrive(createItem(), 0).type, "wait");
+    const admission = createAdmission(1);
+    assert.equal(admission.hold(0), true);
+    assert.equal(admission.hold(0), false);
+    assert.equal(admission.arrive(createItem(), 0).type, "wait");
     const other = createAdmission(1);
     other.hold(0);
     assert.equal(other.arrive(createItem(), 0, true).type, "run");
 });
 
 test("admission: a long wait is refused as busy while there are other choices, and queued otherwise", () => {
-    const gate = createAdmission(2);
-    gate.arrive(createItem(), 0);
-    gate.arrive(createItem(), 0);
-    const verdict = gate.arrive({ ...createItem(), choices: 1, nearChoices: 1 }, 0);
-    assert.equal(verdict.type === "refuse" && verdict.refusal.reason, "busy");
-    assert.equal(gate.arrive(createItem(), 0).type, "wait");
+    const admission = createAdmission(2);
+    admission.arrive(createItem(), 0);
+    admission.arrive(createItem(), 0);
+    const decision = admission.arrive({ ...createItem(), choices: 1, nearChoices: 1 }, 0);
+    assert.equal(decision.type === "refuse" && decision.refusal.reason, "busy");
+    assert.equal(admission.arrive(createItem(), 0).type, "wait");
 });
 
 test("admission: within a priority, the request with the earliest deadline goes first", () => {
-    const gate = createAdmission(1);
-    gate.arrive(createItem(), 0);
-    gate.arrive(createItem("normal", "a", 900), 0);
-    const short = createItem("normal", "a", 200);
-    gate.arrive(short, 0);
-    finishRequest(gate, 1);
-    assert.deepEqual(gate.next(0).run, [short]);
+    const admission = createAdmission(1);
+    admission.arrive(createItem(), 0);
+    admission.arrive(createItem("normal", "a", 900), 0);
+    const earliest = createItem("normal", "a", 200);
+    admission.arrive(earliest, 0);
+    finishRequest(admission, 1);
+    assert.deepEqual(admission.next(0).run, [earliest]);
 });
 
 test("admission: under a stated rate limit urgent requests go first, others are refused with a retry-after", () => {
     const limit = new RequestLimit();
     limit.recordAnswer({ type: "perSecond", perSecond: 4 }, { sentAt: -1, isHealth: false }, 0);
     const rate = new SendRate(new ColdGuard(0), limit);
-    const gate = new Admission(new FixedLimit(10), new RuleTimes(), new LevelClock(10, 0), new Pace(), rate);
+    const admission = new Admission(new FixedLimit(10), new RuleTimes(), new LevelClock(10, 0), new Pace(), rate);
     const ran: Record<Priority, number> = { urgent: 0, normal: 0, background: 0 };
     for (let now = 0; now < 10_000; now += 100) {
         for (const priority of ["background", "urgent"] as const) {
-            const verdict = gate.arrive({ ...createItem(priority, "a", now + 1000), maxWaitMs: 0 }, now);
-            assert.notEqual(verdict.type, "wait");
-            if (verdict.type === "run") {
+            const decision = admission.arrive({ ...createItem(priority, "a", now + 1000), maxWaitMs: 0 }, now);
+            assert.notEqual(decision.type, "wait");
+            if (decision.type === "run") {
                 ran[priority] += 1;
-                finishRequest(gate, 1, now);
+                finishRequest(admission, 1, now);
             }
-            else if (verdict.type === "refuse") {
-                assert.ok(verdict.refusal.retryAfterMs > 0);
+            else if (decision.type === "refuse") {
+                assert.ok(decision.refusal.retryAfterMs > 0);
             }
         }
     }
@@ -146,11 +146,11 @@
 test("admission: a queued request is refused once a stated rate limit would serve it too late", () => {
     const limit = new RequestLimit();
     const rate = new SendRate(new ColdGuard(0), limit);
-    const gate = new Admission(new FixedLimit(1), new RuleTimes(), new LevelClock(1, 0), new Pace(), rate);
-    gate.arrive(createItem(), 0);
-    const waiting = [createItem("normal", "a", 400), createItem("normal", "b", 10_000)];
-    waiting.forEach(each => assert.equal(gate.arrive(each, 0).type, "wait"));
+    const admission = new Admission(new FixedLimit(1), new RuleTimes(), new LevelClock(1, 0), new Pace(), rate);
+    admission.arrive(createItem(), 0);
+    const queued = [createItem("normal", "a", 400), createItem("normal", "b", 10_000)];
+    queued.forEach(each => assert.equal(admission.arrive(each, 0).type, "wait"));
     limit.recordAnswer({ type: "perSecond", perSecond: 2 }, { sentAt: -1, isHealth: false }, 10);
-    assert.deepEqual(gate.reconsider(10).map(refused => refused.item), [waiting[0]]);
-    assert.equal(gate.waiting, 1);
+    assert.deepEqual(admission.reconsider(10).map(refused => refused.item), [queued[0]]);
+    assert.equal(admission.waiting, 1);
 });
--- a/src/policy/admission/admission.ts
+++ b/src/policy/admission/admission.ts
@@ -46,7 +46,7 @@
     constructor(
         private readonly limit: SlotLimit,
         private readonly times: RuleTimes,
-        private readonly levels: LevelClock,
+        private readonly levelClock: LevelClock,
         private readonly pace: Pace,
         private readonly sendRate: SendRate,
     ) {
@@ -128,8 +128,8 @@
         if (serviceMs !== undefined && ended !== undefined && !this.sendRate.isLimited) {
             const { rule, work, pace = 1 } = ended;
             this.times.observe(rule, serviceMs, work.reduce((sum, ms) => sum + ms, 0) / pace);
-            const usualMs = this.times.longMs(rule) * pace;
-            this.limit.observe(work.map(ms => ms / usualMs));
+            const expectedMs = this.times.longMs(rule) * pace;
+            this.limit.observe(work.map(ms => ms / expectedMs));
         }
     }
 
@@ -216,7 +216,7 @@
 
     #setRunning(running: number, now: number): void {
         this.#running = running;
-        this.levels.setRunning(running, now);
+        this.levelClock.setRunning(running, now);
     }
 
     /** Returns the position that a request would have in the queue; the first is 1. */
--- a/src/policy/admission/isworthwaiting.test.ts
+++ b/src/policy/admission/isworthwaiting.test.ts
@@ -23,18 +23,18 @@
 
 /** Creates the admission of a gate with two slots whose requests take `workMs`, before any report of the pace. */
 const createAdmission = (workMs: number, pace: Pace): Admission<Waiting> => {
-    const gate = new Admission<Waiting>(
+    const admission = new Admission<Waiting>(
         new FixedLimit(2),
         new RuleTimes(),
         new LevelClock(2, 0),
         pace,
         new SendRate(new ColdGuard(0), new RequestLimit()),
     );
-    for (let at = 0; at < 100; at++) {
-        gate.arrive(createItem(), 0);
-        gate.finish(workMs, { work: Float64Array.of(0, workMs, 0) }, 0);
+    for (let index = 0; index < 100; index++) {
+        admission.arrive(createItem(), 0);
+        admission.finish(workMs, { work: Float64Array.of(0, workMs, 0) }, 0);
     }
-    return gate;
+    return admission;
 };
 
 const reportSlowdown = (pace: Pace, now: number): void => {
@@ -50,41 +50,41 @@
 
 test("pace: a gate keeps a slot free while its upstream is slow, until it recovers or its report is stale", () => {
     const pace = new Pace();
-    const gate = createAdmission(220, pace);
+    const admission = createAdmission(220, pace);
     reportSlowdown(pace, 100);
-    assert.equal(gate.arrive(createItem(), 100).type, "wait");
-    assert.deepEqual(gate.next(101).run, []);
-    assert.equal(gate.isWaitingForPace(101), true);
+    assert.equal(admission.arrive(createItem(), 100).type, "wait");
+    assert.deepEqual(admission.next(101).run, []);
+    assert.equal(admission.isWaitingForPace(101), true);
     pace.observe(1, 120);
-    assert.equal(gate.next(120).run.length, 1);
+    assert.equal(admission.next(120).run.length, 1);
     pace.observe(5, 140);
-    assert.equal(gate.arrive(createItem(), 140).type, "wait");
-    assert.equal(gate.next(500).run.length, 1);
+    assert.equal(admission.arrive(createItem(), 140).type, "wait");
+    assert.equal(admission.next(500).run.length, 1);
 });
 
 test("pace: short work starts while the upstream is slow", () => {
     const pace = new Pace();
-    const gate = createAdmission(20, pace);
+    const admission = createAdmission(20, pace);
     reportSlowdown(pace, 100);
-    assert.equal(gate.arrive(createItem(), 100).type, "run");
+    assert.equal(admission.arrive(createItem(), 100).type, "run");
 });
 
 test("pace: an expired request is released while the upstream is slow", () => {
     const pace = new Pace();
-    const gate = createAdmission(220, pace);
+    const admission = createAdmission(220, pace);
     reportSlowdown(pace, 100);
-    gate.arrive(createItem(900), 100);
+    admission.arrive(createItem(900), 100);
     pace.observe(5, 899);
-    assert.equal(gate.next(901).late.length, 1);
+    assert.equal(admission.next(901).late.length, 1);
 });
 
 test("pace: the duration of slow periods is learned only from reports in close succession", () => {
     const pace = new Pace();
-    for (let spell = 0; spell < 60; spell++) {
-        const start = spell * 1000;
+    for (let period = 0; period < 60; period++) {
+        const start = period * 1000;
         pace.observe(1, start);
-        for (let at = 0; at <= 60; at += 20) {
-            pace.observe(5, start + 20 + at);
+        for (let offset = 0; offset <= 60; offset += 20) {
+            pace.observe(5, start + 20 + offset);
         }
         pace.observe(1, start + 100);
     }
@@ -96,17 +96,17 @@
 
 test("pace: an upstream that stays slow is used again after a wait no longer than the delay it would cause", () => {
     const pace = new Pace();
-    const gate = createAdmission(220, pace);
+    const admission = createAdmission(220, pace);
     reportSlowdown(pace, 100);
-    let began: number | undefined;
-    gate.arrive(createItem(), 100);
-    for (let now = 100; began === undefined && now < 5000; now += 20) {
+    let startedAt: number | undefined;
+    admission.arrive(createItem(), 100);
+    for (let now = 100; startedAt === undefined && now < 5000; now += 20) {
         pace.observe(5, now);
-        began = gate.next(now).run.length > 0 ? now : undefined;
+        startedAt = admission.next(now).run.length > 0 ? now : undefined;
     }
-    assert.ok(began !== undefined && began - 100 > 700 && began - 100 <= 900, String(began));
-    assert.equal(gate.arrive(createItem(), began).type, "run");
-    gate.finish(undefined, undefined, began);
+    assert.ok(startedAt !== undefined && startedAt - 100 > 700 && startedAt - 100 <= 900, String(startedAt));
+    assert.equal(admission.arrive(createItem(), startedAt).type, "run");
+    admission.finish(undefined, undefined, startedAt);
     pace.observe(5, 5000);
-    assert.equal(gate.arrive(createItem(), 5000).type, "run");
+    assert.equal(admission.arrive(createItem(), 5000).type, "run");
 });
--- a/src/policy/admission/learnedlimit.test.ts
+++ b/src/policy/admission/learnedlimit.test.ts
@@ -13,9 +13,9 @@
  * requests run.
  */
 const saturate = (limit: LearnedLimit, responses: number, timeAt: (running: number) => number): void => {
-    for (let at = 0; at < responses; at++) {
-        const full = limit.current();
-        const running = at % 3 === 0 ? Math.max(1, full - at % 5) : full;
+    for (let index = 0; index < responses; index++) {
+        const allowed = limit.current();
+        const running = index % 3 === 0 ? Math.max(1, allowed - index % 5) : allowed;
         const times = new Float64Array(SLOTS + 1);
         times[running] = timeAt(running);
         limit.observe(times);
@@ -25,7 +25,7 @@
 /** Returns the median of the limit over 400 responses. */
 const medianLimit = (limit: LearnedLimit, timeAt: (running: number) => number): number => {
     const observed: number[] = [];
-    for (let at = 0; at < 400; at++) {
+    for (let index = 0; index < 400; index++) {
         saturate(limit, 1, timeAt);
         observed.push(limit.current());
     }
@@ -41,15 +41,15 @@
 
 test("learned limit: an upstream that does not slow down uses all its slots, even if its times vary", () => {
     const limit = new LearnedLimit(SLOTS);
-    let at = 0;
-    const timeAt = (): number => [0.4, 1.9, 0.7, 1.0][at++ % 4]!;
+    let index = 0;
+    const timeAt = (): number => [0.4, 1.9, 0.7, 1.0][index++ % 4]!;
     saturate(limit, 2000, timeAt);
     assert.equal(medianLimit(limit, timeAt), SLOTS);
 });
 
 test("learned limit: the limit never falls below half of the slots, and rises again when the upstream recovers", () => {
     const limit = new LearnedLimit(SLOTS);
-    for (let at = 0; at < 1000; at++) {
+    for (let index = 0; index < 1000; index++) {
         saturate(limit, 1, running => running * running);
         assert.ok(limit.current() >= 6, String(limit.current()));
     }
--- a/src/policy/halls/applyhallschange.test.ts
+++ b/src/policy/halls/applyhallschange.test.ts
@@ -10,13 +10,13 @@
 const EMPTY: EvacuatedHalls = { mark: { era: 0, revision: 0 }, halls: [] };
 const hall = (name: string): HallName => name as HallName;
 
-const createChange = (revision: number, more: Partial<HallsChange> = {}): HallsChange => ({
+const createChange = (revision: number, overrides: Partial<HallsChange> = {}): HallsChange => ({
     mark: { era: 0, revision },
     complete: true,
     evacuated: [],
     ended: [],
     unreadable: [],
-    ...more,
+    ...overrides,
 });
 
 test("halls: a stale change has no effect, even if it is complete", () => {
@@ -55,9 +55,9 @@
 
 /** Returns what a watch reports: the latest state of each hall that changed after `from` and up to `to`. */
 const changesBetween = (changes: readonly StoreChange[], from: number, to: number): HallsChange => {
-    const last = new Map(changes.slice(from, to).map(step => [step.hall, step.evacuated]));
+    const latest = new Map(changes.slice(from, to).map(change => [change.hall, change.evacuated]));
     const hallsWhere = (evacuated: boolean): HallName[] =>
-        [...last].filter(([, value]) => value === evacuated).map(([name]) => name);
+        [...latest].filter(([, value]) => value === evacuated).map(([name]) => name);
     return createChange(to + 1, { complete: false, evacuated: hallsWhere(true), ended: hallsWhere(false) });
 };
 
--- a/src/policy/rate/requestlimit.test.ts
+++ b/src/policy/rate/requestlimit.test.ts
@@ -49,13 +49,16 @@
 });
 
 test("stated limit: a health response without it ends it only if health responses state it too", () => {
-    const health = (sentAt: number): Parameters<RequestLimit["recordAnswer"]>[1] => ({ sentAt, isHealth: true });
+    const healthProbeSentAt = (sentAt: number): Parameters<RequestLimit["recordAnswer"]>[1] => ({
+        sentAt,
+        isHealth: true,
+    });
     const limit = new RequestLimit();
     limit.recordAnswer(stated(3), requestSentAt(10), 20);
-    limit.recordAnswer(NONE, health(30), 40);
+    limit.recordAnswer(NONE, healthProbeSentAt(30), 40);
     assert.equal(limit.perSecond, 3);
-    limit.recordAnswer(stated(3), health(50), 60);
-    limit.recordAnswer(NONE, health(70), 80);
+    limit.recordAnswer(stated(3), healthProbeSentAt(50), 60);
+    limit.recordAnswer(NONE, healthProbeSentAt(70), 80);
     assert.equal(limit.perSecond, undefined);
 });
 
