--- a/src/policy/placement/rateshare.test.ts
+++ b/src/policy/placement/rateshare.test.ts
@@ -24,7 +24,7 @@
         const senders = shares.filter(each => random() < requestsPerSecond / 1000 && each.isOpen(now));
         for (const each of senders) {
             each.recordSent(now);
-            if (limit.opensAt(1, now) <= now) {
+            if (limit.sendableAt(1, now) <= now) {
                 limit.recordSent(now);
                 responses.push({ at: now + RESPONSE_MS, to: each });
                 counts.taken += now < 5000 ? 0 : 1;
