--- a/src/policy/retry/arrival.ts
+++ b/src/policy/retry/arrival.ts
@@ -1,7 +1,9 @@
 /**
- * What is an attempt to its service: the first arrival of its request there, or one more, and what caused it?
+ * Distinguishes the first arrival of a request at a service from repeats, by their cause.
  *
- * `first`: no attempt before it can have reached an upstream. `retry`: one before it may have. `hedge`: another is under way.
- * `call`: a first attempt of a call that an upstream makes in a run that was itself not the first.
+ * `first`: no earlier attempt can have reached an upstream.
+ * `retry`: an earlier attempt may have reached an upstream.
+ * `hedge`: another attempt is still in progress.
+ * `call`: the first attempt of a call that an upstream makes while it runs a request that was itself a repeat.
  */
 export type Arrival = "first" | "retry" | "hedge" | "call";
--- a/src/policy/retry/attempthistory.ts
+++ b/src/policy/retry/attempthistory.ts
@@ -1,70 +1,72 @@
 /**
- * What has become of a request's attempts so far?
+ * Records the attempts of one request and what is known of their results.
  *
- * Counts only: whether another attempt follows is for decideretry.ts to say. `Target` is whatever attempts are made at.
+ * Only counts attempts: decideretry.ts decides whether another one follows. `Target` is the type of what attempts are
+ * sent to.
  */
 import type { AttemptResult } from "./attemptresult.js";
 import { maxMoves } from "./maxmoves.js";
 import { mayHaveArrived } from "./mayhavearrived.js";
 import { reasons } from "./reasons.js";
 
-/** One for each request. */
 export class AttemptHistory<Target> {
     readonly tried = new Set<Target>();
     #attempts = 0;
-    #moves = 0;
+    #redirects = 0;
     #mayHaveRun = false;
     #arrivals = 0;
-    #paid = 0;
+    #paidArrivals = 0;
 
-    /** Attempts, moves among them. */
+    /** The number of attempts, redirects included. */
     get attempts(): number {
         return this.#attempts;
     }
 
+    /** The number of redirects; a redirect does not count as a retry. */
     get moves(): number {
-        return this.#moves;
+        return this.#redirects;
     }
 
-    /** Attempts that count against what the rule allows. */
+    /** The number of attempts that count towards the rule's maximum: all but redirects. */
     get counted(): number {
-        return this.#attempts - this.#moves;
+        return this.#attempts - this.#redirects;
     }
 
-    /** The request may have run in one attempt, and then no later refusal proves the contrary. */
+    /** True once an attempt may have run the request; a later refusal of another attempt does not change that. */
     get mayHaveRun(): boolean {
         return this.#mayHaveRun;
     }
 
-    /** An attempt may have reached an upstream, so that the next is not the first arrival. */
+    /** True when an attempt may have reached an upstream, so that the next one is a repeat. */
     get mayHaveArrived(): boolean {
         return this.#arrivals > 0;
     }
 
-    /** The next arrival would be one that nothing has been paid for. */
+    /** True when the next attempt is a repeat for which no budget has been spent yet. */
     get owes(): boolean {
-        return this.#arrivals > this.#paid;
+        return this.#arrivals > this.#paidArrivals;
     }
 
-    /** False when the request has moved so often that it must be served where it is. */
+    /** False after the maximum of redirects: the next gate has to serve the request or refuse it. */
     get mayMove(): boolean {
-        return this.#moves < maxMoves;
+        return this.#redirects < maxMoves;
     }
 
+    /** Records the start of an attempt. */
     begin(target: Target): void {
         this.#attempts += 1;
         this.tried.add(target);
     }
 
-    /** Records that the next arrival is paid for. */
+    /** Records that budget has been spent on the next arrival. */
     pay(): void {
-        this.#paid += 1;
+        this.#paidArrivals += 1;
     }
 
-    /** Records a hedge: it is paid for, and whatever comes of it, it may have arrived. */
+    /** Records a hedge. Its budget has been spent, and it counts as arrived whatever its result is. */
     hedge(): void {
         this.#arrivals += 1;
-        this.#paid += 1;
+        this.#paidArrivals += 1;
     }
 
     /** Records the end of an attempt that did not serve the request. */
@@ -73,8 +75,8 @@
         if (mayHaveArrived(result)) {
             this.#arrivals += 1;
         }
-        if (result.outcome !== "failed" && reasons[result.reason].moves) {
-            this.#moves += 1;
+        if (result.outcome !== "failed" && reasons[result.reason].isRedirect) {
+            this.#redirects += 1;
         }
     }
 }
--- a/src/policy/retry/attemptresult.ts
+++ b/src/policy/retry/attemptresult.ts
@@ -1,32 +1,33 @@
-/** What became of one attempt. */
+/** The result of one attempt. */
 import type { Reason } from "./reason.js";
 
-/** The caller has its answer, or as much of it as it wanted. */
+/** The caller has received the response, or as much of it as it wanted. */
 type Served = { readonly outcome: "served"; };
 
-/** The upstream ran the request and its own answer says that it failed. */
-type Failed<Answer> = {
+/** The upstream ran the request and reported in its response that the request failed. */
+type Failed<UpstreamResponse> = {
     readonly outcome: "failed";
-    readonly answer: Answer;
+    readonly answer: UpstreamResponse;
     readonly status: number;
-    /** A hop nearer to the failure has tried again already. */
+    /** True when a hop nearer to the failure has already retried. */
     readonly retriedBelow: boolean;
 };
 
-/** No answer of the upstream. */
-type Unanswered = {
+/** No response of the upstream was received. */
+type NoResponse = {
     readonly outcome: "not-run" | "unknown";
     readonly reason: Reason;
-    /** The gate says that the request was sent to the upstream. */
+    /** True when the gate reports that it sent the request to the upstream. */
     readonly arrived?: boolean;
-    /** When a request refused now is likely to find a slot there, in milliseconds from now. */
+    /** Milliseconds after which a request that is refused now is likely to find a free slot at the upstream. */
     readonly retryAfterMs?: number;
-    /** The upstream where a slot is held for the request, and the offer by which it is held. */
+    /** The name of the upstream that holds a slot for the request. */
     readonly goTo?: string;
+    /** The id of the offer under which the slot is held. */
     readonly offer?: string;
-    /** The revision of the gate's configuration. */
+    /** The revision of the configuration at the gate's daemon. */
     readonly revision?: number;
 };
 
-/** `Answer` is an upstream's answer, which is none of the policy's business. */
-export type AttemptResult<Answer> = Served | Failed<Answer> | Unanswered;
+/** `UpstreamResponse` is the type of an upstream's response; the policy does not look into it. */
+export type AttemptResult<UpstreamResponse> = Served | Failed<UpstreamResponse> | NoResponse;
--- a/src/policy/retry/callprofile.test.ts
+++ b/src/policy/retry/callprofile.test.ts
@@ -7,7 +7,7 @@
 const results = "results" as ServiceName;
 const entries = "entries" as ServiceName;
 
-test("calls: the profile follows how many calls the runs make, and forgets those that are made no more", () => {
+test("call profile: averages the calls of recent runs and drops services that are no longer called", () => {
     const profile = new CallProfile();
     assert.equal(profile.perRun.size, 0);
     profile.observe(new Map([[results, 2]]));
@@ -19,12 +19,12 @@
     assert.equal(profile.perRun.get(entries), 1);
 });
 
-test("calls: a repeated run starts only where the calls of all that are under way can be afforded", () => {
-    const perRun = new Map([[results, 1.5], [entries, 0.5]]);
-    const left = (service: ServiceName): number => service === results ? 3 : 10;
-    assert.equal(canAffordCalls(perRun, 0, left), true);
-    assert.equal(canAffordCalls(perRun, 1, left), true);
-    assert.equal(canAffordCalls(perRun, 2, left), false);
-    assert.equal(canAffordCalls(perRun, 0, () => -1), false);
-    assert.equal(canAffordCalls(new Map(), 100, () => -1), true, "a run that makes no calls adds none");
+test("call profile: a repeated run starts only if the calls of all repeated runs in progress can be afforded", () => {
+    const callsPerRun = new Map([[results, 1.5], [entries, 0.5]]);
+    const repeatsLeft = (service: ServiceName): number => service === results ? 3 : 10;
+    assert.equal(canAffordCalls(callsPerRun, 0, repeatsLeft), true);
+    assert.equal(canAffordCalls(callsPerRun, 1, repeatsLeft), true);
+    assert.equal(canAffordCalls(callsPerRun, 2, repeatsLeft), false);
+    assert.equal(canAffordCalls(callsPerRun, 0, () => -1), false);
+    assert.equal(canAffordCalls(new Map(), 100, () => -1), true, "a run that makes no calls needs no budget");
 });
--- a/src/policy/retry/callprofile.ts
+++ b/src/policy/retry/callprofile.ts
@@ -1,42 +1,43 @@
 /**
- * Which services do the runs of an upstream call, and how often each run?
+ * Estimates how often each run of an upstream calls each other service.
  *
- * So that a repeated run can be refused before its calls add to a service that has had its share of repeats.
+ * With the estimate, a repeated run can be refused before it starts when its calls would exceed the repeats that the
+ * called services may still get.
  */
 import type { ServiceName } from "../../ids/servicename.js";
 
-/** Of the newest run in the average: some ten runs are remembered. */
-const NEWEST_WEIGHT = 0.1;
-/** Fewer calls a run are as good as none: a thousandth of a repeat is no storm. */
-const LEAST = 0.001;
+/** Weight of the newest run in the moving average, which so covers about ten runs. */
+const NEWEST_RUN_WEIGHT = 0.1;
+/** Averages below this are dropped: a thousandth of a repeat for each run is no noticeable load. */
+const MIN_CALLS_PER_RUN = 0.001;
 
-/** Of one upstream. */
+/** Holds the averages of one upstream. */
 export class CallProfile {
-    readonly #perRun = new Map<ServiceName, number>();
+    readonly #callsPerRun = new Map<ServiceName, number>();
 
-    /** Calls a run, on average, for each service that runs have called. */
+    /** The average number of calls in a run, for each service that recent runs have called. */
     get perRun(): ReadonlyMap<ServiceName, number> {
-        return this.#perRun;
+        return this.#callsPerRun;
     }
 
-    /** Records the calls of a run that has ended. */
-    observe(calls: ReadonlyMap<ServiceName, number>): void {
-        for (const [service, mean] of this.#perRun) {
-            this.#move(service, mean, calls.get(service) ?? 0);
+    /** Records the number of calls that a finished run made to each service. */
+    observe(callCounts: ReadonlyMap<ServiceName, number>): void {
+        for (const [service, mean] of this.#callsPerRun) {
+            this.#updateMean(service, mean, callCounts.get(service) ?? 0);
         }
-        for (const [service, count] of calls) {
-            if (!this.#perRun.has(service)) {
-                this.#perRun.set(service, count);
+        for (const [service, count] of callCounts) {
+            if (!this.#callsPerRun.has(service)) {
+                this.#callsPerRun.set(service, count);
             }
         }
     }
 
-    #move(service: ServiceName, mean: number, count: number): void {
-        const moved = mean + NEWEST_WEIGHT * (count - mean);
-        if (moved < LEAST) {
-            this.#perRun.delete(service);
+    #updateMean(service: ServiceName, mean: number, count: number): void {
+        const updated = mean + NEWEST_RUN_WEIGHT * (count - mean);
+        if (updated < MIN_CALLS_PER_RUN) {
+            this.#callsPerRun.delete(service);
             return;
         }
-        this.#perRun.set(service, moved);
+        this.#callsPerRun.set(service, updated);
     }
 }
--- a/src/policy/retry/canaffordcalls.ts
+++ b/src/policy/retry/canaffordcalls.ts
@@ -1,18 +1,24 @@
 /**
- * May one more repeated run start at an upstream, by what its calls would add to the services that it calls?
+ * Decides whether one more repeated run may start at an upstream, by the repeats that its calls add to other services.
  *
- * All calls of a run come in by the daemon beside it, so that daemon knows alone whether its part of each service's bound still has
- * room. Those of repeated runs that are under way may be still to come, and are reckoned with as a whole.
+ * All calls of a run pass through the daemon beside its upstream, so this daemon alone knows whether its part of each
+ * service's bound has room for them. Repeated runs in progress may still have all their calls to make, so each counts
+ * in full.
  *
- * Shown by: retrymodel.test.ts, where runs that make two calls break the bound of the called service without it.
+ * Tested by retrymodel.test.ts: without this check, runs that make two calls exceed the bound of the called service.
  */
 import type { ServiceName } from "../../ids/servicename.js";
 
-/** `perRun`: calls a run; `underWay`: repeated runs that have not ended; `left`: repeats of a service that can be afforded here. */
+/**
+ * Returns true if the calls of all repeated runs, the new one included, can be afforded.
+ *
+ * `callsPerRun` is the average number of calls in a run, by service. `repeatedRuns` is the number of repeated runs in
+ * progress. `repeatsLeft` returns how many repeats this daemon may still send to a service.
+ */
 export function canAffordCalls(
-    perRun: ReadonlyMap<ServiceName, number>,
-    underWay: number,
-    left: (service: ServiceName) => number,
+    callsPerRun: ReadonlyMap<ServiceName, number>,
+    repeatedRuns: number,
+    repeatsLeft: (service: ServiceName) => number,
 ): boolean {
-    return [...perRun].every(([service, calls]) => left(service) >= calls * (underWay + 1));
+    return [...callsPerRun].every(([service, calls]) => repeatsLeft(service) >= calls * (repeatedRuns + 1));
 }
--- a/src/policy/retry/decidehedge.test.ts
+++ b/src/policy/retry/decidehedge.test.ts
@@ -12,7 +12,7 @@
     afterMs: 40,
 } as const;
 
-test("hedge: only a request that may run twice, whose answer is received whole, is also sent elsewhere", () => {
+test("hedge: only a repeatable request with a whole response and a body that can be sent again is hedged", () => {
     assert.equal(decideHedge(request), 40);
     assert.equal(decideHedge({ ...request, isEnabled: false }), undefined);
     assert.equal(decideHedge({ ...request, kind: "once" }), undefined);
--- a/src/policy/retry/decidehedge.ts
+++ b/src/policy/retry/decidehedge.ts
@@ -1,26 +1,29 @@
 /**
- * Is a request that is still unanswered also sent elsewhere, and when (Dean and Barroso 2013)?
+ * Decides whether and when a request without a response is also sent to a second upstream (a hedge; Dean and Barroso
+ * 2013).
  *
- * Only one that may run twice, whose answer is received whole before the caller gets any of it, whose body can be sent again
- * and whose rule allows one more attempt. When its answer is overdue (hedging.ts), the second attempt is paid from what
- * successes have earned beyond the budget's start, so that failures keep theirs.
+ * A request is hedged only if it may run twice, its response is received whole before the caller gets any of it, its
+ * body can be sent again and its rule allows one more attempt. The hedge is sent when the response is overdue
+ * (hedgedelay.ts). Its budget comes only from the share earned by requests, so that the reserve is left for failures.
  */
 import type { AnswerMode } from "../../config/answermode.js";
 import type { Kind } from "../../config/kind.js";
 
-/** The request, and `afterMs` by the answers of its service so far; undefined when they say nothing of what is overdue. */
+/** Describes the request and the usual response time of its service. */
 type HedgeInput = {
     readonly isEnabled: boolean;
     readonly kind: Kind;
     readonly answer: AnswerMode;
     readonly bodyKept: boolean;
-    /** Attempts that count, and how many the rule allows. */
+    /** The number of attempts so far, without redirects. */
     readonly attempts: number;
+    /** The number of attempts that the rule allows, without redirects. */
     readonly maxAttempts: number;
+    /** Milliseconds after which a response of the service is overdue; undefined while that is not known. */
     readonly afterMs: number | undefined;
 };
 
-/** Milliseconds after which the request may be sent elsewhere too; undefined when it may not. */
+/** Returns the milliseconds after which the hedge may be sent, or undefined if the request must not be hedged. */
 export function decideHedge(input: HedgeInput): number | undefined {
     const { isEnabled, kind, answer, bodyKept, attempts, maxAttempts, afterMs } = input;
     const mayRunTwice = kind === "repeatable" && answer === "whole" && bodyKept;
--- a/src/policy/retry/decidekind.ts
+++ b/src/policy/retry/decidekind.ts
@@ -1,20 +1,21 @@
 /**
- * May a request run more than once?
+ * Decides whether a request may run more than once (`repeatable`) or not (`once`).
  *
- * The rule's kind says so, or else the method. A daemon that can't show that its configuration is the newest treats an unsafe
- * method as `once`, since a newer rule may: running it less often than allowed harms nobody.
+ * The kind comes from the rule or, where the rule has none, from the method. A daemon whose configuration may be stale
+ * treats every unsafe method as `once`, since a newer rule may say so. Running a request less often than allowed does
+ * no harm.
  */
 import type { Kind } from "../../config/kind.js";
 import type { Rule } from "../../config/rule.js";
 
-/** Methods that RFC 9110 (9.2.1) calls safe and that callers send. */
+/** The methods defined as safe by RFC 9110, section 9.2.1, without TRACE. */
 const SAFE_METHODS: ReadonlySet<string> = new Set(["GET", "HEAD", "OPTIONS"]);
 
-/** `fresh`: the store has confirmed the configuration lately. */
-export function decideKind(rule: Pick<Rule, "kind">, method: string, fresh: boolean): Kind {
-    const safe = SAFE_METHODS.has(method);
-    if (!safe && !fresh) {
+/** Returns the kind of a request. `isConfigFresh` is true if the store has confirmed the configuration recently. */
+export function decideKind(rule: Pick<Rule, "kind">, method: string, isConfigFresh: boolean): Kind {
+    const isSafe = SAFE_METHODS.has(method);
+    if (!isSafe && !isConfigFresh) {
         return "once";
     }
-    return rule.kind ?? (safe ? "repeatable" : "once");
+    return rule.kind ?? (isSafe ? "repeatable" : "once");
 }
--- a/src/policy/retry/decideretry.ts
+++ b/src/policy/retry/decideretry.ts
@@ -1,13 +1,20 @@
 /**
- * May a request be tried again after an attempt that did not serve it?
+ * Decides whether a request gets another attempt after one that did not serve it.
  *
- * By what is proven, not by status. Whatever has reached an upstream is an arrival, also one that the upstream turned away: each
- * attempt that can be one more comes out of the retry budget, without exception. Short of that, a request that belongs
- * elsewhere moves there for free, a bounded number of times, and a proven `not-run` may be tried again; where the refusal was
- * for load the attempt is paid for too, since a retry adds to a load that is too high already. What may have run is tried again
- * only when it is repeatable. One under which upstreams have crashed goes to no other. Every decision rests on the caller's remaining time, and on whether the body can be sent once more.
+ * The decision rests on what is proven of the last attempt, not on its status:
  *
- * The rows of reasons.ts say what is for load; how much there is to spend, ownallowance.ts.
+ * - Every attempt that reached an upstream is an arrival, even if the upstream refused it. Each attempt that may be a
+ *   repeat costs budget, without exception.
+ * - An attempt that is refused because the request belongs elsewhere is followed by a redirect, which is free up to a
+ *   maximum.
+ * - A request that is proven not to have run may be retried. If it was refused for load, the retry costs budget, since
+ *   it adds to a load that is too high already.
+ * - A request that may have run is retried only if it is repeatable.
+ * - A request that is suspected of having crashed upstreams goes to no other, unless the last attempt did not run it. A
+ *   quarantined request never does.
+ * - There is no further attempt when the time limit has passed or the body can't be sent again.
+ *
+ * The table in reasons.ts states which refusals are for load; daemonallowance.ts limits the budget.
  */
 import type { Kind } from "../../config/kind.js";
 import type { Standing } from "../quarantine/standing.js";
@@ -17,32 +24,37 @@
 import type { Retries } from "./retries.js";
 import type { RetryDecision } from "./retrydecision.js";
 
-/** The request, after the attempt that ended last. */
+/** Describes the request after its last attempt. */
 type RetryInput = {
     readonly result: Exclude<AttemptResult<unknown>, { readonly outcome: "served"; }>;
     readonly kind: Kind;
-    /** Attempts that count, and how many the rule allows. */
+    /** The number of attempts so far, without redirects. */
     readonly attempts: number;
+    /** The number of attempts that the rule allows, without redirects. */
     readonly maxAttempts: number;
-    /** Moves, that of the last attempt among them. */
+    /** The number of redirects, that of the last attempt included. */
     readonly moves: number;
-    /** What is left of the request's time limit, in milliseconds. */
+    /** The rest of the request's time limit, in milliseconds. */
     readonly remainingMs: number;
     readonly bodyKept: boolean;
-    /** Another attempt would be an arrival beyond the first that nothing has been paid for. */
+    /** True if the next attempt is a repeat for which no budget has been spent yet. */
     readonly owes: boolean;
-    /** By the crashes of upstreams under it. */
+    /** Whether the request is suspected of crashing upstreams, or quarantined for it. */
     readonly standing: Standing;
 };
 
-/** Spends from the budget when it says `budget`; `now` is on the daemon's clock, in milliseconds. */
+/**
+ * Returns the decision, and spends one repeat from the budget if its reason is `budget`.
+ *
+ * `now` is the time in milliseconds on the daemon's clock.
+ */
 export function decideRetry(
     input: RetryInput,
     { budget, allowance }: Pick<Retries, "budget" | "allowance">,
     now: number,
 ): RetryDecision {
     const { result, kind, attempts, maxAttempts, moves, remainingMs, bodyKept, owes, standing } = input;
-    const pay = (): RetryDecision =>
+    const decideByBudget = (): RetryDecision =>
         budget.spend(allowance, now) ? { again: true, why: "budget" } : { again: false, why: "budget-spent" };
     const facts = result.outcome === "failed" ? undefined : reasons[result.reason];
     if (
@@ -60,8 +72,8 @@
     if (result.outcome === "failed" && result.retriedBelow) {
         return { again: false, why: "retried-below" };
     }
-    if (facts?.moves === true && moves <= maxMoves) {
-        return owes ? pay() : { again: true, why: "moves" };
+    if (facts?.isRedirect === true && moves <= maxMoves) {
+        return owes ? decideByBudget() : { again: true, why: "moves" };
     }
     if (attempts >= maxAttempts) {
         return { again: false, why: "attempts-spent" };
@@ -72,5 +84,5 @@
     if (result.outcome === "not-run" && facts?.costsBudget === false && !owes) {
         return { again: true, why: "free" };
     }
-    return pay();
+    return decideByBudget();
 }
--- a/src/policy/retry/decodereason.ts
+++ b/src/policy/retry/decodereason.ts
@@ -1,11 +1,14 @@
-/** Reads a reason that a peer gave. */
+/** Decodes the reason in a peer's refusal. */
 import type { Reason } from "./reason.js";
 import { reasons } from "./reasons.js";
 
-/** `no-reason` for none, `unknown-reason` for a word that this version does not know: the peer may be newer. */
-export function decodeReason(word: string | undefined): Reason {
-    if (word === undefined) {
+/**
+ * Returns the reason, `no-reason` if there is none, or `unknown-reason` for a text that this version does not know,
+ * which a newer peer may send.
+ */
+export function decodeReason(text: string | undefined): Reason {
+    if (text === undefined) {
         return "no-reason";
     }
-    return Object.hasOwn(reasons, word) ? word as Reason : "unknown-reason";
+    return Object.hasOwn(reasons, text) ? text as Reason : "unknown-reason";
 }
--- a/src/policy/retry/defaultattempts.ts
+++ b/src/policy/retry/defaultattempts.ts
@@ -1,2 +1,2 @@
-/** How many attempts does a request get where its rule does not say, moves apart? */
+/** The maximum number of attempts of a request whose rule sets none, not counting redirects. */
 export const defaultAttempts = 3;
--- a/src/policy/retry/hedging.test.ts
+++ b/src/policy/retry/hedgedelay.test.ts
@@ -1,18 +1,18 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Hedging } from "./hedging.js";
+import { HedgeDelay } from "./hedgedelay.js";
 
-test("hedging: an answer is overdue past nearly all others", () => {
-    const hedging = new Hedging();
+test("hedge delay: a response is overdue when nearly all others arrived sooner", () => {
+    const hedgeDelay = new HedgeDelay();
     for (let at = 0; at < 5000; at++) {
-        hedging.observe(10 + at % 20, false);
+        hedgeDelay.observe(10 + at % 20, false);
     }
-    const { afterMs = NaN } = hedging;
+    const { afterMs = NaN } = hedgeDelay;
     assert.ok(afterMs > 25 && afterMs < 40, String(afterMs));
 });
 
-test("hedging: a service that calls others leaves it to the hop next to the slow upstream", () => {
-    const hedging = new Hedging();
+test("hedge delay: a service whose responses mostly need calls to others is not hedged", () => {
+    const hedging = new HedgeDelay();
     for (let at = 0; at < 100; at++) {
         hedging.observe(10 + at % 20, true);
     }
--- a/src/policy/retry/isstalekind.ts
+++ b/src/policy/retry/isstalekind.ts
@@ -1,13 +1,19 @@
 /**
- * Did the sender of a request decide by older rules that it may run twice, where the newer ones here say that it may not? Then
- * the request is refused, and its sender looks the rule up again.
+ * Decides whether the sender of a request treats it as repeatable by a stale rule, while a newer revision here says
+ * `once`.
+ *
+ * Such a request is refused, so that its sender looks up the rule again.
  */
 import type { Kind } from "../../config/kind.js";
 
-/** What the sender decided, by which revision. */
-type Sent = { readonly kind: Kind; readonly revision: number; };
+/** The kind that the sender decided on, and the revision of the configuration that it used. */
+type SenderDecision = { readonly kind: Kind; readonly revision: number; };
 
-/** `kind` is by the rules here, undefined where none matches; `revision` is theirs. */
-export function isStaleKind(sent: Sent, kind: Kind | undefined, revision: number): boolean {
-    return sent.revision < revision && sent.kind === "repeatable" && kind === "once";
+/**
+ * Returns true if the sender's kind is stale.
+ *
+ * `kind` is the kind by the rules of this daemon, undefined if none matches; `revision` is the revision of these rules.
+ */
+export function isStaleKind(sender: SenderDecision, kind: Kind | undefined, revision: number): boolean {
+    return sender.revision < revision && sender.kind === "repeatable" && kind === "once";
 }
--- a/src/policy/retry/outcome.ts
+++ b/src/policy/retry/outcome.ts
@@ -1,4 +1,8 @@
-/** What is known of an attempt of a request. */
-
-/** `not-run` is proven; `unknown` may have run; `failed` ran and the upstream says that it went wrong. */
+/**
+ * What is known of an attempt that did not serve its request.
+ *
+ * `not-run`: the request is proven not to have run.
+ * `unknown`: the request may have run.
+ * `failed`: the request ran, and the upstream reported a failure.
+ */
 export type Outcome = "not-run" | "unknown" | "failed";
--- a/src/policy/retry/pickresult.test.ts
+++ b/src/policy/retry/pickresult.test.ts
@@ -17,7 +17,7 @@
     }
 };
 
-test("hedge: a refused second try does not hide a first that ran", () => {
+test("hedge: a refused attempt does not hide the result of one that may have run", () => {
     for (const outcome of ["served", "failed", "unknown"] as const) {
         assert.equal(pickResult(result(outcome), result("not-run")).outcome, outcome);
         assert.equal(pickResult(result("not-run"), result(outcome)).outcome, outcome);
--- a/src/policy/retry/pickresult.ts
+++ b/src/policy/retry/pickresult.ts
@@ -1,13 +1,17 @@
 /**
- * Of two attempts made side by side, which one counts?
+ * Decides which of the results of two parallel attempts counts.
  *
- * What serves first; then what may have run, since a refusal of the other attempt proves nothing of this one.
+ * The one that served the request comes first, then one that may have run: a refusal of one attempt proves nothing of
+ * the other.
  */
 import type { AttemptResult } from "./attemptresult.js";
 
-const ORDER: readonly AttemptResult<unknown>["outcome"][] = ["served", "failed", "unknown", "not-run"];
+const OUTCOME_PRECEDENCE: readonly AttemptResult<unknown>["outcome"][] = ["served", "failed", "unknown", "not-run"];
 
-/** Returns the more telling result; the first of two alike. */
-export function pickResult<Answer>(one: AttemptResult<Answer>, two: AttemptResult<Answer>): AttemptResult<Answer> {
-    return ORDER.indexOf(one.outcome) <= ORDER.indexOf(two.outcome) ? one : two;
+/** Returns the result whose outcome has precedence, or the first if both outcomes are the same. */
+export function pickResult<UpstreamResponse>(
+    first: AttemptResult<UpstreamResponse>,
+    second: AttemptResult<UpstreamResponse>,
+): AttemptResult<UpstreamResponse> {
+    return OUTCOME_PRECEDENCE.indexOf(first.outcome) <= OUTCOME_PRECEDENCE.indexOf(second.outcome) ? first : second;
 }
--- a/src/policy/retry/problemtype.ts
+++ b/src/policy/retry/problemtype.ts
@@ -1,6 +1,7 @@
-/** Why winglock answers a caller itself. */
-
-/** Each has a status and an outcome of its own; see problems.ts. */
+/**
+ * The types of the problem documents that winglock sends to callers itself; problems.ts has the status and title of
+ * each.
+ */
 export type ProblemType =
     | "no-rule"
     | "not-ready"
--- a/src/policy/retry/quantileestimate.ts
+++ b/src/policy/retry/quantileestimate.ts
@@ -1,14 +1,14 @@
-/** Follows a quantile of a stream without keeping it (stochastic approximation, Robbins and Monro 1951). */
+/** Estimates a quantile of a stream without storing its values (stochastic approximation, Robbins and Monro 1951). */
 
-/** Of the value, that one sample moves it by at the most. */
-const STEP_SHARE = 0.05;
+/** The largest change by one sample, as a share of the estimate. */
+const MAX_STEP_SHARE = 0.05;
 
-/** In the unit of what it observes. */
+/** Holds the estimate, in the unit of the samples. */
 export class QuantileEstimate {
     #value: number;
 
-    constructor(private readonly share: number, start: number) {
-        this.#value = start;
+    constructor(private readonly quantile: number, initial: number) {
+        this.#value = initial;
     }
 
     get value(): number {
@@ -16,7 +16,7 @@
     }
 
     observe(sample: number): void {
-        const step = STEP_SHARE * this.#value;
-        this.#value += sample > this.#value ? step * this.share : -step * (1 - this.share);
+        const step = MAX_STEP_SHARE * this.#value;
+        this.#value += sample > this.#value ? step * this.quantile : -step * (1 - this.quantile);
     }
 }
--- a/src/policy/retry/reason.ts
+++ b/src/policy/retry/reason.ts
@@ -1,6 +1,10 @@
-/** Why an attempt brought no answer of the upstream. Each has its row in `reasons.ts`; the words go over the wire as they are. */
+/**
+ * The reasons for which an attempt got no response of the upstream; each has a row in reasons.ts.
+ *
+ * The texts are part of the wire format.
+ */
 export type Reason =
-    // The gate takes no request of this kind now.
+    // The gate does not accept the request now.
     | "leaving"
     | "slow"
     | "busy"
@@ -11,38 +15,38 @@
     | "handed-back"
     | "calls-spent"
     | "caller-left"
-    // Upstreams have crashed under the request.
+    // The request is suspected of crashing upstreams.
     | "quarantined"
-    // Time.
+    // The time limit has passed.
     | "deadline"
     | "deadline-or-revoked"
-    // The ledger of requests that may run once.
+    // The ledger of requests that may run only once refuses the request.
     | "ledger-duplicate"
     | "ledger-revoked"
     | "ledger-expired"
     | "ledger-full"
-    // The sender knows less than the gate's daemon, or it of the sender.
+    // The sender and the gate's daemon disagree, since the data of one of them is stale.
     | "incarnation"
     | "no-such-upstream"
     | "stale-rule"
     | "bad-call"
-    // The upstream, as its gate saw it.
+    // The gate got no valid response from its upstream.
     | "shed"
     | "misdirected"
     | "foreign-answer"
     | "upstream-broke"
     | "gate-error"
-    // The way to the gate, or to the upstream.
+    // The connection to the gate or to the upstream failed.
     | "unreachable"
     | "too-many-connections"
     | "called-off"
     | "peer-broke"
     | "not-a-frame"
     | "broken-body"
-    // The ingress itself.
+    // The ingress ended the attempt.
     | "no-upstream"
     | "overtaken"
     | "broken-answer"
-    // A peer gave none, or one that this version does not know.
+    // The peer gave no reason, or one that this version does not know.
     | "no-reason"
     | "unknown-reason";
--- a/src/policy/retry/reasonfacts.ts
+++ b/src/policy/retry/reasonfacts.ts
@@ -1,20 +1,26 @@
-/** What follows from a reason. */
+/** What is known of a request and its upstream after an attempt that ended for a reason. */
 import type { ProblemType } from "./problemtype.js";
 
-/** What the ingress holds of the upstream from then on; see failure/suspicion.ts, and in placement avoidance.ts, fullness.ts and rateshare.ts. */
+/**
+ * The state that the ingress assumes of the upstream from then on; see failure/suspicion.ts and, in placement,
+ * avoidance.ts, fullness.ts and rateshare.ts.
+ */
 type UpstreamEffect = "none" | "full" | "cold" | "limited" | "leaving" | "absent" | "suspected";
 
-/** One row of the table in `reasons.ts`. */
+/** One row of the table in reasons.ts. */
 export type ReasonFacts = {
-    /** What it proves of the request; `either`: what came with it says. */
+    /**
+     * Whether the request is proven not to have run; `either` if that depends on the outcome that comes with the
+     * reason.
+     */
     readonly proves: "not-run" | "unknown" | "either";
-    /** The request belongs elsewhere: it goes there without counting as an attempt, as often as `maxMoves` allows. */
-    readonly moves: boolean;
-    /** It is refused for what it is, wherever it goes: nothing follows. */
+    /** True if the request belongs elsewhere: up to a maximum, it is redirected without counting as an attempt. */
+    readonly isRedirect: boolean;
+    /** True if the request would be refused everywhere, so that no attempt follows. */
     readonly isFinal?: true;
-    /** A proven `not-run` is tried again only from the retry budget: the refusal was for load, or may be. */
+    /** True if even a proven `not-run` costs budget to retry, since the refusal was for load or may have been. */
     readonly costsBudget: boolean;
-    /** What the caller is told when nothing follows, and the request is proven not to have run. */
+    /** The problem that is sent to the caller if no attempt follows and the request is proven not to have run. */
     readonly problem: ProblemType;
     readonly upstream: UpstreamEffect;
 };
--- a/src/policy/retry/reasons.test.ts
+++ b/src/policy/retry/reasons.test.ts
@@ -6,10 +6,11 @@
 import { reasons } from "./reasons.js";
 import { tellProblem } from "./tellproblem.js";
 
-const having = (test: (reason: Reason) => boolean): string[] => (Object.keys(reasons) as Reason[]).filter(test).sort();
+const reasonsWhere = (test: (reason: Reason) => boolean): string[] =>
+    (Object.keys(reasons) as Reason[]).filter(test).sort();
 
-test("reasons: those that move a request elsewhere", () => {
-    assert.deepEqual(having(reason => reasons[reason].moves), [
+test("reasons: these refusals lead to a redirect", () => {
+    assert.deepEqual(reasonsWhere(reason => reasons[reason].isRedirect), [
         "busy",
         "calls-spent",
         "cold",
@@ -23,16 +24,16 @@
     ]);
 });
 
-test("reasons: what an ingress holds against the upstream", () => {
-    assert.deepEqual(having(reason => reasons[reason].upstream === "suspected"), ["peer-broke", "unreachable"]);
-    assert.deepEqual(having(reason => reasons[reason].upstream === "full"), ["shed"]);
-    assert.deepEqual(having(reason => reasons[reason].upstream === "cold"), ["cold"]);
-    assert.deepEqual(having(reason => reasons[reason].upstream === "limited"), ["limited"]);
-    assert.deepEqual(having(reason => reasons[reason].upstream === "leaving"), ["leaving"]);
-    assert.deepEqual(having(reason => reasons[reason].upstream === "absent"), ["no-such-upstream"]);
+test("reasons: these refusals change the state that an ingress assumes of the upstream", () => {
+    assert.deepEqual(reasonsWhere(reason => reasons[reason].upstream === "suspected"), ["peer-broke", "unreachable"]);
+    assert.deepEqual(reasonsWhere(reason => reasons[reason].upstream === "full"), ["shed"]);
+    assert.deepEqual(reasonsWhere(reason => reasons[reason].upstream === "cold"), ["cold"]);
+    assert.deepEqual(reasonsWhere(reason => reasons[reason].upstream === "limited"), ["limited"]);
+    assert.deepEqual(reasonsWhere(reason => reasons[reason].upstream === "leaving"), ["leaving"]);
+    assert.deepEqual(reasonsWhere(reason => reasons[reason].upstream === "absent"), ["no-such-upstream"]);
 });
 
-test("reasons: what may have run is never told as not run", () => {
+test("reasons: a request that may have run is never reported as not run", () => {
     for (const reason of Object.keys(reasons) as Reason[]) {
         assert.match(tellProblem("unknown", reason), /^(answer-lost|deadline)$/, reason);
     }
@@ -42,14 +43,14 @@
     assert.equal(tellProblem("not-run", "leaving"), "no-upstream");
 });
 
-test("reasons: a word that is not known is decoded to a case of its own", () => {
+test("reasons: an unknown reason is decoded as unknown-reason", () => {
     assert.equal(decodeReason("busy"), "busy");
     assert.equal(decodeReason("a-word-of-tomorrow"), "unknown-reason");
     assert.equal(decodeReason("toString"), "unknown-reason");
     assert.equal(decodeReason(undefined), "no-reason");
 });
 
-test("history: moves do not count as attempts, and one attempt that may have run is not forgotten", () => {
+test("history: redirects do not count as attempts, and later refusals do not clear mayHaveRun", () => {
     const history = new AttemptHistory<string>();
     history.begin("a");
     history.end({ outcome: "not-run", reason: "busy" });
@@ -62,23 +63,27 @@
     assert.equal(history.mayHaveRun, true);
 });
 
-test("history: an arrival beyond the first is owed until it is paid, and a payment covers one arrival", () => {
+test("history: each repeat needs budget, and budget that was spent covers one repeat", () => {
     const history = new AttemptHistory<string>();
     history.begin("a");
     history.end({ outcome: "not-run", reason: "wait-too-long" });
-    assert.deepEqual([history.mayHaveArrived, history.owes], [false, false], "a gate's refusal is no arrival");
+    assert.deepEqual(
+        [history.mayHaveArrived, history.owes],
+        [false, false],
+        "a request that the gate refuses has not arrived",
+    );
     history.begin("b");
     history.end({ outcome: "not-run", reason: "shed", arrived: true });
     assert.deepEqual([history.mayHaveArrived, history.owes], [true, true]);
     history.pay();
     history.begin("c");
     history.end({ outcome: "not-run", reason: "busy" });
-    assert.equal(history.owes, false, "what was paid has not arrived yet");
+    assert.equal(history.owes, false, "the repeat that was paid for has not arrived yet");
     history.begin("d");
     history.end({ outcome: "unknown", reason: "peer-broke" });
     assert.equal(history.owes, true);
     history.pay();
     history.hedge();
     history.end({ outcome: "failed", answer: undefined, status: 500, retriedBelow: false });
-    assert.equal(history.owes, true, "a hedge pays for itself only");
+    assert.equal(history.owes, true, "the budget of a hedge covers only the hedge");
 });
--- a/src/policy/retry/reasons.ts
+++ b/src/policy/retry/reasons.ts
@@ -1,57 +1,62 @@
 /**
- * What follows from each reason for which an attempt brought no answer of the upstream?
+ * Maps each reason for which an attempt got no response of the upstream to its consequences.
  *
- * Read a row as: what is proven of the request, whether it moves on for free, whether another attempt costs budget, what the
- * caller is told at the end, and what becomes of the upstream at this ingress.
+ * A row states what is proven of the request, whether it is redirected, whether another attempt costs budget, which
+ * problem the caller gets if no attempt follows, and which state this ingress assumes of the upstream.
  */
 import type { Reason } from "./reason.js";
 import type { ReasonFacts } from "./reasonfacts.js";
 
 const refusedForLoad: ReasonFacts = {
     proves: "not-run",
-    moves: false,
+    isRedirect: false,
     costsBudget: true,
     problem: "overloaded",
     upstream: "none",
 };
-const movesForLoad: ReasonFacts = { ...refusedForLoad, moves: true };
-const movesForPlace: ReasonFacts = { ...movesForLoad, costsBudget: false };
-const outOfTime: ReasonFacts = { ...refusedForLoad, costsBudget: false, problem: "deadline" };
+const redirectedForLoad: ReasonFacts = { ...refusedForLoad, isRedirect: true };
+const targetUnavailable: ReasonFacts = { ...redirectedForLoad, costsBudget: false };
+const deadlinePassed: ReasonFacts = { ...refusedForLoad, costsBudget: false, problem: "deadline" };
 const mayHaveRun: ReasonFacts = { ...refusedForLoad, proves: "unknown", problem: "answer-lost" };
-const noWay: ReasonFacts = { ...refusedForLoad, costsBudget: false, problem: "unreachable", upstream: "suspected" };
+const unreachable: ReasonFacts = {
+    ...refusedForLoad,
+    costsBudget: false,
+    problem: "unreachable",
+    upstream: "suspected",
+};
 
-/** Exhaustive: a new reason does not compile until it has its row. */
+/** Has a row for every reason; the compiler rejects a new reason without one. */
 export const reasons: Readonly<Record<Reason, ReasonFacts>> = {
-    "leaving": { ...movesForPlace, problem: "no-upstream", upstream: "leaving" },
-    "slow": movesForLoad,
-    "busy": movesForLoad,
-    "cold": { ...movesForLoad, upstream: "cold" },
-    "limited": { ...movesForLoad, upstream: "limited" },
-    "handed-back": movesForLoad,
-    "calls-spent": movesForLoad,
+    "leaving": { ...targetUnavailable, problem: "no-upstream", upstream: "leaving" },
+    "slow": redirectedForLoad,
+    "busy": redirectedForLoad,
+    "cold": { ...redirectedForLoad, upstream: "cold" },
+    "limited": { ...redirectedForLoad, upstream: "limited" },
+    "handed-back": redirectedForLoad,
+    "calls-spent": redirectedForLoad,
     "quarantined": { ...refusedForLoad, isFinal: true, problem: "quarantined" },
     "queue-full": refusedForLoad,
     "wait-too-long": refusedForLoad,
     "caller-left": refusedForLoad,
-    "deadline": { ...outOfTime, proves: "either" },
-    "deadline-or-revoked": outOfTime,
+    "deadline": { ...deadlinePassed, proves: "either" },
+    "deadline-or-revoked": deadlinePassed,
     "ledger-duplicate": mayHaveRun,
     "ledger-revoked": refusedForLoad,
-    "ledger-expired": outOfTime,
+    "ledger-expired": deadlinePassed,
     "ledger-full": refusedForLoad,
-    "incarnation": { ...movesForPlace, problem: "unreachable" },
-    "no-such-upstream": { ...movesForPlace, problem: "no-upstream", upstream: "absent" },
-    "stale-rule": movesForLoad,
+    "incarnation": { ...targetUnavailable, problem: "unreachable" },
+    "no-such-upstream": { ...targetUnavailable, problem: "no-upstream", upstream: "absent" },
+    "stale-rule": redirectedForLoad,
     "bad-call": refusedForLoad,
     "shed": { ...refusedForLoad, upstream: "full" },
     "misdirected": refusedForLoad,
     "foreign-answer": mayHaveRun,
     "upstream-broke": mayHaveRun,
     "gate-error": mayHaveRun,
-    "unreachable": noWay,
+    "unreachable": unreachable,
     "too-many-connections": refusedForLoad,
     "called-off": refusedForLoad,
-    "peer-broke": { ...noWay, proves: "either" },
+    "peer-broke": { ...unreachable, proves: "either" },
     "not-a-frame": mayHaveRun,
     "broken-body": mayHaveRun,
     "no-upstream": { ...refusedForLoad, costsBudget: false, problem: "no-upstream" },
--- a/src/policy/retry/reasonword.ts
+++ b/src/policy/retry/reasonword.ts
@@ -1,7 +1,10 @@
-/** The word for the result of an attempt, in logs and in the metric of retries. */
+/** Names the result of an attempt for log lines and for the metric of retries. */
 import type { AttemptResult } from "./attemptresult.js";
 
-/** The reason, or the status of an answer that says that the request failed; empty for a request that was served. */
+/**
+ * Returns the reason, `status-` and the status of a response that reports a failure, or an empty text if the request
+ * was served.
+ */
 export function reasonWord(result: AttemptResult<unknown>): string {
     switch (result.outcome) {
         case "served":
--- a/src/policy/retry/repeatbound.ts
+++ b/src/policy/retry/repeatbound.ts
@@ -1,7 +1,7 @@
 /**
- * How much may all daemons together send to a service beyond the first arrivals of its requests?
+ * Limits the repeats that all daemons together send to a service.
  *
- * In any `windowMs` at the most `ratio` of the requests and `slack` besides; operators set it (docs/SETTINGS.md,
- * `policy.repeats`). What of it is one daemon's own is for ownallowance.ts to say.
+ * In any `windowMs`, the repeats are at most `ratio` of the service's requests plus `slack`. Operators set the bound
+ * (docs/SETTINGS.md, `policy.repeats`); daemonallowance.ts gives each daemon its part of it.
  */
 export type RepeatBound = { readonly ratio: number; readonly slack: number; readonly windowMs: number; };
--- a/src/policy/retry/retries.ts
+++ b/src/policy/retry/retries.ts
@@ -1,7 +1,7 @@
-/** What one daemon holds of one service for attempts after the first. */
+/** The state of one daemon for retries and hedges to one service. */
 import type { Allowance } from "./allowance.js";
-import type { Hedging } from "./hedging.js";
+import type { HedgeDelay } from "./hedgedelay.js";
 import type { RetryBudget } from "./retrybudget.js";
 
-/** Retries and hedges share the budget; `allowance` is what it may come to now. */
-export type Retries = { readonly budget: RetryBudget; readonly allowance: Allowance; readonly hedging: Hedging; };
+/** Retries and hedges share `budget`; `allowance` limits it at present. */
+export type Retries = { readonly budget: RetryBudget; readonly allowance: Allowance; readonly hedging: HedgeDelay; };
--- a/src/policy/retry/retrybudget.test.ts
+++ b/src/policy/retry/retrybudget.test.ts
@@ -5,8 +5,8 @@
 const WINDOW_MS = 10_000;
 const allowance = { ratio: 0.1, reserve: 2 };
 
-/** One that has seen some requests at the time 0. */
-const budgetOf = (requests: number): RetryBudget => {
+/** Returns a budget that has recorded the given number of requests at time 0. */
+const budgetWith = (requests: number): RetryBudget => {
     const budget = new RetryBudget(WINDOW_MS);
     for (let request = 0; request < requests; request++) {
         budget.recordRequest(0);
@@ -22,28 +22,28 @@
     return spent;
 };
 
-test("retry: hedges take only what requests allow, the reserve is kept for failures", () => {
-    const budget = budgetOf(10);
+test("retry budget: hedges are paid only from the share of requests, and the reserve is left for failures", () => {
+    const budget = budgetWith(10);
     assert.equal(budget.spendSurplus(allowance, 1), true);
     assert.equal(budget.spendSurplus(allowance, 1), false);
     assert.equal(spendAll(budget, 1), 2);
-    assert.equal(budgetOf(9).spendSurplus(allowance, 1), false);
+    assert.equal(budgetWith(9).spendSurplus(allowance, 1), false);
 });
 
-test("retry: what was not spent is not saved", () => {
-    const budget = budgetOf(10_000);
+test("retry budget: budget that is not spent within a window expires", () => {
+    const budget = budgetWith(10_000);
     assert.equal(spendAll(budget, WINDOW_MS + 1), 2);
 });
 
-test("retry: what was spent counts for a whole window", () => {
-    const budget = budgetOf(0);
+test("retry budget: a repeat counts for a whole window", () => {
+    const budget = budgetWith(0);
     assert.equal(spendAll(budget, 499), 2);
     assert.equal(spendAll(budget, WINDOW_MS), 0);
     assert.equal(spendAll(budget, WINDOW_MS + 500), 2);
 });
 
-test("retry: calls of repeated runs take from what retries may have, and are never refused", () => {
-    const budget = budgetOf(10);
+test("retry budget: calls of repeated runs are never refused and reduce what is left for retries", () => {
+    const budget = budgetWith(10);
     for (let call = 0; call < 5; call++) {
         budget.recordRepeat(1);
     }
--- a/src/policy/retry/retrybudget.ts
+++ b/src/policy/retry/retrybudget.ts
@@ -1,15 +1,15 @@
 /**
- * May one more repeat be afforded? Bounds what one daemon adds to a service's load, whatever makes it.
+ * Limits the repeats that one daemon sends to a service, whatever their cause.
  *
- * A repeat is an arrival at an upstream beyond the first of its request: a retry, a hedge, or a call of a run that was itself a
- * repeat. What was not spent in a window is not saved, and a start brings nothing: a quiet hour or a row of restarts buys no
- * storm. A call of a repeated run is counted and never refused here: its request has spent work already, so it takes from what
- * retries may have.
+ * A repeat is an arrival at an upstream beyond the first of its request: a retry, a hedge, or a call made by a run that
+ * was itself a repeat. Budget that is not spent within a window expires, and a new daemon starts without any, so that
+ * neither a time of little load nor a series of restarts allows a retry storm. A call of a repeated run is counted but
+ * never refused here, since work has already been spent on its request; it reduces what is left for retries.
  */
 import { RollingCount } from "../rollingcount.js";
 import type { Allowance } from "./allowance.js";
 
-/** Of one service at one daemon; times are milliseconds on its clock. */
+/** Counts the requests and repeats of one service at one daemon. Times are milliseconds on the daemon's clock. */
 export class RetryBudget {
     readonly #requests: RollingCount;
     readonly #repeats: RollingCount;
@@ -19,22 +19,22 @@
         this.#repeats = new RollingCount(windowMs);
     }
 
-    /** Records a request that is not itself caused by a repeat. */
+    /** Records a request that was not caused by a repeat. */
     recordRequest(now: number): void {
         this.#requests.add(now);
     }
 
-    /** Records a repeat that is sent whether it can be afforded or not. */
+    /** Records a repeat that is sent even if it can't be afforded. */
     recordRepeat(now: number): void {
         this.#repeats.add(now);
     }
 
-    /** How many repeats can be afforded; below 0 where calls of repeated runs took more than there was. */
+    /** Returns how many repeats can be afforded, which is negative if calls of repeated runs exceeded the allowance. */
     left({ ratio, reserve }: Allowance, now: number): number {
         return ratio * this.#requests.atLeast(now) + reserve - this.#repeats.atMost(now);
     }
 
-    /** Takes one; false when it can't be afforded. */
+    /** Spends one repeat; returns false, and spends nothing, if it can't be afforded. */
     spend(allowance: Allowance, now: number): boolean {
         if (this.left(allowance, now) < 1) {
             return false;
@@ -43,7 +43,7 @@
         return true;
     }
 
-    /** Takes one for an attempt that is not needed: the reserve is kept for failures. */
+    /** Spends one repeat for a hedge, which is optional: the reserve is left for failures. */
     spendSurplus({ ratio }: Allowance, now: number): boolean {
         return this.spend({ ratio, reserve: 0 }, now);
     }
--- a/src/policy/retry/retrydecision.ts
+++ b/src/policy/retry/retrydecision.ts
@@ -1,9 +1,16 @@
-/** Whether another attempt follows, and why. */
+/** The decision whether another attempt follows, and its reason. */
 
-/** What the attempt is paid with: nothing, since it moves or was refused before it ran, or the retry budget. */
-type Again = { readonly again: true; readonly why: "moves" | "free" | "budget"; };
+/**
+ * Another attempt follows.
+ *
+ * `moves`: it is a free redirect.
+ * `free`: it costs no budget, since the request has not run and was not refused for load.
+ * `budget`: it is paid for from the retry budget.
+ */
+type NextAttempt = { readonly again: true; readonly why: "moves" | "free" | "budget"; };
 
-type Ended = {
+/** No further attempt follows. */
+type NoAttempt = {
     readonly again: false;
     readonly why:
         | "time-over"
@@ -16,5 +23,5 @@
         | "no-upstream";
 };
 
-/** `why` is a field of the decision's log line. */
-export type RetryDecision = Again | Ended;
+/** `why` is a field of the log line that reports the decision. */
+export type RetryDecision = NextAttempt | NoAttempt;
--- a/src/policy/retry/retrymodel.test.ts
+++ b/src/policy/retry/retrymodel.test.ts
@@ -1,8 +1,8 @@
 /**
- * A model of daemons that share nothing, in front of a service whose runs call another one.
+ * Simulates daemons that share no state, in front of a service whose runs call a second service.
  *
- * Whatever fails, whichever daemons restart and however the load rises and falls: what each service gets beyond the first arrivals
- * of its requests stays within the bound of all daemons.
+ * Guards against retry storms: with any mix of failures, hedges, daemon restarts and changes of load, the repeats that
+ * each service gets must stay within the bound for all daemons together.
  */
 import fc from "fast-check";
 import assert from "node:assert/strict";
@@ -21,32 +21,38 @@
 const MAX_ATTEMPTS = 3;
 const OUTER = "outer" as ServiceName;
 const INNER = "inner" as ServiceName;
-/** A daemon is back so long after its end. */
-const DOWN_STEPS = 5;
-
-/** A fault planted in a copy of the rule, to see that the search finds it. */
-type Planted = "none" | "free-retry" | "start-with-reserve" | "undivided-slack" | "calls-uncounted" | "calls-unasked";
-
-/** For some seconds: requests a step, the share of runs that fail, and daemons that are restarted a second. */
-const phase = fc.record({
+/** The time that a restart of a daemon takes. */
+const RESTART_STEPS = 5;
+
+/** Faults that the model can inject into the policy, to prove that the search detects them. */
+type InjectedFault =
+    | "none"
+    | "free-retry"
+    | "start-with-reserve"
+    | "undivided-slack"
+    | "calls-uncounted"
+    | "calls-unasked";
+
+/** A period of constant load: requests a step, shares of failed and hedged attempts, probability of a restart a step. */
+const phaseArbitrary = fc.record({
     steps: fc.integer({ min: 5, max: 200 }),
-    perStep: fc.integer({ min: 0, max: 30 }),
-    failing: fc.constantFrom(0, 0.05, 0.5, 1),
-    hedged: fc.constantFrom(0, 0.02, 1),
+    requestsPerStep: fc.integer({ min: 0, max: 30 }),
+    failedShare: fc.constantFrom(0, 0.05, 0.5, 1),
+    hedgedShare: fc.constantFrom(0, 0.02, 1),
     restartsPerStep: fc.constantFrom(0, 0, 0.05, 0.5),
 });
 
-const scenario = fc.record({
+const scenarioArbitrary = fc.record({
     seed: fc.integer(),
-    daemons: fc.integer({ min: 1, max: 16 }),
-    calls: fc.constantFrom(0, 1, 1.4, 2),
-    phases: fc.array(phase, { minLength: 2, maxLength: 12 }),
+    daemonCount: fc.integer({ min: 1, max: 16 }),
+    callsPerRun: fc.constantFrom(0, 1, 1.4, 2),
+    phases: fc.array(phaseArbitrary, { minLength: 2, maxLength: 12 }),
 });
 
-type Phase = typeof phase extends fc.Arbitrary<infer T> ? T : never;
-type Scenario = typeof scenario extends fc.Arbitrary<infer T> ? T : never;
+type Phase = typeof phaseArbitrary extends fc.Arbitrary<infer T> ? T : never;
+type Scenario = typeof scenarioArbitrary extends fc.Arbitrary<infer T> ? T : never;
 
-/** A small generator (mulberry32), so that a scenario is the same at each run. */
+/** Returns a seeded generator (mulberry32), so that a scenario is reproducible. */
 const randomFrom = (seed: number): () => number => {
     let state = seed;
     return () => {
@@ -57,20 +63,20 @@
     };
 };
 
-/** What one service got, by step. */
+/** Counts the requests and repeats that one service receives in each step. */
 class Traffic {
     readonly requests = new Float64Array(STEPS);
-    readonly beyond = new Float64Array(STEPS);
+    readonly repeats = new Float64Array(STEPS);
 
-    /** The worst window: how many more repeats than its bound. */
-    excess(): number {
+    /** Returns by how many repeats the bound is exceeded in the worst window; negative if it is kept in all. */
+    maxExcess(): number {
         const width = WINDOW_MS / STEP_MS;
         const sum = (counts: Float64Array, from: number): number =>
             counts.subarray(Math.max(0, from), Math.max(0, from + width)).reduce((total, count) => total + count, 0);
         let worst = -Infinity;
         for (let from = 0; from + width <= STEPS; from++) {
             const requests = Math.max(...[0, width, width / 2].map(back => sum(this.requests, from - back)));
-            worst = Math.max(worst, sum(this.beyond, from) - BOUND.ratio * requests - BOUND.slack);
+            worst = Math.max(worst, sum(this.repeats, from) - BOUND.ratio * requests - BOUND.slack);
         }
         return worst;
     }
@@ -80,27 +86,27 @@
     readonly outer = new Traffic();
     readonly inner = new Traffic();
     readonly #daemons: ServiceRetries[];
-    readonly #upAt: number[];
+    readonly #upAtStep: number[];
     readonly #random: () => number;
     #step = 0;
 
-    constructor(private readonly setup: Scenario, private readonly planted: Planted) {
-        this.#random = randomFrom(setup.seed);
-        this.#daemons = Array.from({ length: setup.daemons }, () => this.#start(0));
-        this.#upAt = this.#daemons.map(() => 0);
+    constructor(private readonly scenario: Scenario, private readonly fault: InjectedFault) {
+        this.#random = randomFrom(scenario.seed);
+        this.#daemons = Array.from({ length: scenario.daemonCount }, () => this.#start(0));
+        this.#upAtStep = this.#daemons.map(() => 0);
     }
 
     run(): void {
-        const { phases } = this.setup;
-        let at = 0;
-        let left = phases[0]!.steps;
+        const { phases } = this.scenario;
+        let index = 0;
+        let stepsLeft = phases[0]!.steps;
         for (this.#step = 0; this.#step < STEPS; this.#step++) {
-            if (left === 0) {
-                at = (at + 1) % phases.length;
-                left = phases[at]!.steps;
+            if (stepsLeft === 0) {
+                index = (index + 1) % phases.length;
+                stepsLeft = phases[index]!.steps;
             }
-            left -= 1;
-            this.#play(phases[at]!);
+            stepsLeft -= 1;
+            this.#simulateStep(phases[index]!);
         }
     }
 
@@ -109,109 +115,114 @@
     }
 
     #start(startedAt: number): ServiceRetries {
-        const since = this.planted === "start-with-reserve" ? -Infinity : startedAt;
+        const since = this.fault === "start-with-reserve" ? -Infinity : startedAt;
         const retries = new ServiceRetries({ bound: BOUND, burst: 1000, startedAt: since });
-        if (this.planted !== "undivided-slack") {
-            retries.recordDaemons(this.setup.daemons);
+        if (this.fault !== "undivided-slack") {
+            retries.recordDaemons(this.scenario.daemonCount);
         }
         return retries;
     }
 
-    #play(now: Phase): void {
-        if (this.#random() < now.restartsPerStep) {
-            const struck = Math.floor(this.#random() * this.#daemons.length);
-            this.#upAt[struck] = this.#step + DOWN_STEPS;
-            this.#daemons[struck] = this.#start((this.#step + DOWN_STEPS) * STEP_MS);
+    #simulateStep(phase: Phase): void {
+        if (this.#random() < phase.restartsPerStep) {
+            const restarted = Math.floor(this.#random() * this.#daemons.length);
+            this.#upAtStep[restarted] = this.#step + RESTART_STEPS;
+            this.#daemons[restarted] = this.#start((this.#step + RESTART_STEPS) * STEP_MS);
         }
-        for (let request = 0; request < now.perStep; request++) {
-            this.#send(this.outer, this.#draw(), false, now);
+        for (let request = 0; request < phase.requestsPerStep; request++) {
+            this.#send(this.outer, this.#randomDaemon(), false, phase);
         }
     }
 
-    #retries(at: number, name: ServiceName): Retries {
-        return this.#daemons[at]!.of({ name, retryRatio: 1 }, this.#now);
+    #retries(daemon: number, name: ServiceName): Retries {
+        return this.#daemons[daemon]!.of({ name, retryRatio: 1 }, this.#now);
     }
 
-    #draw(): number {
+    #randomDaemon(): number {
         return Math.floor(this.#random() * this.#daemons.length);
     }
 
-    /** One request that comes in by a daemon, if that is up. */
-    #send(traffic: Traffic, at: number, ofRepeat: boolean, now: Phase): void {
-        if (this.#step < this.#upAt[at]!) {
+    /** Sends one request through a daemon, if that daemon is running. */
+    #send(traffic: Traffic, daemon: number, isFromRepeat: boolean, phase: Phase): void {
+        if (this.#step < this.#upAtStep[daemon]!) {
             return;
         }
         const service = traffic === this.outer ? OUTER : INNER;
-        const retries = (): Retries => this.#retries(at, service);
-        if (ofRepeat && this.planted !== "calls-uncounted") {
+        const retries = (): Retries => this.#retries(daemon, service);
+        if (isFromRepeat && this.fault !== "calls-uncounted") {
             retries().budget.recordRepeat(this.#now);
         }
         else {
             retries().budget.recordRequest(this.#now);
             traffic.requests[this.#step]! += 1;
         }
-        this.#arrive(traffic, ofRepeat, now);
+        this.#startRun(traffic, isFromRepeat, phase);
         for (let attempt = 1; attempt < MAX_ATTEMPTS; attempt++) {
             const { budget, allowance } = retries();
-            const hedged = this.#random() < now.hedged && budget.spendSurplus(allowance, this.#now);
-            const failed = this.#random() < now.failing;
-            const mayRetry = (): boolean => this.planted === "free-retry" || budget.spend(allowance, this.#now);
+            const hedged = this.#random() < phase.hedgedShare && budget.spendSurplus(allowance, this.#now);
+            const failed = this.#random() < phase.failedShare;
+            const mayRetry = (): boolean => this.fault === "free-retry" || budget.spend(allowance, this.#now);
             if (!hedged && !(failed && mayRetry())) {
                 return;
             }
-            this.#arrive(traffic, true, now);
+            this.#startRun(traffic, true, phase);
         }
     }
 
-    /** A run beside some daemon, by which its calls come in; that daemon may refuse a repeat. */
-    #arrive(traffic: Traffic, repeated: boolean, now: Phase): void {
-        const at = this.#draw();
-        const { calls } = this.setup;
-        if (traffic === this.outer && repeated && this.planted !== "calls-unasked" && !this.#canAfford(at, calls)) {
+    /** Starts a run beside a random daemon, which may refuse a repeat and through which the run makes its calls. */
+    #startRun(traffic: Traffic, isRepeat: boolean, phase: Phase): void {
+        const daemon = this.#randomDaemon();
+        const { callsPerRun } = this.scenario;
+        if (
+            traffic === this.outer && isRepeat && this.fault !== "calls-unasked"
+            && !this.#canAffordRun(daemon, callsPerRun)
+        ) {
             return;
         }
-        if (repeated) {
-            traffic.beyond[this.#step]! += 1;
+        if (isRepeat) {
+            traffic.repeats[this.#step]! += 1;
         }
-        const count = traffic === this.outer ? Math.floor(calls) + Number(this.#random() < calls % 1) : 0;
-        for (let call = 0; call < count; call++) {
-            this.#send(this.inner, at, repeated, now);
+        const callCount = traffic === this.outer
+            ? Math.floor(callsPerRun) + Number(this.#random() < callsPerRun % 1)
+            : 0;
+        for (let call = 0; call < callCount; call++) {
+            this.#send(this.inner, daemon, isRepeat, phase);
         }
     }
 
-    #canAfford(at: number, calls: number): boolean {
-        const perRun = new Map(calls === 0 ? [] : [[INNER, calls]]);
-        return canAffordCalls(perRun, 0, service => {
-            const { budget, allowance } = this.#retries(at, service);
+    #canAffordRun(daemon: number, callsPerRun: number): boolean {
+        const callCounts = new Map(callsPerRun === 0 ? [] : [[INNER, callsPerRun]]);
+        return canAffordCalls(callCounts, 0, service => {
+            const { budget, allowance } = this.#retries(daemon, service);
             return budget.left(allowance, this.#now);
         });
     }
 }
 
-/** Looks for a scenario in which either service gets more than its bound. */
-const search = (planted: Planted): fc.RunDetails<[Scenario]> =>
+/** Searches for a scenario in which a service gets more repeats than its bound. */
+const findViolation = (fault: InjectedFault): fc.RunDetails<[Scenario]> =>
     fc.check(
-        fc.property(scenario, setup => {
-            const model = new Model(setup, planted);
+        fc.property(scenarioArbitrary, scenario => {
+            const model = new Model(scenario, fault);
             model.run();
-            const tooMany = { outer: Math.max(0, model.outer.excess()), inner: Math.max(0, model.inner.excess()) };
-            assert.deepEqual(tooMany, { outer: 0, inner: 0 });
+            const excess = { outer: Math.max(0, model.outer.maxExcess()), inner: Math.max(0, model.inner.maxExcess()) };
+            assert.deepEqual(excess, { outer: 0, inner: 0 });
         }),
         { numRuns: RUNS, seed: SEED, endOnFailure: true },
     );
 
-test("repeats: daemons that share nothing keep the bound of all, through restarts, hedges, calls and any load", () => {
-    const { failed, counterexample, errorInstance } = search("none");
+test("repeats: daemons without shared state keep the bound under restarts, hedges, calls and any load", () => {
+    const { failed, counterexample, errorInstance } = findViolation("none");
     assert.equal(failed, false, `${String(errorInstance)} in ${JSON.stringify(counterexample)}`);
 });
 
-test("repeats: the search finds planted faults", () => {
-    const planted: Planted[] = [
+test("repeats: the search detects each injected fault", () => {
+    const faults: InjectedFault[] = [
         "free-retry",
         "start-with-reserve",
         "undivided-slack",
         "calls-uncounted",
         "calls-unasked",
     ];
-    assert.deepEqual(planted.filter(fault => !search(fault).failed), []);
+    assert.deepEqual(faults.filter(fault => !findViolation(fault).failed), []);
 });
--- a/src/policy/retry/serviceretries.ts
+++ b/src/policy/retry/serviceretries.ts
@@ -1,42 +1,48 @@
-/** What one daemon holds of all services for attempts after the first. */
+/** Holds one daemon's state for retries and hedges, by service. */
 import type { Service } from "../../config/service.js";
 import type { ServiceName } from "../../ids/servicename.js";
-import { Hedging } from "./hedging.js";
-import { ownAllowance } from "./ownallowance.js";
+import { daemonAllowance } from "./daemonallowance.js";
+import { HedgeDelay } from "./hedgedelay.js";
 import type { RepeatBound } from "./repeatbound.js";
 import type { Retries } from "./retries.js";
 import { RetryBudget } from "./retrybudget.js";
 
-/** The operators' bounds; `startedAt` is the daemon's start on its clock, in milliseconds. */
-type Bounds = { readonly bound: RepeatBound; readonly burst: number; readonly startedAt: number; };
+/** The operators' bounds, and the start of the daemon in milliseconds on its clock. */
+type RetryBounds = { readonly bound: RepeatBound; readonly burst: number; readonly startedAt: number; };
 
-type Held = Pick<Retries, "budget" | "hedging">;
+type ServiceState = Pick<Retries, "budget" | "hedging">;
 
-/** Made for a service when it is first asked for. */
+/** Creates the state of a service when it is first requested. */
 export class ServiceRetries {
-    readonly #byService = new Map<ServiceName, Held>();
-    #daemons = 1;
+    readonly #stateByService = new Map<ServiceName, ServiceState>();
+    #maxDaemonCount = 1;
 
-    constructor(private readonly bounds: Bounds) {}
+    constructor(private readonly bounds: RetryBounds) {}
 
-    /** Records how many daemons are known. Those that are no longer known may only be cut off, and still send. */
+    /**
+     * Records how many daemons are known now.
+     *
+     * The largest number counts, since daemons that are no longer known may only be unreachable from here and still
+     * send requests.
+     */
     recordDaemons(count: number): void {
-        this.#daemons = Math.max(this.#daemons, count);
+        this.#maxDaemonCount = Math.max(this.#maxDaemonCount, count);
     }
 
+    /** Returns the state of a service with its allowance at `now`, in milliseconds on the daemon's clock. */
     of({ name, retryRatio: serviceRatio }: Pick<Service, "name" | "retryRatio">, now: number): Retries {
         const { bound, burst, startedAt } = this.bounds;
-        const part = { bound, burst, serviceRatio, daemons: this.#daemons, aliveMs: now - startedAt };
-        return { ...this.#held(name), allowance: ownAllowance(part) };
+        const input = { bound, burst, serviceRatio, daemonCount: this.#maxDaemonCount, uptimeMs: now - startedAt };
+        return { ...this.#stateOf(name), allowance: daemonAllowance(input) };
     }
 
-    #held(service: ServiceName): Held {
-        const known = this.#byService.get(service);
-        if (known !== undefined) {
-            return known;
+    #stateOf(service: ServiceName): ServiceState {
+        const existing = this.#stateByService.get(service);
+        if (existing !== undefined) {
+            return existing;
         }
-        const held = { budget: new RetryBudget(this.bounds.bound.windowMs), hedging: new Hedging() };
-        this.#byService.set(service, held);
-        return held;
+        const created = { budget: new RetryBudget(this.bounds.bound.windowMs), hedging: new HedgeDelay() };
+        this.#stateByService.set(service, created);
+        return created;
     }
 }
--- a/src/policy/retry/tellproblem.ts
+++ b/src/policy/retry/tellproblem.ts
@@ -1,15 +1,15 @@
 /**
- * What is a caller told whose request ends without an upstream's answer?
+ * Decides which problem is sent to a caller whose request ends without a response of an upstream.
  *
- * A request that ran out of time is told so, whatever is proven of it. Of any other that may have run, only that its answer
- * is lost; a proven `not-run` is told by its reason.
+ * If the deadline has passed, the problem is `deadline`, whatever is proven of the request. Otherwise it is
+ * `answer-lost` if the request may have run, and the problem of the reason if it is proven not to have run.
  */
 import type { Outcome } from "./outcome.js";
 import type { ProblemType } from "./problemtype.js";
 import type { Reason } from "./reason.js";
 import { reasons } from "./reasons.js";
 
-/** `outcome` is what is known of the last attempt. */
+/** Returns the problem for the outcome and the reason of the last attempt. */
 export function tellProblem(outcome: Outcome, reason: Reason): ProblemType {
     const { problem } = reasons[reason];
     return outcome === "not-run" || problem === "deadline" ? problem : "answer-lost";
--- a/test/answers.test.ts
+++ b/test/answers.test.ts
@@ -7,7 +7,7 @@
 import { withMesh } from "./withmesh.js";
 
 /**
- * A daemon that has just started may send no repeat yet, so that restarts bring no more of them (policy/retry/ownallowance.ts): of its
+ * A daemon that has just started may send no repeat yet, so that restarts bring no more of them (policy/retry/daemonallowance.ts): of its
  * 20 it has one after half a second, and a second with what callers have asked for by then.
  */
 const UNTIL_ONE_REPEAT_MS = 1000;
