--- a/src/policy/routing/evendraws.test.ts
+++ b/src/policy/routing/evendraws.test.ts
@@ -3,13 +3,13 @@
 import { seededRandom } from "../../../standin/seededrandom.js";
 import { parse } from "../../config/parse.js";
 import { Rule } from "../../config/rule.js";
-import { drawService } from "./drawservice.js";
 import { EvenDraws } from "./evendraws.js";
+import { selectService } from "./selectservice.js";
 
-const DAEMONS = 69;
-const WINDOW = 200;
+const DAEMON_COUNT = 69;
+const WINDOW_REQUESTS = 200;
 
-const ruleOf = (weights: readonly number[]): Rule =>
+const ruleWith = (weights: readonly number[]): Rule =>
     parse(Rule, {
         name: "r",
         pathPrefix: "/",
@@ -17,47 +17,52 @@
         split: weights.map((weight, at) => ({ service: `s${at}`, weight })),
     });
 
-/** The largest distance of a part's share from its weight's, in windows of requests that come to daemons at random. */
-const worstShare = (weights: readonly number[], seed: number): number => {
+/**
+ * Returns the largest difference between a service's share of a window and its share of the weights, when each request
+ * goes to a random daemon.
+ */
+const maxShareError = (weights: readonly number[], seed: number): number => {
     const random = seededRandom(seed);
-    const rule = ruleOf(weights);
-    const daemons = Array.from({ length: DAEMONS }, () => new EvenDraws(random));
+    const rule = ruleWith(weights);
+    const daemons = Array.from({ length: DAEMON_COUNT }, () => new EvenDraws(random));
     const total = weights.reduce((sum, weight) => sum + weight, 0);
-    let worst = 0;
+    let maxError = 0;
     for (let window = 0; window < 50; window++) {
         const counts = weights.map(() => 0);
-        for (let at = 0; at < WINDOW; at++) {
-            const daemon = daemons[Math.floor(random() * DAEMONS)]!;
-            counts[Number(drawService(rule, daemon.next(rule.name)).slice(1))]! += 1;
+        for (let at = 0; at < WINDOW_REQUESTS; at++) {
+            const daemon = daemons[Math.floor(random() * DAEMON_COUNT)]!;
+            counts[Number(selectService(rule, daemon.next(rule.name)).slice(1))]! += 1;
         }
-        counts.forEach((count, at) => worst = Math.max(worst, Math.abs(count / WINDOW - weights[at]! / total)));
+        counts.forEach((count, at) =>
+            maxError = Math.max(maxError, Math.abs(count / WINDOW_REQUESTS - weights[at]! / total))
+        );
     }
-    return worst;
+    return maxError;
 };
 
-test("even draws: windows of 200 requests over many daemons have each part's share within a tenth of its weight", () => {
+test("split sampler: of 200 requests over many daemons, each service's share is within a tenth of its weight", () => {
     for (const weights of [[1, 1], [90, 10], [1, 1, 1], [5, 3, 2], [99, 1]]) {
         for (let seed = 1; seed <= 20; seed++) {
-            const worst = worstShare(weights, seed);
-            assert.ok(worst <= 0.1, `${weights.join()} seed ${seed}: ${worst}`);
+            const maxError = maxShareError(weights, seed);
+            assert.ok(maxError <= 0.1, `${weights.join()} seed ${seed}: ${maxError}`);
         }
     }
 });
 
-test("even draws: at one daemon already 20 requests are shared as the weights say, to one of them", () => {
-    const rule = ruleOf([1, 1]);
-    const draws = new EvenDraws(seededRandom(7));
+test("split sampler: at one daemon, the split of 20 requests differs from the weights by at most one request", () => {
+    const rule = ruleWith([1, 1]);
+    const sampler = new EvenDraws(seededRandom(7));
     for (let window = 0; window < 20; window++) {
-        const to = Array.from({ length: 20 }, () => drawService(rule, draws.next(rule.name)));
-        const first = to.filter(service => service === "s0").length;
-        assert.ok(Math.abs(first - 10) <= 1, `${first} of 20`);
+        const services = Array.from({ length: 20 }, () => selectService(rule, sampler.next(rule.name)));
+        const firstCount = services.filter(service => service === "s0").length;
+        assert.ok(Math.abs(firstCount - 10) <= 1, `${firstCount} of 20`);
     }
 });
 
-test("even draws: a part without weight gets nothing", () => {
-    const rule = ruleOf([1, 0]);
-    const draws = new EvenDraws(seededRandom(7));
+test("split sampler: a service with weight 0 gets no requests", () => {
+    const rule = ruleWith([1, 0]);
+    const sampler = new EvenDraws(seededRandom(7));
     for (let at = 0; at < 1000; at++) {
-        assert.equal(drawService(rule, draws.next(rule.name)), "s0");
+        assert.equal(selectService(rule, sampler.next(rule.name)), "s0");
     }
 });
--- a/src/policy/routing/evendraws.ts
+++ b/src/policy/routing/evendraws.ts
@@ -1,30 +1,33 @@
 /**
- * Which part of a rule's split does the next request get? Parts that follow each other evenly, so that also a few requests are shared as the
- * weights say: the fractions of the multiples of the golden ratio, from a start that each daemon draws for itself.
+ * Generates evenly spaced samples that select the services of a rule's split, so that even a few requests are split
+ * according to the weights.
  *
- * A random draw for each request is as good on average, but of 200 requests to two equal parts it is off by a tenth once in 200 times.
+ * The samples are the fractional parts of multiples of the golden ratio, from a random start at each daemon.
+ * Independent random samples are as good on average, but with 200 requests to two services of equal weight, their
+ * shares are off by a tenth once in 200 times.
  */
 import type { RuleName } from "../../ids/rulename.js";
 import type { RandomSource } from "../randomsource.js";
 
-/** The fraction of the golden ratio: of all steps it leaves the smallest gaps. */
-const STEP = (Math.sqrt(5) - 1) / 2;
+/** The fractional part of the golden ratio, the step that leaves the smallest gaps between samples. */
+const GOLDEN_RATIO_FRACTION = (Math.sqrt(5) - 1) / 2;
 
-/** Remembered: rules come and go with the configuration. */
+/** The number of rules whose last sample is stored; limited, since rules change with the configuration. */
 const MAX_RULES = 1024;
 
-/** From 0 up to 1; a sequence for each rule. */
+/** Holds a separate sequence for each rule. */
 export class EvenDraws {
-    readonly #last = new Map<RuleName, number>();
+    readonly #lastByRule = new Map<RuleName, number>();
 
     constructor(private readonly random: RandomSource) {}
 
+    /** Returns the next sample for a rule, from 0 up to but not including 1. */
     next(rule: RuleName): number {
-        const draw = ((this.#last.get(rule) ?? this.random()) + STEP) % 1;
-        this.#last.set(rule, draw);
-        if (this.#last.size > MAX_RULES) {
-            this.#last.delete(this.#last.keys().next().value!);
+        const sample = ((this.#lastByRule.get(rule) ?? this.random()) + GOLDEN_RATIO_FRACTION) % 1;
+        this.#lastByRule.set(rule, sample);
+        if (this.#lastByRule.size > MAX_RULES) {
+            this.#lastByRule.delete(this.#lastByRule.keys().next().value!);
         }
-        return draw;
+        return sample;
     }
 }
--- a/src/policy/routing/matchedrule.ts
+++ b/src/policy/routing/matchedrule.ts
@@ -1,9 +1,9 @@
-/** The rule for a request, and what follows from it. */
+/** The result of matching a request against the rules. */
 import type { Kind } from "../../config/kind.js";
 import type { Rule } from "../../config/rule.js";
 import type { Service } from "../../config/service.js";
 
-/** The rule that matches, its service, and the kind that results. */
+/** Holds the matching rule, the service selected by it and the resulting kind of the request. */
 export type MatchedRule = {
     readonly rule: Rule;
     readonly service: Service;
--- a/src/policy/routing/matchrequest.test.ts
+++ b/src/policy/routing/matchrequest.test.ts
@@ -6,7 +6,7 @@
 import { Service } from "../../config/service.js";
 import { matchRequest } from "./matchrequest.js";
 
-test("rules: the most exact one is taken, and its order does not matter", () => {
+test("rules: the most specific rule matches, whatever the order of rules", () => {
     const rules = [
         { name: "all", pathPrefix: "/" },
         { name: "long", pathPrefix: "/a/b" },
@@ -14,10 +14,10 @@
         { name: "host", pathPrefix: "/", host: "h" },
     ].map(rule => parse(Rule, { ...rule, service: "s" }));
     const document = { ...emptyDocument, services: [parse(Service, { name: "s" })], rules };
-    const find = (method: string, host: string, path: string): string | undefined =>
+    const matchedName = (method: string, host: string, path: string): string | undefined =>
         matchRequest(document, { method, host, path }, true, 0)?.rule.name;
-    assert.equal(find("GET", "x", "/a/b/c?q"), "long");
-    assert.equal(find("POST", "x", "/a/b"), "post");
-    assert.equal(find("GET", "x", "/a/bc"), "all");
-    assert.equal(find("GET", "h:80", "/a/b"), "host");
+    assert.equal(matchedName("GET", "x", "/a/b/c?q"), "long");
+    assert.equal(matchedName("POST", "x", "/a/b"), "post");
+    assert.equal(matchedName("GET", "x", "/a/bc"), "all");
+    assert.equal(matchedName("GET", "h:80", "/a/b"), "host");
 });
--- a/src/policy/routing/matchrequest.ts
+++ b/src/policy/routing/matchrequest.ts
@@ -1,29 +1,36 @@
 /**
- * Which rule, service and kind are a request's? The most exact rule that matches; its service, or the part of its split that was drawn;
- * the kind that retry/decidekind.ts gives.
+ * Decides the rule, the service and the kind of a request.
+ *
+ * The rule is the most specific one that matches. The service is that of the rule, or the one that the sample selects
+ * from its split. The kind is decided by retry/decidekind.ts.
  */
 import type { Document } from "../../config/document.js";
 import { decideKind } from "../retry/decidekind.js";
-import { drawService } from "./drawservice.js";
 import type { MatchedRule } from "./matchedrule.js";
 import { matchRule } from "./matchrule.js";
 import type { RequestTarget } from "./requesttarget.js";
+import { selectService } from "./selectservice.js";
 
-/** Undefined when no rule matches; `draw` from 0 up to 1 chooses the part of a split. */
+/**
+ * Returns the match, or undefined if no rule matches or its service is not configured.
+ *
+ * `isConfigFresh` is true if the store has confirmed the configuration recently. `sample` is a number from 0 up to but
+ * not including 1 that selects a service from a split.
+ */
 export function matchRequest(
     document: Document,
     target: RequestTarget,
-    fresh: boolean,
-    draw: number,
+    isConfigFresh: boolean,
+    sample: number,
 ): MatchedRule | undefined {
     const rule = matchRule(document.rules, target);
     if (rule === undefined) {
         return undefined;
     }
-    const name = drawService(rule, draw);
+    const name = selectService(rule, sample);
     const service = document.services.find(item => item.name === name);
     if (service === undefined) {
         return undefined;
     }
-    return { rule, service, kind: decideKind(rule, target.method, fresh) };
+    return { rule, service, kind: decideKind(rule, target.method, isConfigFresh) };
 }
--- a/src/policy/routing/matchrule.ts
+++ b/src/policy/routing/matchrule.ts
@@ -1,4 +1,4 @@
-/** Finds the rule for a request. */
+/** Finds the most specific rule that matches a request. */
 import type { Rule } from "../../config/rule.js";
 import type { RequestTarget } from "./requesttarget.js";
 
@@ -6,7 +6,7 @@
 
 const withoutQuery = (path: string): string => path.split("?", 1)[0]!;
 
-const underPrefix = (path: string, prefix: string): boolean => {
+const isUnderPrefix = (path: string, prefix: string): boolean => {
     if (!path.startsWith(prefix)) {
         return false;
     }
@@ -16,26 +16,31 @@
 const matches = (rule: Rule, method: string, host: string, path: string): boolean =>
     (rule.methods.length === 0 || rule.methods.includes(method))
     && (rule.host === "" || rule.host.toLowerCase() === host)
-    && underPrefix(path, rule.pathPrefix);
+    && isUnderPrefix(path, rule.pathPrefix);
 
-const weight = (rule: Rule): number =>
+const specificity = (rule: Rule): number =>
     (rule.host === "" ? 0 : 1e6) + rule.pathPrefix.length * 10 + (rule.methods.length === 0 ? 0 : 1);
 
-const isBetter = (rule: Rule, best: Rule): boolean => {
-    const difference = weight(rule) - weight(best);
-    return difference > 0 || (difference === 0 && rule.name < best.name);
+const isMoreSpecific = (rule: Rule, other: Rule): boolean => {
+    const difference = specificity(rule) - specificity(other);
+    return difference > 0 || (difference === 0 && rule.name < other.name);
 };
 
-/** The most exact rule that matches: a named host first, then the longest prefix, a named method, the name's order. */
+/**
+ * Returns the most specific rule that matches, or undefined if none does.
+ *
+ * A rule with a host precedes rules without one, then the longest path prefix, then a rule with methods, then the first
+ * name in lexical order.
+ */
 export function matchRule(rules: readonly Rule[], target: RequestTarget): Rule | undefined {
     const { method } = target;
     const host = withoutPort(target.host ?? "");
     const path = withoutQuery(target.path);
-    let best: Rule | undefined;
+    let mostSpecific: Rule | undefined;
     for (const rule of rules) {
-        if (matches(rule, method, host, path) && (best === undefined || isBetter(rule, best))) {
-            best = rule;
+        if (matches(rule, method, host, path) && (mostSpecific === undefined || isMoreSpecific(rule, mostSpecific))) {
+            mostSpecific = rule;
         }
     }
-    return best;
+    return mostSpecific;
 }
--- a/src/policy/routing/requesttarget.ts
+++ b/src/policy/routing/requesttarget.ts
@@ -1,6 +1,4 @@
-/** What rules match of a request. */
-
-/** `path` may have a query; `host` may have a port. */
+/** The parts of a request that rules match. `path` may include a query, and `host` a port. */
 export type RequestTarget = {
     readonly method: string;
     readonly host: string | undefined;
