--- a/src/policy/membership/comparelives.ts
+++ b/src/policy/membership/comparelives.ts
@@ -1,14 +1,15 @@
 /**
- * An upstream speaks under a name that is known: is it the life that is known, a later one, or an earlier one whose word comes late?
+ * Compares the incarnation of an upstream that sent an announcement with the known incarnation under the same name.
  *
- * It may start again under its name. It then holds nothing of what the earlier life held, and numbers its announcements anew, so the
- * time of its birth goes before their numbers. One that tells no birth is taken for the life that is known.
+ * An upstream may restart under its name. It then has none of its earlier state and numbers its announcements from the
+ * start again, so start times take precedence over announcement numbers. An earlier incarnation is one whose
+ * announcement was delayed. An upstream that reports no start time is assumed to be the known incarnation.
  */
 
-/** `said` and `known` are births in Unix milliseconds. */
-export function compareLives(said: number | undefined, known: number | undefined): "same" | "later" | "earlier" {
-    if (said === undefined || known === undefined || said === known) {
+/** Compares `reported` with `known`, the start times of both incarnations in Unix milliseconds. */
+export function compareLives(reported: number | undefined, known: number | undefined): "same" | "later" | "earlier" {
+    if (reported === undefined || known === undefined || reported === known) {
         return "same";
     }
-    return said > known ? "later" : "earlier";
+    return reported > known ? "later" : "earlier";
 }
--- a/src/policy/membership/directms.ts
+++ b/src/policy/membership/directms.ts
@@ -1,4 +1,5 @@
-/** For how long does a daemon's own word go before what others say of it? */
-
-/** More than two of its signs of life, in milliseconds. */
+/**
+ * The time in milliseconds for which a daemon's own report takes precedence over reports of others about it: more than
+ * two of its heartbeat intervals.
+ */
 export const directMs = 5000;
--- a/src/policy/membership/isnews.ts
+++ b/src/policy/membership/isnews.ts
@@ -1,27 +1,30 @@
 /**
- * Which source of a daemon's record goes before which?
+ * Decides whether a received record of a daemon replaces the known one.
  *
- * A daemon's own word goes before all else. A record in the store comes next: it may be of an earlier life. What a peer says of a
- * third daemon fills gaps only. Within one life of a daemon the higher version is the newer one, whoever says it.
+ * Within one incarnation of the daemon, the higher version is the newer one, whatever its source. Between incarnations,
+ * the daemon's own report takes precedence over all other sources. A record in the store is
+ * used only if the daemon itself has sent nothing recently, since the record may be of an earlier incarnation. A peer's
+ * report about a third daemon is used only if the store no longer has a record of that daemon.
  */
 import type { Incarnation } from "../../ids/incarnation.js";
 import { directMs } from "./directms.js";
 import type { MemberSource } from "./membersource.js";
 
+/** Identifies one state of a daemon. */
 type Version = { readonly incarnation: Incarnation; readonly version: number; };
 
-/** What is known of the daemon; times are on this daemon's clock. */
+/** The known state of the daemon. */
 type Known = Version & {
-    /** When the daemon itself was heard last; -Infinity for never. */
+    /** The time of the daemon's last message, in milliseconds on this daemon's clock; -Infinity if there was none. */
     readonly heardAt: number;
-    /** Its record is gone from the store. */
+    /** True if the store no longer has its record. */
     readonly lapsed: boolean;
 };
 
-/** True when what is said replaces what is known. */
-export function isNews(said: Version, known: Known, source: MemberSource, now: number): boolean {
-    if (said.incarnation === known.incarnation) {
-        return said.version > known.version;
+/** Returns true if the reported version replaces the known one; `now` is in milliseconds on this daemon's clock. */
+export function isNews(reported: Version, known: Known, source: MemberSource, now: number): boolean {
+    if (reported.incarnation === known.incarnation) {
+        return reported.version > known.version;
     }
     switch (source) {
         case "itself":
--- a/src/policy/membership/judgemember.ts
+++ b/src/policy/membership/judgemember.ts
@@ -1,20 +1,25 @@
 /**
- * When is a member given up whose record is gone from the store?
+ * Decides whether a member whose record is gone from the store is still present.
  *
- * The missing record is a hint only, since the store may have lost it. A member that was heard after that is there; one that is
- * silent is asked, and is given up when it does not answer.
+ * The missing record alone proves nothing, since the store may have lost it. A member that sent a message after its
+ * record went missing is present. An unresponsive one is probed, and is removed if it does not respond in time.
  */
 
-/** The time for a question and its answer, several times, in milliseconds. */
-const LAPSE_MS = 3000;
+/** Leaves time for several probes and their responses. */
+const PROBE_TIMEOUT_MS = 3000;
 
-/** When the member was heard last, and when its record went; undefined while the store has it. On the daemon's clock. */
-type Signs = { readonly heardAt: number; readonly lapsedAt: number | undefined; };
+/** Times in milliseconds on the daemon's clock. */
+type MemberTimes = {
+    /** The time of the member's last message. */
+    readonly heardAt: number;
+    /** The time at which its record was missing first; undefined while the store has it. */
+    readonly lapsedAt: number | undefined;
+};
 
-/** `present`, `doubtful` (a question would settle it), or `gone`. */
-export function judgeMember({ heardAt, lapsedAt }: Signs, now: number): "present" | "doubtful" | "gone" {
+/** Returns `present`, `doubtful` if the member has to be probed, or `gone` if it has not responded in time. */
+export function judgeMember({ heardAt, lapsedAt }: MemberTimes, now: number): "present" | "doubtful" | "gone" {
     if (lapsedAt === undefined || heardAt >= lapsedAt) {
         return "present";
     }
-    return now - lapsedAt >= LAPSE_MS ? "gone" : "doubtful";
+    return now - lapsedAt >= PROBE_TIMEOUT_MS ? "gone" : "doubtful";
 }
--- a/src/policy/membership/membersource.ts
+++ b/src/policy/membership/membersource.ts
@@ -1,2 +1,2 @@
-/** Where a record of a daemon comes from: the daemon itself, its record in the store, or some other daemon. */
+/** The source of a daemon's record: the daemon itself, its record in the store, or another daemon. */
 export type MemberSource = "itself" | "store" | "peer";
--- a/src/policy/membership/occupant.ts
+++ b/src/policy/membership/occupant.ts
@@ -1,7 +1,7 @@
-/** Who answers at an upstream's address. */
+/** The result of a probe that identifies the upstream at an address. */
 import type { UpstreamName } from "../../ids/upstreamname.js";
 
-/** The name of who serves there; that somebody does who gives no name; or nobody. */
+/** `named`: the upstream reports its name. `unnamed`: one responds without a name. `silent`: nobody responds. */
 export type Occupant =
     | { readonly type: "named"; readonly name: UpstreamName; }
     | { readonly type: "unnamed"; }
