--- a/src/policy/randomsource.ts
+++ b/src/policy/randomsource.ts
@@ -1,4 +1,2 @@
-/** Randomness, handed to whatever decides by it. */
-
-/** Returns a number from 0 up to and not 1. */
+/** Returns a random number from 0 up to but not including 1; passed as an argument to all code that uses randomness. */
 export type RandomSource = () => number;
--- a/src/policy/rollingcount.ts
+++ b/src/policy/rollingcount.ts
@@ -1,44 +1,45 @@
-/** How often has something happened in the last window? Counted in steps, so that it takes the same memory at any rate. */
+/** Counts events in a sliding window. Counts are kept by step, so that the memory does not depend on the rate. */
 
-/** Steps of a window: its end is known to a twentieth. */
-const STEPS = 20;
+/** Steps in a window, so that the start of the window is exact to a twentieth. */
+const STEPS_PER_WINDOW = 20;
 
-/** Times are milliseconds on the daemon's clock. */
+/** Counts the events of one kind. Times are milliseconds on the daemon's clock. */
 export class RollingCount {
-    /** By step, one more than a window has: the oldest lies in the window in part. */
-    readonly #counts = new Float64Array(STEPS + 1);
+    /** Counts by step; one step more than in a window, since the oldest lies only partly in it. */
+    readonly #counts = new Float64Array(STEPS_PER_WINDOW + 1);
     readonly #stepMs: number;
-    #newest = 0;
+    #currentStep = 0;
 
     constructor(windowMs: number) {
-        this.#stepMs = windowMs / STEPS;
+        this.#stepMs = windowMs / STEPS_PER_WINDOW;
     }
 
+    /** Counts an event at `now`. */
     add(now: number): void {
-        const step = this.#moveTo(now);
+        const step = this.#advanceTo(now);
         this.#counts[step % this.#counts.length]! += 1;
     }
 
-    /** All of the window, and what of the oldest step may lie outside. */
+    /** Returns an upper bound: the whole oldest step is included, although a part of it may lie outside the window. */
     atMost(now: number): number {
-        this.#moveTo(now);
+        this.#advanceTo(now);
         return this.#counts.reduce((sum, count) => sum + count, 0);
     }
 
-    /** Without the oldest step, a part of which may lie outside the window. */
+    /** Returns a lower bound: the oldest step is left out, although a part of it may lie in the window. */
     atLeast(now: number): number {
-        const step = this.#moveTo(now);
+        const step = this.#advanceTo(now);
         return this.atMost(now) - this.#counts[(step + 1) % this.#counts.length]!;
     }
 
-    /** Forgets the steps that are over; returns the present one. */
-    #moveTo(now: number): number {
+    /** Clears the steps that have left the window; returns the current step. */
+    #advanceTo(now: number): number {
         const step = Math.floor(now / this.#stepMs);
-        const passed = Math.min(step - this.#newest, this.#counts.length);
-        for (let back = 0; back < passed; back++) {
+        const newSteps = Math.min(step - this.#currentStep, this.#counts.length);
+        for (let back = 0; back < newSteps; back++) {
             this.#counts[(step - back) % this.#counts.length] = 0;
         }
-        this.#newest = Math.max(this.#newest, step);
-        return this.#newest;
+        this.#currentStep = Math.max(this.#currentStep, step);
+        return this.#currentStep;
     }
 }
