--- a/src/policy/recentset.test.ts
+++ b/src/policy/recentset.test.ts
@@ -4,8 +4,8 @@
 
 test("recent set: keeps a limited number of the items that were added last", () => {
     const recent = new RecentSet<string>(2048);
-    for (let at = 0; at < 10_000; at++) {
-        recent.add(`r${at}`);
+    for (let index = 0; index < 10_000; index++) {
+        recent.add(`r${index}`);
         recent.add("often");
     }
     assert.equal(recent.has("often"), true);
--- a/src/policy/retry/attempthistory.ts
+++ b/src/policy/retry/attempthistory.ts
@@ -75,7 +75,7 @@
         if (mayHaveArrived(result)) {
             this.#arrivals += 1;
         }
-        if (result.outcome !== "failed" && reasons[result.reason].isRedirect) {
+        if (result.outcome !== "failed" && reasons[result.reason].causesRedirect) {
             this.#redirects += 1;
         }
     }
--- a/src/policy/retry/callprofile.ts
+++ b/src/policy/retry/callprofile.ts
@@ -6,7 +6,7 @@
  */
 import type { ServiceName } from "../../ids/servicename.js";
 
-/** Weight of the newest run in the moving average, which so covers about ten runs. */
+/** Weight of the newest run in the moving average, so that it covers about ten runs. */
 const NEWEST_RUN_WEIGHT = 0.1;
 /** Averages below this are dropped: a thousandth of a repeat for each run is no noticeable load. */
 const MIN_CALLS_PER_RUN = 0.001;
--- a/src/policy/retry/decideretry.test.ts
+++ b/src/policy/retry/decideretry.test.ts
@@ -19,12 +19,12 @@
 const NOW = 1;
 
 /** Returns an empty budget of which only `reserve` can be spent. */
-const retriesOf = (reserve: number): Parameters<typeof decideRetry>[1] => ({
+const budgetWithReserve = (reserve: number): Parameters<typeof decideRetry>[1] => ({
     budget: new RetryBudget(WINDOW_MS),
     allowance: { ratio: RATIO, reserve },
 });
 
-const decide = (overrides: Partial<Input>, budgetAndAllowance = retriesOf(20)): RetryDecision =>
+const decide = (overrides: Partial<Input>, budgetAndAllowance = budgetWithReserve(20)): RetryDecision =>
     decideRetry(
         {
             result: shed,
@@ -42,8 +42,8 @@
         NOW,
     );
 
-const isRetried = (overrides: Partial<Input>, retries?: Parameters<typeof decideRetry>[1]): boolean =>
-    decide(overrides, retries).again;
+const isRetried = (overrides: Partial<Input>, budgetAndAllowance?: Parameters<typeof decideRetry>[1]): boolean =>
+    decide(overrides, budgetAndAllowance).again;
 
 test("retry: a request that may have run is retried only if it is repeatable", () => {
     assert.equal(isRetried({ result: mayHaveRun }), false);
@@ -55,21 +55,21 @@
 });
 
 test("retry: retries are limited by the budget, which grows with requests", () => {
-    const retries = retriesOf(20);
+    const budgetAndAllowance = budgetWithReserve(20);
     let granted = 0;
-    while (isRetried({ result: mayHaveRun, kind: "repeatable" }, retries)) {
+    while (isRetried({ result: mayHaveRun, kind: "repeatable" }, budgetAndAllowance)) {
         granted += 1;
     }
     assert.equal(granted, 20);
     for (let request = 0; request < 11; request++) {
-        retries.budget.recordRequest(NOW);
+        budgetAndAllowance.budget.recordRequest(NOW);
     }
-    assert.equal(isRetried({ result: notRun("queue-full") }, retries), true);
-    assert.equal(isRetried({ result: notRun("queue-full") }, retries), false);
+    assert.equal(isRetried({ result: notRun("queue-full") }, budgetAndAllowance), true);
+    assert.equal(isRetried({ result: notRun("queue-full") }, budgetAndAllowance), false);
 });
 
 test("retry: every attempt that may be a repeat is paid for from the budget", () => {
-    const withoutBudget = retriesOf(0);
+    const withoutBudget = budgetWithReserve(0);
     for (const reason of Object.keys(reasons) as Reason[]) {
         const result: Input["result"] = { outcome: "not-run", reason, arrived: true };
         const { again, why } = decide({ result, owes: true, kind: "repeatable", moves: 1 }, withoutBudget);
@@ -79,7 +79,7 @@
     assert.deepEqual(decide({}, withoutBudget), { again: false, why: "budget-spent" }, "shed by the upstream");
 });
 
-test("retry: a request refused for its own sake is not sent elsewhere, whatever the budget", () => {
+test("retry: a request that is refused as quarantined is not sent elsewhere, whatever the budget", () => {
     const final = (Object.keys(reasons) as Reason[]).filter(reason => reasons[reason].isFinal === true);
     assert.deepEqual(final, ["quarantined"]);
     assert.equal(decide({ result: notRun("quarantined"), kind: "repeatable" }).why, "quarantined");
@@ -97,7 +97,7 @@
 });
 
 test("retry: the first two redirects are free, further ones need budget like retries", () => {
-    const withoutBudget = retriesOf(0);
+    const withoutBudget = budgetWithReserve(0);
     assert.deepEqual(decide({ result: notRun("busy"), attempts: 3, moves: 1 }, withoutBudget), {
         again: true,
         why: "moves",
@@ -120,5 +120,5 @@
     assert.equal(decide({ attempts: 3 }).why, "attempts-spent");
     assert.equal(decide({ result: mayHaveRun }).why, "may-have-run");
     assert.equal(decide({ result: failed, kind: "repeatable" }).why, "budget");
-    assert.equal(decide({ result: notRun("queue-full") }, retriesOf(0)).why, "budget-spent");
+    assert.equal(decide({ result: notRun("queue-full") }, budgetWithReserve(0)).why, "budget-spent");
 });
--- a/src/policy/retry/decideretry.ts
+++ b/src/policy/retry/decideretry.ts
@@ -72,7 +72,7 @@
     if (result.outcome === "failed" && result.retriedBelow) {
         return { again: false, why: "retried-below" };
     }
-    if (facts?.isRedirect === true && moves <= maxMoves) {
+    if (facts?.causesRedirect === true && moves <= maxMoves) {
         return owes ? decideByBudget() : { again: true, why: "moves" };
     }
     if (attempts >= maxAttempts) {
--- a/src/policy/retry/hedgedelay.test.ts
+++ b/src/policy/retry/hedgedelay.test.ts
@@ -4,21 +4,21 @@
 
 test("hedge delay: a response is overdue when nearly all others arrived sooner", () => {
     const hedgeDelay = new HedgeDelay();
-    for (let at = 0; at < 5000; at++) {
-        hedgeDelay.observe(10 + at % 20, false);
+    for (let index = 0; index < 5000; index++) {
+        hedgeDelay.observe(10 + index % 20, false);
     }
     const { afterMs = NaN } = hedgeDelay;
     assert.ok(afterMs > 25 && afterMs < 40, String(afterMs));
 });
 
 test("hedge delay: a service whose responses mostly need calls to others is not hedged", () => {
-    const hedging = new HedgeDelay();
-    for (let at = 0; at < 100; at++) {
-        hedging.observe(10 + at % 20, true);
+    const hedgeDelay = new HedgeDelay();
+    for (let index = 0; index < 100; index++) {
+        hedgeDelay.observe(10 + index % 20, true);
     }
-    assert.equal(hedging.afterMs, undefined);
-    for (let at = 0; at < 10; at++) {
-        hedging.observe(10 + at % 20, false);
+    assert.equal(hedgeDelay.afterMs, undefined);
+    for (let index = 0; index < 10; index++) {
+        hedgeDelay.observe(10 + index % 20, false);
     }
-    assert.notEqual(hedging.afterMs, undefined);
+    assert.notEqual(hedgeDelay.afterMs, undefined);
 });
--- a/src/policy/retry/hedgedelay.ts
+++ b/src/policy/retry/hedgedelay.ts
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Records the time of a response and whether the upstream made calls for it.
+     * Records how long a response took and whether the upstream made calls for it.
      *
      * `elapsedMs` is a lower bound for a response that was overtaken by that of a hedge.
      */
--- a/src/policy/retry/reasonfacts.ts
+++ b/src/policy/retry/reasonfacts.ts
@@ -1,4 +1,4 @@
-/** What is known of a request and its upstream after an attempt that ended for a reason. */
+/** Defines what a reason says of the request and of the upstream. */
 import type { ProblemType } from "./problemtype.js";
 
 /**
@@ -15,7 +15,7 @@
      */
     readonly proves: "not-run" | "unknown" | "either";
     /** True if the request belongs elsewhere: up to a maximum, it is redirected without counting as an attempt. */
-    readonly isRedirect: boolean;
+    readonly causesRedirect: boolean;
     /** True if the request would be refused everywhere, so that no attempt follows. */
     readonly isFinal?: true;
     /** True if even a proven `not-run` costs budget to retry, since the refusal was for load or may have been. */
--- a/src/policy/retry/reasons.test.ts
+++ b/src/policy/retry/reasons.test.ts
@@ -9,8 +9,8 @@
 const reasonsWhere = (test: (reason: Reason) => boolean): string[] =>
     (Object.keys(reasons) as Reason[]).filter(test).sort();
 
-test("reasons: these refusals lead to a redirect", () => {
-    assert.deepEqual(reasonsWhere(reason => reasons[reason].isRedirect), [
+test("reasons: only the listed refusals lead to a redirect", () => {
+    assert.deepEqual(reasonsWhere(reason => reasons[reason].causesRedirect), [
         "busy",
         "calls-spent",
         "cold",
@@ -24,7 +24,7 @@
     ]);
 });
 
-test("reasons: these refusals change the state that an ingress assumes of the upstream", () => {
+test("reasons: only the listed refusals change the state that an ingress assumes of the upstream", () => {
     assert.deepEqual(reasonsWhere(reason => reasons[reason].upstream === "suspected"), ["peer-broke", "unreachable"]);
     assert.deepEqual(reasonsWhere(reason => reasons[reason].upstream === "full"), ["shed"]);
     assert.deepEqual(reasonsWhere(reason => reasons[reason].upstream === "cold"), ["cold"]);
--- a/src/policy/retry/reasons.ts
+++ b/src/policy/retry/reasons.ts
@@ -9,12 +9,12 @@
 
 const refusedForLoad: ReasonFacts = {
     proves: "not-run",
-    isRedirect: false,
+    causesRedirect: false,
     costsBudget: true,
     problem: "overloaded",
     upstream: "none",
 };
-const redirectedForLoad: ReasonFacts = { ...refusedForLoad, isRedirect: true };
+const redirectedForLoad: ReasonFacts = { ...refusedForLoad, causesRedirect: true };
 const targetUnavailable: ReasonFacts = { ...redirectedForLoad, costsBudget: false };
 const deadlinePassed: ReasonFacts = { ...refusedForLoad, costsBudget: false, problem: "deadline" };
 const mayHaveRun: ReasonFacts = { ...refusedForLoad, proves: "unknown", problem: "answer-lost" };
--- a/src/policy/routing/evendraws.test.ts
+++ b/src/policy/routing/evendraws.test.ts
@@ -14,7 +14,7 @@
         name: "r",
         pathPrefix: "/",
         service: "s0",
-        split: weights.map((weight, at) => ({ service: `s${at}`, weight })),
+        split: weights.map((weight, index) => ({ service: `s${index}`, weight })),
     });
 
 /**
@@ -29,12 +29,12 @@
     let maxError = 0;
     for (let window = 0; window < 50; window++) {
         const counts = weights.map(() => 0);
-        for (let at = 0; at < WINDOW_REQUESTS; at++) {
+        for (let index = 0; index < WINDOW_REQUESTS; index++) {
             const daemon = daemons[Math.floor(random() * DAEMON_COUNT)]!;
             counts[Number(selectService(rule, daemon.next(rule.name)).slice(1))]! += 1;
         }
-        counts.forEach((count, at) =>
-            maxError = Math.max(maxError, Math.abs(count / WINDOW_REQUESTS - weights[at]! / total))
+        counts.forEach((count, index) =>
+            maxError = Math.max(maxError, Math.abs(count / WINDOW_REQUESTS - weights[index]! / total))
         );
     }
     return maxError;
@@ -62,7 +62,7 @@
 test("split sampler: a service with weight 0 gets no requests", () => {
     const rule = ruleWith([1, 0]);
     const sampler = new EvenDraws(seededRandom(7));
-    for (let at = 0; at < 1000; at++) {
+    for (let index = 0; index < 1000; index++) {
         assert.equal(selectService(rule, sampler.next(rule.name)), "s0");
     }
 });
--- a/src/policy/routing/matchrule.ts
+++ b/src/policy/routing/matchrule.ts
@@ -6,6 +6,7 @@
 
 const withoutQuery = (path: string): string => path.split("?", 1)[0]!;
 
+/** Returns true if the path equals the prefix or continues it with a new path segment. */
 const isUnderPrefix = (path: string, prefix: string): boolean => {
     if (!path.startsWith(prefix)) {
         return false;
@@ -18,6 +19,7 @@
     && (rule.host === "" || rule.host.toLowerCase() === host)
     && isUnderPrefix(path, rule.pathPrefix);
 
+/** Returns a rank in which a host outweighs any prefix, and one more character of a prefix outweighs methods. */
 const specificity = (rule: Rule): number =>
     (rule.host === "" ? 0 : 1e6) + rule.pathPrefix.length * 10 + (rule.methods.length === 0 ? 0 : 1);
 
