--- a/src/policy/retry/retrymodel.test.ts
+++ b/src/policy/retry/retrymodel.test.ts
@@ -33,7 +33,10 @@
     | "calls-uncounted"
     | "calls-unasked";
 
-/** A period of constant load: requests a step, shares of failed and hedged attempts, probability of a restart a step. */
+/**
+ * A period of constant load: requests a step, shares of failed and hedged attempts, and probability of a restart a
+ * step.
+ */
 const phaseArbitrary = fc.record({
     steps: fc.integer({ min: 5, max: 200 }),
     requestsPerStep: fc.integer({ min: 0, max: 30 }),
