--- a/src/crashes/crashguard.ts
+++ b/src/crashes/crashguard.ts
@@ -12,8 +12,8 @@
 import { CrashHistory } from "../policy/quarantine/crashhistory.js";
 import { crashLimits } from "../policy/quarantine/crashlimits.js";
 import type { CrashRecord } from "../policy/quarantine/crashrecord.js";
-import { recordsOfCrash } from "../policy/quarantine/recordsofcrash.js";
-import type { Standing } from "../policy/quarantine/standing.js";
+import type { QuarantineStatus } from "../policy/quarantine/quarantinestatus.js";
+import { toCrashRecords } from "../policy/quarantine/tocrashrecords.js";
 import { RecentSet } from "../policy/recentset.js";
 import type { Clock } from "../time/clock.js";
 
@@ -60,24 +60,24 @@
 
     /** The same at all daemons that know the same; undefined where nothing is known. */
     get mark(): number | undefined {
-        this.#history.forgetOld(this.parts.clock());
-        return this.#history.mark;
+        this.#history.evictExpired(this.parts.clock());
+        return this.#history.digest;
     }
 
     /** The same of suspect and quarantined requests alone: what others must know at once. */
     get suspectMark(): number | undefined {
-        this.#history.forgetOld(this.parts.clock());
-        return this.#history.suspectMark;
+        this.#history.evictExpired(this.parts.clock());
+        return this.#history.suspectDigest;
     }
 
     /** How many changes there have been. */
     get changes(): number {
-        return this.#history.changes;
+        return this.#history.changeCount;
     }
 
     /** What has changed after so many changes; all that is known after none. */
     recordsAfter(changes: number): CrashRecord[] {
-        return this.#history.changedAfter(changes, this.parts.clock());
+        return this.#history.recordsChangedAfter(changes, this.parts.clock());
     }
 
     /** How many requests are quarantined. */
@@ -90,14 +90,14 @@
         return request === undefined ? undefined : this.#history.quarantinedForMs(request, this.parts.clock());
     }
 
-    standing(request: RequestKey | undefined): Standing {
-        return request === undefined ? "free" : this.#history.standing(request, this.parts.clock());
+    standing(request: RequestKey | undefined): QuarantineStatus {
+        return request === undefined ? "free" : this.#history.statusOf(request, this.parts.clock());
     }
 
     /** Requests with crashes enough for a quarantine, cleared or not, of which one was seen here. */
     get witnessed(): CrashRecord[] {
         return this.recordsAfter(0).filter(({ crashes }) =>
-            crashes.length >= crashLimits.quarantineAt && crashes.some(crash => this.#ownCrashes.has(crash))
+            crashes.length >= crashLimits.quarantineThreshold && crashes.some(crash => this.#ownCrashes.has(crash))
         );
     }
 
@@ -112,7 +112,7 @@
     recordCrash(own: OwnCrash): void {
         const { crash, requests } = own;
         this.#ownCrashes.add(crash);
-        this.#merge(recordsOfCrash(crash, requests), own);
+        this.#merge(toCrashRecords(crash, requests), own);
     }
 
     /** Records that an upstream here has served the request well. */
@@ -150,7 +150,7 @@
             return;
         }
         this.#logged.add(request);
-        const { crashes } = this.#history.find(request, this.parts.clock())!;
+        const { crashes } = this.#history.recordOf(request, this.parts.clock())!;
         logger.change("A request is quarantined: upstreams have crashed under it.", {
             request,
             crashes,
--- a/src/crashes/crashpublisher.ts
+++ b/src/crashes/crashpublisher.ts
@@ -69,7 +69,7 @@
     }
 
     async #write(record: CrashRecord): Promise<void> {
-        const leftMs = this.parts.guard.quarantinedForMs(record.request) ?? crashLimits.holdMs;
+        const leftMs = this.parts.guard.quarantinedForMs(record.request) ?? crashLimits.quarantineMs;
         await this.parts.write(record, Math.max(LEAST_MS, Math.ceil(leftMs)));
         this.#written.set(record.request, stateOf(record));
     }
--- a/src/crashes/crashspread.ts
+++ b/src/crashes/crashspread.ts
@@ -17,7 +17,7 @@
 import type { ServiceName } from "../ids/servicename.js";
 import { log } from "../log/log.js";
 import { sample } from "../policy/placement/sample.js";
-import { recordsOfCrash } from "../policy/quarantine/recordsofcrash.js";
+import { toCrashRecords } from "../policy/quarantine/tocrashrecords.js";
 import type { RandomSource } from "../policy/randomsource.js";
 import type { CrashChanges } from "../wire/crashchanges.js";
 import type { RecordsMark } from "../wire/recordsmark.js";
@@ -65,7 +65,7 @@
     }
 
     receive({ crash, requests }: Extract<Message, { type: "crash"; }>): void {
-        this.parts.guard.merge(recordsOfCrash(crash, requests));
+        this.parts.guard.merge(toCrashRecords(crash, requests));
     }
 
     /** Exchanges with a peer whose mark differs, unless that was done and nothing has changed since: each keeps so much only. */
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -96,7 +96,7 @@
         const endAt = clock() + limitMs;
         this.#startLeaving();
         await sleep(SPREAD_MS, hurry);
-        await waitIdle(() => this.#gates.gates.busy(), endAt - clock(), hurry);
+        await waitIdle(() => this.#gates.gates.pendingCount(), endAt - clock(), hurry);
         await this.#path.ingress.close();
         const left = await waitIdle(() => this.#inFlight(), endAt - clock(), hurry);
         if (left > 0) {
@@ -133,7 +133,7 @@
 
     #inFlight(): number {
         const { ingress, peerServer } = this.#path;
-        return this.#gates.gates.busy() + ingress.inFlight + peerServer.inFlight;
+        return this.#gates.gates.pendingCount() + ingress.inFlight + peerServer.inFlight;
     }
 
     #endControl(): void {
--- a/src/daemon/gategroup.ts
+++ b/src/daemon/gategroup.ts
@@ -14,7 +14,7 @@
 import { Ledger } from "../ledger/ledger.js";
 import type { ColdLimits } from "../policy/cold/coldlimits.js";
 import type { Arrival } from "../policy/retry/arrival.js";
-import { ServiceRetries } from "../policy/retry/serviceretries.js";
+import { RetriesByService } from "../policy/retry/retriesbyservice.js";
 import type { ConfigurationGroup } from "./configurationgroup.js";
 import type { DaemonContext } from "./daemoncontext.js";
 import { GateSet } from "./gateset.js";
@@ -40,7 +40,7 @@
     readonly probes: ProbeBudget;
     readonly gates: GateSet;
     readonly health: HealthCheck;
-    readonly retries: ServiceRetries;
+    readonly retries: RetriesByService;
     readonly guard: CrashGuard;
     #onChange: () => void = () => {};
     #onEnding: (upstream: UpstreamName) => void = () => {};
@@ -54,7 +54,7 @@
         this.probes = new ProbeBudget(control, current, metrics, clock);
         const { retryBurst: burst, repeats } = policy;
         const bound = { ...repeats, windowMs: repeats.windowS * MS_PER_SECOND };
-        this.retries = new ServiceRetries({ bound, burst, startedAt: clock() });
+        this.retries = new RetriesByService({ bound, burst, startedAt: clock() });
         const shared = {
             clock,
             localIp,
@@ -66,7 +66,7 @@
             usualShare: (service: ServiceName) => this.#usualShare(service),
             onChange: () => this.#onChange(),
             mayAsk: () => this.probes.mayAsk(),
-            mayAskForCrash: () => this.probes.mayAskForCrash(),
+            mayProbeCrash: () => this.probes.mayAskForCrash(),
             onArrival: (service: ServiceName, arrival: Arrival) => metrics.arrived(service, arrival),
             onCrash: (service: ServiceName, crash: CrashId, requests: readonly RequestKey[]) => {
                 metrics.crashed(service);
@@ -76,22 +76,22 @@
             onEnding: (upstream: UpstreamName) => this.#onEnding(upstream),
             onServed: (request: RequestKey) => this.guard.recordServed(request),
             quarantinedForMs: (request: RequestKey | undefined) => this.guard.quarantinedForMs(request),
-            onSilent: (address: Address) => context.silentConnections.record("upstream", address),
+            onUnresponsive: (address: Address) => context.silentConnections.record("upstream", address),
             repeatsLeft: (service: ServiceName) => this.#repeatsLeft(service, current, clock()),
             healthPath: (service: ServiceName) => this.probes.healthPath(service),
             coldLimits: (service: ServiceName) => coldLimitsOf(current.document, service, policy.cold),
-            mayAskForCold: () => this.probes.mayAskForCold(),
+            mayProbeCold: () => this.probes.mayAskForCold(),
         };
         this.guard = new CrashGuard({
             clock,
             hasServed: request => [...this.gates.all].some(gate => gate.hasServed(request)),
-            giveUp: request => [...this.gates.all].forEach(gate => gate.giveUp(request)),
+            giveUp: request => [...this.gates.all].forEach(gate => gate.cancel(request)),
         });
         metrics.showLimited(() => [...this.gates.all].filter(gate => gate.limitPerSecond !== undefined).length);
         metrics.showQuarantined(() => this.guard.quarantined);
         this.gates = new GateSet(self, upstream => new Gate(upstream, shared));
-        context.silentConnections.onFound(() => [...this.gates.all].forEach(gate => gate.suspectConnections()));
-        current.onChange(() => [...this.gates.all].forEach(gate => gate.cold.followService()));
+        context.silentConnections.onFound(() => [...this.gates.all].forEach(gate => gate.dropSuspectConnections()));
+        current.onChange(() => [...this.gates.all].forEach(gate => gate.cold.updateLimits()));
         this.health = new HealthCheck({ perSecond: control.healthPerSecond }, () => this.gates.all, metrics);
     }
 
@@ -101,8 +101,8 @@
         if (service === undefined) {
             return 0;
         }
-        const { budget, allowance } = this.retries.of(service, now);
-        return budget.left(allowance, now);
+        const { budget, allowance } = this.retries.get(service, now);
+        return budget.remaining(allowance, now);
     }
 
     /** Where gates ask what was found at others of their service. */
--- a/src/daemon/gateset.ts
+++ b/src/daemon/gateset.ts
@@ -35,7 +35,7 @@
             if (settings === undefined || !samePlace(settings, gate.upstream)) {
                 this.#gates.delete(gate.upstream.name);
                 gate.close(REMOVED);
-                void gate.end();
+                void gate.shutDown();
             }
         }
         for (const upstream of mine) {
@@ -58,8 +58,8 @@
     }
 
     /** Requests that run or wait at all gates. */
-    busy(): number {
-        return [...this.#gates.values()].reduce((sum, gate) => sum + gate.busy, 0);
+    pendingCount(): number {
+        return [...this.#gates.values()].reduce((sum, gate) => sum + gate.pendingCount, 0);
     }
 
     #open(upstream: Upstream): Gate {
--- a/src/daemon/requestpathgroup.ts
+++ b/src/daemon/requestpathgroup.ts
@@ -49,7 +49,7 @@
         context.silentConnections.onFound(() => this.#hops.dropIdle());
         gates.onChange(() => this.sharing.checkGates());
         configuration.evacuations.onChange(() => this.#followEvacuations());
-        configuration.current.onChange(document => this.ingress.allow(document.limits ?? {}));
+        configuration.current.onChange(document => this.ingress.applyCallerLimits(document.limits ?? {}));
     }
 
     /** Follows the upstreams that there are. */
@@ -58,7 +58,7 @@
         this.table.apply(upstreams);
         this.#hops.apply(upstreams);
         const gates = new Set(upstreams.map(({ gate }) => gate));
-        this.gates.retries.recordDaemons(Math.max(gates.size, this.membership.members.length));
+        this.gates.retries.recordDaemonCount(Math.max(gates.size, this.membership.members.length));
     }
 
     /** All gates here are in this daemon's hall. */
@@ -108,7 +108,7 @@
             random,
             revision,
             contexts: this.gates.contexts,
-            find: (target, draw) => rules.find(target, draw),
+            findRule: (target, draw) => rules.find(target, draw),
         });
         return new Ingress(settings.limits, { planner, callerService: settings.callerService }, {
             clock,
@@ -118,12 +118,12 @@
             revision,
             placement: makePlacement(policy),
             upstreams: this.table,
-            retries: service => this.gates.retries.of(service, clock()),
-            hedge: policy.hedge,
-            guard: this.gates.guard,
-            newId: () => `${incarnation}.${this.#requests++}`,
-            from: self,
-            catchUp: this.#catchUp,
+            retries: service => this.gates.retries.get(service, clock()),
+            isHedgingEnabled: policy.hedge,
+            crashGuard: this.gates.guard,
+            newRequestId: () => `${incarnation}.${this.#requests++}`,
+            peerAddress: self,
+            pullConfiguration: this.#catchUp,
             replan: (out, plan) => rules.replan(out, plan),
         });
     }
--- a/src/daemon/rulematcher.test.ts
+++ b/src/daemon/rulematcher.test.ts
@@ -6,7 +6,7 @@
 import { Rule } from "../config/rule.js";
 import { Service } from "../config/service.js";
 import { CurrentConfiguration } from "../distribution/currentconfiguration.js";
-import type { Outgoing } from "../ingress/outgoing.js";
+import type { OutgoingRequest } from "../ingress/outgoingrequest.js";
 import type { Plan } from "../ingress/plan.js";
 import { RuleMatcher } from "./rulematcher.js";
 
@@ -25,8 +25,16 @@
     const target = { method: "GET", host: "h", path: "/" };
     for (const draw of [0.1, 0.9]) {
         const matched = matcher.find(target, draw)!;
-        const plan: Plan = { type: "plan", ...matched, draw, startedAt: 0, deadline: 1000, depth: 0, arrival: "first" };
-        const out = { method: "GET", path: "/", headers: { host: "h" } } as unknown as Outgoing;
+        const plan: Plan = {
+            type: "plan",
+            ...matched,
+            splitSample: draw,
+            startedAt: 0,
+            deadline: 1000,
+            depth: 0,
+            arrival: "first",
+        };
+        const out = { method: "GET", path: "/", headers: { host: "h" } } as unknown as OutgoingRequest;
         assert.equal(matcher.replan(out, plan).service.name, matched.service.name);
     }
 });
--- a/src/daemon/rulematcher.ts
+++ b/src/daemon/rulematcher.ts
@@ -1,6 +1,6 @@
 /** Matches requests with the rules of the newest configuration here, also those that are under way. */
 import type { CurrentConfiguration } from "../distribution/currentconfiguration.js";
-import type { Outgoing } from "../ingress/outgoing.js";
+import type { OutgoingRequest } from "../ingress/outgoingrequest.js";
 import type { Plan } from "../ingress/plan.js";
 import { isStaleKind } from "../policy/retry/isstalekind.js";
 import type { MatchedRule } from "../policy/routing/matchedrule.js";
@@ -20,9 +20,12 @@
     }
 
     /** The plan by the rules as they are now; the plan itself when none matches. */
-    replan(out: Outgoing, plan: Plan): Plan {
+    replan(out: OutgoingRequest, plan: Plan): Plan {
         const { method, path, headers } = out;
-        return { ...plan, ...this.find({ method, host: headers["host"] as string | undefined, path }, plan.draw) };
+        return {
+            ...plan,
+            ...this.find({ method, host: headers["host"] as string | undefined, path }, plan.splitSample),
+        };
     }
 
     /** True when the sender's older rules let a request repeat that the rules here do not. */
--- a/src/dialect/dialect.ts
+++ b/src/dialect/dialect.ts
@@ -63,7 +63,7 @@
     /** Returns for how many milliseconds the upstream stays cold by its health endpoint, or undefined if not stated. */
     abstract coldMs(headers: HttpHeaders): number | undefined;
     /** Returns why the upstream has provably not run the request, or undefined if it may have run it. */
-    abstract notRun(status: number, headers: HttpHeaders): "shed" | "leaving" | "misdirected" | undefined;
+    abstract notRunReason(status: number, headers: HttpHeaders): "shed" | "leaving" | "misdirected" | undefined;
     /** Returns true if the response is the upstream's own response to the request with this id. */
     abstract isOwnAnswer(status: number, headers: HttpHeaders, id: string): boolean;
     /**
@@ -74,7 +74,7 @@
     /** Returns true if the upstream reports that it is about to stop. */
     abstract isLeaving(headers: HttpHeaders): boolean;
     /** True if an upstream that leaves never comes back under its name. */
-    abstract readonly leavesForGood: boolean;
+    abstract readonly leavingIsPermanent: boolean;
     /** Returns the value of `retry-after` for a time in milliseconds. */
     abstract retryAfter(ms: number): string;
 }
--- a/src/dialect/owndialect.ts
+++ b/src/dialect/owndialect.ts
@@ -20,13 +20,13 @@
     readonly requestLimit = headerName.limit;
     readonly ownName = headerName.upstream;
     readonly outcome = headerName.outcome;
-    readonly leavesForGood = false;
+    readonly leavingIsPermanent = false;
 
     coldMs(headers: HttpHeaders): number | undefined {
         return readMs(headers[headerName.cold]);
     }
 
-    notRun(status: number, headers: HttpHeaders): "shed" | "leaving" | undefined {
+    notRunReason(status: number, headers: HttpHeaders): "shed" | "leaving" | undefined {
         if (status !== httpStatus.serviceUnavailable || headers[headerName.outcome] !== "not-run") {
             return undefined;
         }
--- a/src/evacuation/evacuations.ts
+++ b/src/evacuation/evacuations.ts
@@ -10,7 +10,7 @@
 import { applyHallsChange } from "../policy/halls/applyhallschange.js";
 import type { EvacuatedHalls } from "../policy/halls/evacuatedhalls.js";
 import type { HallsChange } from "../policy/halls/hallschange.js";
-import { isLaterMark } from "../policy/halls/islatermark.js";
+import { isLaterPosition } from "../policy/halls/islaterposition.js";
 
 const logger = log("halls");
 
@@ -76,7 +76,7 @@
             return;
         }
         this.#isHeardOf = true;
-        if (isLaterMark(word.mark, this.#known.mark)) {
+        if (isLaterPosition(word.mark, this.#known.mark)) {
             this.#set(word);
         }
     }
@@ -85,7 +85,7 @@
     isAhead(word: EvacuatedHalls | undefined): boolean {
         const { mark, halls } = this.#known;
         const theirs = word ?? NOTHING;
-        return this.#isHeardOf && isLaterMark(mark, theirs.mark) && halls.join() !== theirs.halls.join();
+        return this.#isHeardOf && isLaterPosition(mark, theirs.mark) && halls.join() !== theirs.halls.join();
     }
 
     stop(): void {
--- a/src/failuredetection/failuredetector.ts
+++ b/src/failuredetection/failuredetector.ts
@@ -7,7 +7,7 @@
 import type { Address } from "../ids/address.js";
 import type { UpstreamTable } from "../ingress/upstreamtable.js";
 import type { UpstreamView } from "../ingress/upstreamview.js";
-import { availableOf } from "../policy/placement/availableof.js";
+import { availableTargets } from "../policy/placement/availabletargets.js";
 import type { Clock } from "../time/clock.js";
 import { Ticker } from "../time/ticker.js";
 
@@ -55,7 +55,7 @@
 
     #tick(): void {
         const now = this.parts.clock();
-        for (const view of this.parts.upstreams.unsettled) {
+        for (const view of this.parts.upstreams.monitored) {
             this.#check(view, now);
         }
     }
@@ -65,13 +65,13 @@
             outstanding: view.outstanding,
             serviceMs: view.report?.serviceMs ?? 0,
             answersPings: this.#answersPings.has(view.settings.gate),
-            isSuspected: view.suspicion.suspected,
+            isSuspected: view.suspicion.isSuspected,
         };
-        if (view.local || view.silence.isSettled(known)) {
-            this.parts.upstreams.settle(view);
+        if (view.local || view.livenessCheck.isIdle(known)) {
+            this.parts.upstreams.stopMonitoring(view);
             return;
         }
-        const action = view.silence.decide(known, now);
+        const action = view.livenessCheck.decide(known, now);
         if (action.type === "suspect") {
             view.suspect(now, this.#hasAlternative(view, now));
         }
@@ -82,14 +82,14 @@
 
     #ping(view: UpstreamView, now: number): void {
         if (this.parts.send(view.settings.gate, { type: "ping", from: this.parts.self, sentAt: now })) {
-            view.silence.pinged(now);
+            view.livenessCheck.recordPing(now);
         }
     }
 
     /** Attempts at a silent gate are given up only for something better: when all are silent, it is the hosts that are. */
     #hasAlternative(view: UpstreamView, now: number): boolean {
         const all = this.parts.upstreams.ofService(view.settings.service);
-        return availableOf(all, new Set([view]), now).length > 0;
+        return availableTargets(all, new Set([view]), now).length > 0;
     }
 
     #mayIntroduce(now: number): boolean {
--- a/src/gate/callcontexts.ts
+++ b/src/gate/callcontexts.ts
@@ -45,12 +45,12 @@
     }
 
     /** Returns the context of the running request with this id; undefined if there is none. */
-    ofRequest(requestId: string | undefined): CallContext | undefined {
+    findByRequest(requestId: string | undefined): CallContext | undefined {
         return requestId === undefined ? undefined : this.#byRequest.get(requestId);
     }
 
     /** Returns the context with this token; undefined if there is none. */
-    find(token: string | undefined): CallContext | undefined {
+    findByToken(token: string | undefined): CallContext | undefined {
         return token === undefined ? undefined : this.#byToken.get(token);
     }
 
--- a/src/gate/coldprobe.ts
+++ b/src/gate/coldprobe.ts
@@ -33,7 +33,7 @@
     }
 
     /** Applies the limits that are now configured for the service. */
-    followService(): void {
+    updateLimits(): void {
         this.guard.setLimits(this.parts.limits());
     }
 
@@ -43,7 +43,7 @@
      */
     record(coldMs: number | undefined, probedAt: number): void {
         const wasCold = this.isCold;
-        this.guard.recordAnswer(coldMs, probedAt, this.parts.clock());
+        this.guard.recordProbeResponse(coldMs, probedAt, this.parts.clock());
         if (this.isCold !== wasCold) {
             const { upstream } = this.parts;
             logger.change(wasCold ? "The upstream is no longer cold." : "The upstream is cold.", { upstream, coldMs });
@@ -54,7 +54,7 @@
     async waitUntilKnown(): Promise<void> {
         const probe = this.probeIfDue();
         const now = this.parts.clock();
-        if (!this.guard.isOpen(now) && !this.guard.isCold(now)) {
+        if (!this.guard.canSend(now) && !this.guard.isCold(now)) {
             await probe;
         }
     }
@@ -66,8 +66,8 @@
     async probeIfDue(): Promise<void> {
         const { clock, mayProbe } = this.parts;
         const now = clock();
-        if (this.#pending === undefined && this.guard.shouldAsk(now) && mayProbe()) {
-            this.guard.recordQuestion(now);
+        if (this.#pending === undefined && this.guard.shouldProbe(now) && mayProbe()) {
+            this.guard.recordProbe(now);
             this.#pending = this.#probe().finally(() => this.#pending = undefined);
         }
         await this.#pending;
--- a/src/gate/crashdetector.ts
+++ b/src/gate/crashdetector.ts
@@ -9,7 +9,7 @@
 import type { CrashId } from "../ids/crashid.js";
 import type { RequestKey } from "../ids/requestkey.js";
 import { log } from "../log/log.js";
-import { BrokenRuns } from "../policy/failure/brokenruns.js";
+import { InterruptedRuns } from "../policy/failure/interruptedruns.js";
 import type { Clock } from "../time/clock.js";
 import { sleep } from "../time/sleep.js";
 
@@ -40,7 +40,7 @@
 
 /** Detects the crashes of one upstream, and of a successor with the same name. */
 export class CrashDetector {
-    readonly #brokenRuns = new BrokenRuns();
+    readonly #brokenRuns = new InterruptedRuns();
     /** The id of the last crash; undefined while the upstream responds. */
     #crashId: CrashId | undefined;
     #isProbing = false;
@@ -62,13 +62,13 @@
 
     /** Records that the upstream has responded to a request sent at `sentAt`. */
     recordResponse(sentAt: number): void {
-        this.#brokenRuns.lived(sentAt);
+        this.#brokenRuns.recordResponse(sentAt);
         this.#crashId = undefined;
     }
 
     /** Records that nothing accepts connections at the upstream's address, or that another upstream has it. */
     recordUnreachable(): void {
-        const requests = this.#brokenRuns.takeUnderWay(this.parts.clock());
+        const requests = this.#brokenRuns.takeInProgress(this.parts.clock());
         if (requests.length === 0) {
             return;
         }
--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -7,19 +7,19 @@
  */
 import type { Upstream } from "../config/upstream.js";
 import { requestKeyOf } from "../dialect/requestkeyof.js";
-import type { GateAnswer } from "../hop/gateanswer.js";
 import type { GateCall } from "../hop/gatecall.js";
+import type { GateResponse } from "../hop/gateresponse.js";
 import type { RequestKey } from "../ids/requestkey.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
 import { Admission } from "../policy/admission/admission.js";
+import { createLimit } from "../policy/admission/createlimit.js";
 import { LevelClock } from "../policy/admission/levelclock.js";
-import { makeLimit } from "../policy/admission/makelimit.js";
 import { RuleTimes } from "../policy/admission/ruletimes.js";
 import { Pace } from "../policy/failure/pace.js";
-import { silentAfter } from "../policy/failure/silentafter.js";
-import { atLeast } from "../policy/placement/atleast.js";
+import { unresponsiveAfterMs } from "../policy/failure/unresponsiveafterms.js";
 import type { LoadReport } from "../policy/placement/loadreport.js";
-import type { AnswerNote } from "../wire/answernote.js";
+import { withMinServiceTime } from "../policy/placement/withminservicetime.js";
+import type { AnswerNote } from "../wire/responsemetadata.js";
 import type { CloseReason } from "./closereason.js";
 import type { ColdProbe } from "./coldprobe.js";
 import { GateChecks } from "./gatechecks.js";
@@ -60,14 +60,14 @@
         this.#checks = new GateChecks({
             ...parts,
             pace,
-            workMs: rule => ruleTimes.longMs(rule),
+            workMs: rule => ruleTimes.meanWorkMs(rule),
             upstream: upstream.name,
             mayAsk: () => healthProbe.mayProbeLoad && parts.mayAsk(),
             probe: () => healthProbe.probe(PACE_PROBE_TIMEOUT_MS),
             repeatsInFlight: () => this.#runner.repeatCount,
         });
         this.#admission = new Admission(
-            makeLimit(parts.limit, upstream.slots, () => parts.usualShare(upstream.service)),
+            createLimit(parts.limit, upstream.slots, () => parts.usualShare(upstream.service)),
             ruleTimes,
             levels,
             pace,
@@ -116,8 +116,8 @@
     }
 
     /** Number of requests that run or are queued. */
-    get busy(): number {
-        return this.#admission.running + this.#admission.waiting;
+    get pendingCount(): number {
+        return this.#admission.running + this.#admission.queued;
     }
 
     /** Fraction of the slots in use above which the upstream slows down (its knee); undefined while it is not known. */
@@ -126,19 +126,19 @@
     }
 
     /** Number of slots that can be offered to requests queued at sibling upstreams. */
-    get free(): number {
-        return this.#admission.free(this.parts.clock());
+    get freeSlots(): number {
+        return this.#admission.freeSlots(this.parts.clock());
     }
 
-    get waiting(): number {
-        return this.#admission.waiting;
+    get queuedCount(): number {
+        return this.#admission.queued;
     }
 
     /** Returns the load report that peers receive. */
     report(): LoadReport {
         const now = this.parts.clock();
         const report = { ...this.#admission.report(now), pace: this.#checks.pace };
-        return atLeast(report, this.#runner.meanAgeMs(now));
+        return withMinServiceTime(report, this.#runner.meanAgeMs(now));
     }
 
     /** True while operators have evacuated the upstream's data hall. */
@@ -165,9 +165,9 @@
     }
 
     /** Drops idle connections and aborts overdue requests, after a connection was found to be unresponsive. */
-    suspectConnections(): void {
+    dropSuspectConnections(): void {
         this.#endpoint.client.destroyIdle();
-        this.#runner.abortUnanswered(silentAfter(this.report().baseMs));
+        this.#runner.abortUnanswered(unresponsiveAfterMs(this.report().baseMs));
     }
 
     /** Returns true if the upstream has served the request successfully in its present incarnation. */
@@ -176,17 +176,17 @@
     }
 
     /** Aborts the running attempts of a request, unless it may run only once. */
-    giveUp(request: RequestKey): void {
+    cancel(request: RequestKey): void {
         this.#runner.cancel(request);
     }
 
     /** Closes the connections to the upstream after the requests in flight have ended. */
-    end(): Promise<void> {
+    shutDown(): Promise<void> {
         return this.#endpoint.client.close();
     }
 
     /** Serves a request; throws a HopError if it is refused or fails. */
-    async serve(call: GateCall): Promise<GateAnswer> {
+    async serve(call: GateCall): Promise<GateResponse> {
         const { identity, clock, dialect } = this.parts;
         const request = new GateRequest(call, identity, clock(), requestKeyOf(call, dialect));
         try {
@@ -203,7 +203,7 @@
     }
 
     /** Probes the upstream's health endpoint and applies what it reports: its load, and whether it is leaving. */
-    askHealth(timeoutMs: number): Promise<void> {
+    checkHealth(timeoutMs: number): Promise<void> {
         return this.#endpoint.healthProbe.probeIfAllowed(timeoutMs);
     }
 
--- a/src/gate/gatechecks.ts
+++ b/src/gate/gatechecks.ts
@@ -8,7 +8,7 @@
 import type { ServiceName } from "../ids/servicename.js";
 import { log } from "../log/log.js";
 import type { Pace } from "../policy/failure/pace.js";
-import { Fullness } from "../policy/placement/fullness.js";
+import { FullBackoff } from "../policy/placement/fullbackoff.js";
 import { CallProfile } from "../policy/retry/callprofile.js";
 import { canAffordCalls } from "../policy/retry/canaffordcalls.js";
 import type { Reason } from "../policy/retry/reason.js";
@@ -35,7 +35,7 @@
 export class GateChecks {
     readonly #paceProbe: PaceProbe;
     readonly #callProfile = new CallProfile();
-    readonly #fullness = new Fullness();
+    readonly #fullness = new FullBackoff();
     readonly #closeReasons = new Set<CloseReason>();
 
     constructor(private readonly parts: CheckParts) {
@@ -90,13 +90,13 @@
 
     /** Records that the upstream has responded to a request. */
     recordResponse(): void {
-        this.#fullness.served();
+        this.#fullness.recordServed();
     }
 
     /** Records that the upstream did not serve a request, and why. */
     recordFailure(reason: Reason): void {
         if (reason === "shed") {
-            this.#fullness.turnedAway(this.parts.clock());
+            this.#fullness.recordRefusal(this.parts.clock());
         }
         if (reason === "leaving" || reason === "misdirected") {
             this.close("upstream");
@@ -124,7 +124,7 @@
             return "busy";
         }
         const isRepeat = arrival === "retry" || arrival === "hedge";
-        return isRepeat && !canAffordCalls(this.#callProfile.perRun, repeatsInFlight(), repeatsLeft)
+        return isRepeat && !canAffordCalls(this.#callProfile.callsPerRun, repeatsInFlight(), repeatsLeft)
             ? "calls-spent"
             : undefined;
     }
--- a/src/gate/gateidentity.ts
+++ b/src/gate/gateidentity.ts
@@ -1,6 +1,6 @@
 /** Identifies a daemon's incarnation to its peers. */
 import type { Incarnation } from "../ids/incarnation.js";
-import type { AnswerNote } from "../wire/answernote.js";
+import type { AnswerNote } from "../wire/responsemetadata.js";
 
 /** The id of this incarnation, and the fields of a note that are the same for all gates of the daemon. */
 export class GateIdentity {
--- a/src/gate/gateparts.ts
+++ b/src/gate/gateparts.ts
@@ -33,9 +33,9 @@
     /** Takes one pace probe from the budget; returns false if the budget is used up. */
     readonly mayAsk: () => boolean;
     /** Takes one crash probe from the budget; returns false if the budget is used up. */
-    readonly mayAskForCrash: () => boolean;
+    readonly mayProbeCrash: () => boolean;
     /** Called when a connection to the upstream was found to be unresponsive. */
-    readonly onSilent: (address: Address) => void;
+    readonly onUnresponsive: (address: Address) => void;
     /** Called for each request that the upstream has received. */
     readonly onArrival: (service: ServiceName, arrival: Arrival) => void;
     /** Returns how many repeats of a service's requests this daemon can still afford. */
@@ -55,5 +55,5 @@
     /** Returns the limits for cold upstreams of a service; undefined if the service has none. */
     readonly coldLimits: (service: ServiceName) => ColdLimits | undefined;
     /** Takes one cold probe from the budget; returns false if the budget is used up. */
-    readonly mayAskForCold: () => boolean;
+    readonly mayProbeCold: () => boolean;
 };
--- a/src/gate/gaterefusals.ts
+++ b/src/gate/gaterefusals.ts
@@ -2,7 +2,7 @@
 import { HopError } from "../hop/hoperror.js";
 import type { Reason } from "../policy/retry/reason.js";
 import { reasons } from "../policy/retry/reasons.js";
-import type { AnswerNote } from "../wire/answernote.js";
+import type { AnswerNote } from "../wire/responsemetadata.js";
 
 /**
  * Creates the error for a refused request. The table in policy/retry/reasons.ts states whether the reason proves that
--- a/src/gate/gaterequest.ts
+++ b/src/gate/gaterequest.ts
@@ -7,7 +7,7 @@
 import type { RuleName } from "../ids/rulename.js";
 import type { TeamName } from "../ids/teamname.js";
 import { ledgerDeadline } from "../ledger/ledgerdeadline.js";
-import type { Waiting } from "../policy/admission/waiting.js";
+import type { QueuedRequest } from "../policy/admission/queuedrequest.js";
 import type { GateIdentity } from "./gateidentity.js";
 
 /**
@@ -15,7 +15,7 @@
  * names another incarnation of the gate, or if a `once` request lacks the incarnation or the reading of the gate's
  * clock.
  */
-export class GateRequest implements Waiting {
+export class GateRequest implements QueuedRequest {
     readonly priority: Priority;
     readonly team: TeamName;
     readonly maxWaitMs: number;
--- a/src/gate/healthprobe.ts
+++ b/src/gate/healthprobe.ts
@@ -6,7 +6,7 @@
  */
 import type { Dialect } from "../dialect/dialect.js";
 import type { ServiceName } from "../ids/servicename.js";
-import type { RequestLimit } from "../policy/rate/requestlimit.js";
+import type { StatedRateLimiter } from "../policy/rate/statedratelimiter.js";
 import type { Clock } from "../time/clock.js";
 import type { UpstreamClient } from "./upstreamclient.js";
 
@@ -16,7 +16,7 @@
     readonly clock: Clock;
     readonly dialect: Dialect;
     readonly client: UpstreamClient;
-    readonly rateLimit: RequestLimit;
+    readonly rateLimit: StatedRateLimiter;
     /**
      * Called with the remaining cold time that the upstream reported, in milliseconds, and the time at which the probe
      * was sent.
@@ -45,7 +45,7 @@
 
     /** Sends a probe, unless that would displace a request: then it resolves without a response. */
     async probeIfAllowed(timeoutMs: number): Promise<void> {
-        if (this.parts.rateLimit.mayAskHealth(this.parts.clock())) {
+        if (this.parts.rateLimit.mayProbeHealth(this.parts.clock())) {
             await this.probe(timeoutMs);
         }
     }
--- a/src/gate/localhop.ts
+++ b/src/gate/localhop.ts
@@ -1,6 +1,6 @@
 /** Connects an ingress to a gate in the same process. */
-import type { GateAnswer } from "../hop/gateanswer.js";
 import type { GateCall } from "../hop/gatecall.js";
+import type { GateResponse } from "../hop/gateresponse.js";
 import { Hop } from "../hop/hop.js";
 import { HopError } from "../hop/hoperror.js";
 import type { Ledger } from "../ledger/ledger.js";
@@ -24,7 +24,7 @@
         super();
     }
 
-    async send(call: GateCall): Promise<GateAnswer> {
+    async send(call: GateCall): Promise<GateResponse> {
         const head = { ...call.head, incarnation: this.identity.incarnation, gateTime: this.clock() };
         const gate = this.gate();
         if (gate === undefined) {
@@ -38,7 +38,7 @@
         return this.ledger.revoke(head.id, now + head.remainingMs, now);
     }
 
-    async greet(): Promise<void> {}
+    async handshake(): Promise<void> {}
 
     async close(): Promise<void> {}
 }
--- a/src/gate/offers.ts
+++ b/src/gate/offers.ts
@@ -10,7 +10,7 @@
 
     /** Reserves a slot; returns false if none is free. */
     create(id: string, now: number): boolean {
-        if (!this.admission.hold(now)) {
+        if (!this.admission.reserveSlot(now)) {
             return false;
         }
         this.#open.add(id);
@@ -27,7 +27,7 @@
         if (!this.#open.delete(id)) {
             return false;
         }
-        this.admission.release();
+        this.admission.releaseSlot();
         return true;
     }
 }
--- a/src/gate/paceprobe.ts
+++ b/src/gate/paceprobe.ts
@@ -1,7 +1,7 @@
 /** Tracks the pace of the upstream, and asks the upstream for it if the last report is stale. */
 import { log } from "../log/log.js";
+import { checkPace } from "../policy/failure/checkpace.js";
 import type { Pace } from "../policy/failure/pace.js";
-import { checkPace } from "../policy/failure/pacecheck.js";
 import type { Clock } from "../time/clock.js";
 
 const logger = log("gate");
@@ -27,7 +27,7 @@
 
     /** The pace that was reported last; undefined if the upstream never reports one. */
     get lastPace(): number | undefined {
-        return this.#pace.last;
+        return this.#pace.lastReported;
     }
 
     record(pace: number): void {
--- a/src/gate/requestrunner.ts
+++ b/src/gate/requestrunner.ts
@@ -5,7 +5,7 @@
  * about the request.
  */
 import type { Upstream } from "../config/upstream.js";
-import type { GateAnswer } from "../hop/gateanswer.js";
+import type { GateResponse } from "../hop/gateresponse.js";
 import type { HopError } from "../hop/hoperror.js";
 import type { RequestKey } from "../ids/requestkey.js";
 import type { ServiceName } from "../ids/servicename.js";
@@ -13,7 +13,7 @@
 import type { LevelClock } from "../policy/admission/levelclock.js";
 import type { LoadReport } from "../policy/placement/loadreport.js";
 import { RecentSet } from "../policy/recentset.js";
-import type { AnswerNote } from "../wire/answernote.js";
+import type { AnswerNote } from "../wire/responsemetadata.js";
 import { ActiveRuns } from "./activeruns.js";
 import { CrashDetector } from "./crashdetector.js";
 import type { GateChecks } from "./gatechecks.js";
@@ -99,7 +99,7 @@
     }
 
     /** Runs a request that has a slot; throws a HopError if it does not get a response. */
-    async run(request: GateRequest): Promise<GateAnswer> {
+    async run(request: GateRequest): Promise<GateResponse> {
         const { clock, checks, queue, refusals } = this.parts;
         const refusal = this.quarantineRefusal(request);
         if (refusal !== undefined) {
@@ -160,7 +160,7 @@
 
     /** The end of an upstream that has announced that it is leaving is not a crash. */
     #createCrashDetector(): CrashDetector {
-        const { clock, onCrash, endpoint, checks, mayAskForCrash: mayProbe } = this.parts;
+        const { clock, onCrash, endpoint, checks, mayProbeCrash: mayProbe } = this.parts;
         const { name: upstream, service } = this.upstream;
         return new CrashDetector({
             upstream,
--- a/src/gate/slotqueue.test.ts
+++ b/src/gate/slotqueue.test.ts
@@ -8,8 +8,8 @@
 import { RuleTimes } from "../policy/admission/ruletimes.js";
 import { ColdGuard } from "../policy/cold/coldguard.js";
 import { Pace } from "../policy/failure/pace.js";
-import { RequestLimit } from "../policy/rate/requestlimit.js";
 import { SendRate } from "../policy/rate/sendrate.js";
+import { StatedRateLimiter } from "../policy/rate/statedratelimiter.js";
 import { GateIdentity } from "./gateidentity.js";
 import { GateRefusals } from "./gaterefusals.js";
 import { GateRequest } from "./gaterequest.js";
@@ -27,7 +27,7 @@
         new RuleTimes(),
         new LevelClock(SLOTS, clock()),
         pace,
-        new SendRate(new ColdGuard(clock()), new RequestLimit()),
+        new SendRate(new ColdGuard(clock()), new StatedRateLimiter()),
     );
     const identity = new GateIdentity("i" as never, () => 1);
     let probeCount = 0;
@@ -43,8 +43,8 @@
         probeCold: async () => {},
     });
     pace.observe(1, clock());
-    admission.arrive(createRequest(), clock());
-    admission.finish(WORK_MS, { work: Float64Array.of(0, WORK_MS, 0) }, clock());
+    admission.admit(createRequest(), clock());
+    admission.recordFinished(WORK_MS, { work: Float64Array.of(0, WORK_MS, 0) }, clock());
     pace.observe(5, clock());
     return { queue, probeCount: () => probeCount };
 };
--- a/src/gate/slotqueue.ts
+++ b/src/gate/slotqueue.ts
@@ -7,7 +7,7 @@
 import type { UpstreamName } from "../ids/upstreamname.js";
 import type { Ledger } from "../ledger/ledger.js";
 import type { Admission } from "../policy/admission/admission.js";
-import type { Ended } from "../policy/admission/ended.js";
+import type { FinishedRequest } from "../policy/admission/finishedrequest.js";
 import { waitLimit } from "../policy/admission/waitlimit.js";
 import type { Reason } from "../policy/retry/reason.js";
 import type { Clock } from "../time/clock.js";
@@ -54,7 +54,7 @@
     /** Resolves when the request may run; rejects with a HopError if it is refused. */
     async enter(request: GateRequest): Promise<void> {
         const { admission, clock, refusals } = this.parts;
-        const verdict = admission.arrive(request, clock(), this.offers.take(request.call.head.offer));
+        const verdict = admission.admit(request, clock(), this.offers.take(request.call.head.offer));
         if (verdict.type === "run") {
             return;
         }
@@ -90,16 +90,16 @@
      * Records that a request has ended and starts the next ones. `serviceMs` is undefined if the run shows no service
      * time of the upstream.
      */
-    release(serviceMs: number | undefined, ended?: Ended): void {
+    release(serviceMs: number | undefined, ended?: FinishedRequest): void {
         const { admission, clock } = this.parts;
-        admission.finish(serviceMs, ended, clock());
+        admission.recordFinished(serviceMs, ended, clock());
         this.startNext();
     }
 
     /** Starts the queued requests that may run now, and refuses those whose deadline has passed. */
     startNext(): void {
         const { admission, clock, refusals } = this.parts;
-        const { run, late } = admission.next(clock());
+        const { run, expired: late } = admission.dequeue(clock());
         for (const request of late) {
             this.revoke(request);
             request.refuse(refusals.create("deadline"));
@@ -139,7 +139,7 @@
      */
     reevaluate(): void {
         const { admission, clock, refusals } = this.parts;
-        for (const { item, refusal: { reason, retryAfterMs } } of admission.reconsider(clock())) {
+        for (const { item, refusal: { reason, retryAfterMs } } of admission.reevaluate(clock())) {
             this.revoke(item);
             item.refuse(refusals.create(reason, { retryAfterMs }));
         }
@@ -180,7 +180,7 @@
      */
     #scheduleRateCheck(): void {
         const { admission, clock, probeCold } = this.parts;
-        const opensAt = admission.opensAt(clock());
+        const opensAt = admission.nextSendAt(clock());
         if (this.#rateTimer !== undefined || opensAt === undefined) {
             return;
         }
@@ -189,7 +189,7 @@
             this.startNext();
         }, Math.min(MAX_RATE_CHECK_INTERVAL_MS, Math.ceil(opensAt - clock())));
         void probeCold().then(() => {
-            if (admission.opensAt(clock()) === undefined) {
+            if (admission.nextSendAt(clock()) === undefined) {
                 this.startNext();
             }
         });
@@ -214,7 +214,7 @@
 
     /** Refuses a request that is still queued, and thus has not run. */
     #refuseQueued(request: GateRequest, reason: Reason, retryAfterMs?: number): void {
-        if (this.parts.admission.leave(request)) {
+        if (this.parts.admission.remove(request)) {
             this.revoke(request);
             request.refuse(this.parts.refusals.create(reason, { retryAfterMs }));
         }
--- a/src/gate/upstreamclient.ts
+++ b/src/gate/upstreamclient.ts
@@ -27,7 +27,7 @@
     ) => void;
     readonly clock: Clock;
     /** Called after an unresponsive connection was closed. */
-    readonly onSilent: (address: Address) => void;
+    readonly onUnresponsive: (address: Address) => void;
 };
 
 /** Sends requests to one upstream. The error of a failed request states what is proven about it. */
@@ -47,7 +47,7 @@
         const connection = this.#acquire();
         const sentAt = this.options.clock();
         const response = await this.#request(connection, call, headers, cancel, sentAt);
-        const reason = dialect.notRun(response.status, response.headers);
+        const reason = dialect.notRunReason(response.status, response.headers);
         const isOwnResponse = dialect.isOwnAnswer(
             response.status,
             response.headers,
@@ -107,7 +107,7 @@
     recordUnanswered(sentAt: number): void {
         if (this.#lastAnsweredSentAt > sentAt) {
             this.destroyIdle();
-            this.options.onSilent(this.upstream.address);
+            this.options.onUnresponsive(this.upstream.address);
         }
     }
 
--- a/src/gate/upstreamendpoint.ts
+++ b/src/gate/upstreamendpoint.ts
@@ -38,7 +38,7 @@
 
     constructor(upstream: Upstream, parts: GateParts, events: EndpointEvents) {
         const { name, service } = upstream;
-        const { leavesForGood } = parts.dialect;
+        const { leavingIsPermanent: leavesForGood } = parts.dialect;
         this.signals = new UpstreamSignals({
             ...parts,
             ...events,
@@ -72,7 +72,7 @@
             upstream: name,
             clock: parts.clock,
             limits: () => parts.coldLimits(service),
-            mayProbe: () => this.healthProbe.mayProbeLoad && parts.mayAskForCold(),
+            mayProbe: () => this.healthProbe.mayProbeLoad && parts.mayProbeCold(),
             probe: () => this.healthProbe.probe(COLD_PROBE_TIMEOUT_MS),
         });
         this.sendRate = new SendRate(this.coldProbe.guard, rateLimit);
--- a/src/gate/upstreamrun.ts
+++ b/src/gate/upstreamrun.ts
@@ -1,7 +1,7 @@
 /** Runs one request at the upstream, from its start to the end of the response. */
 import { PassThrough, type Readable } from "node:stream";
 import type { Dialect } from "../dialect/dialect.js";
-import type { GateAnswer } from "../hop/gateanswer.js";
+import type { GateResponse } from "../hop/gateresponse.js";
 import { Cancel } from "../http/cancel.js";
 import { cleanHeaders } from "../http/cleanheaders.js";
 import type { HttpHeaders } from "../http/httpheaders.js";
@@ -46,7 +46,7 @@
 const DEADLINE_GRACE_MS = 250;
 
 /** A response without its note, and the values that the note takes from it. */
-type RunResponse = Omit<GateAnswer, "note"> & {
+type RunResponse = Omit<GateResponse, "note"> & {
     readonly calls: boolean;
     readonly retriedBelow: boolean;
     readonly unframed: boolean;
--- a/src/gate/upstreamsignals.ts
+++ b/src/gate/upstreamsignals.ts
@@ -6,7 +6,7 @@
 import type { Dialect } from "../dialect/dialect.js";
 import type { HttpHeaders } from "../http/httpheaders.js";
 import { log } from "../log/log.js";
-import { RequestLimit } from "../policy/rate/requestlimit.js";
+import { StatedRateLimiter } from "../policy/rate/statedratelimiter.js";
 import type { Clock } from "../time/clock.js";
 
 const logger = log("gate");
@@ -26,18 +26,18 @@
 
 /** Tracks the reports of one upstream. */
 export class UpstreamSignals {
-    readonly rateLimit = new RequestLimit();
+    readonly rateLimit = new StatedRateLimiter();
     /** The last value that could not be parsed, so that it is logged only once. */
     #lastUnreadable: string | undefined;
 
     constructor(private readonly parts: SignalParts) {}
 
     /** Records a response that the upstream itself has sent. */
-    recordResponse(headers: HttpHeaders, exchange: Parameters<RequestLimit["recordAnswer"]>[1]): void {
+    recordResponse(headers: HttpHeaders, exchange: Parameters<StatedRateLimiter["recordResponse"]>[1]): void {
         const { clock, dialect, onLeaving, onNotLeaving } = this.parts;
         const stated = dialect.limit(headers);
         this.#lastUnreadable = stated.type === "unreadable" ? this.#warnOnce(stated.text) : undefined;
-        this.#updateLimit(() => this.rateLimit.recordAnswer(stated, exchange, clock()));
+        this.#updateLimit(() => this.rateLimit.recordResponse(stated, exchange, clock()));
         if (dialect.isLeaving(headers)) {
             onLeaving();
         }
@@ -49,7 +49,7 @@
     /** Records the rate limit that the sender of a request knows of, if it knows of one. */
     recordPeerLimit(perSecond: number | undefined): void {
         if (perSecond !== undefined) {
-            this.#updateLimit(() => this.rateLimit.recordTold(perSecond, this.parts.clock()));
+            this.#updateLimit(() => this.rateLimit.recordPropagated(perSecond, this.parts.clock()));
         }
     }
 
--- a/src/health/healthcheck.ts
+++ b/src/health/healthcheck.ts
@@ -46,7 +46,7 @@
 
     async #check(gate: Gate): Promise<void> {
         try {
-            await gate.askHealth(HEALTH_CHECK_TIMEOUT_MS);
+            await gate.checkHealth(HEALTH_CHECK_TIMEOUT_MS);
             this.metrics.spent("health", HEALTH_CHECK_BYTES);
         }
         catch (err) {
--- a/src/hop/gateclock.ts
+++ b/src/hop/gateclock.ts
@@ -21,7 +21,7 @@
     }
 
     /** Returns the gate's estimated present time, or undefined before the first reading. */
-    reckon(now: number): number | undefined {
+    estimate(now: number): number | undefined {
         return this.#reading === undefined ? undefined : this.#reading.gateTime + now - this.#reading.seenAt;
     }
 
@@ -30,7 +30,7 @@
      * gate's clock and is kept, unless the gate's clock can't have reached that time yet.
      */
     observe(incarnation: Incarnation, gateTime: number, { askedAt, now }: ReadingTimes): void {
-        const estimated = this.#reading?.incarnation === incarnation ? this.reckon(now)! : -Infinity;
+        const estimated = this.#reading?.incarnation === incarnation ? this.estimate(now)! : -Infinity;
         const latest = gateTime + now - askedAt;
         if (gateTime > estimated || estimated > latest) {
             this.#reading = { incarnation, gateTime, seenAt: now };
--- a/src/hop/hoperror.ts
+++ b/src/hop/hoperror.ts
@@ -1,6 +1,6 @@
 /** The error of an attempt that ended without a response from the upstream. */
 import type { Reason } from "../policy/retry/reason.js";
-import type { AnswerNote } from "../wire/answernote.js";
+import type { AnswerNote } from "../wire/responsemetadata.js";
 
 /**
  * `not-run`: the request has provably not run. `broken`: no response arrived, and the gate can be asked whether the
--- a/src/ingress/attempt.ts
+++ b/src/ingress/attempt.ts
@@ -4,7 +4,7 @@
  * Sends the request, records the outcome in the upstream's view, and returns a result. policy/retry/reasons.ts defines
  * the effect of each reason.
  */
-import type { GateAnswer } from "../hop/gateanswer.js";
+import type { GateResponse } from "../hop/gateresponse.js";
 import { HopError } from "../hop/hoperror.js";
 import { abandonBody } from "../http/abandonbody.js";
 import { Cancel } from "../http/cancel.js";
@@ -17,7 +17,7 @@
 import { reasons } from "../policy/retry/reasons.js";
 import type { CallHead } from "../wire/callhead.js";
 import type { IngressParts } from "./ingressparts.js";
-import type { Outgoing } from "./outgoing.js";
+import type { OutgoingRequest } from "./outgoingrequest.js";
 import type { Plan } from "./plan.js";
 import type { RequestLog } from "./requestlog.js";
 import type { UpstreamView } from "./upstreamview.js";
@@ -30,7 +30,7 @@
     readonly choices: number;
     /** The number of those in this daemon's data hall. */
     readonly nearChoices: number;
-    readonly outgoing: Outgoing;
+    readonly outgoing: OutgoingRequest;
     readonly log: RequestLog;
     /** Aborts when the caller has left or the deadline has passed. */
     readonly requestCancel: Cancel;
@@ -38,10 +38,10 @@
     /** Claims the response to the caller for this attempt; returns false if another attempt has claimed it. */
     readonly claim: () => boolean;
     /** Sends a response to the caller; rejects only if nothing has been sent yet. */
-    readonly deliver: (response: GateAnswer) => Promise<void>;
+    readonly deliver: (response: GateResponse) => Promise<void>;
 };
 
-type Result = AttemptResult<GateAnswer>;
+type Result = AttemptResult<GateResponse>;
 
 /** `run` never rejects: every way in which the attempt can end is a result. */
 export class Attempt {
@@ -58,7 +58,7 @@
         const { maxWaitMs: serviceMaxWaitMs } = service;
         const now = ingress.clock();
         this.#head = {
-            id: ingress.newId() as RequestId,
+            id: ingress.newRequestId() as RequestId,
             upstream: target.upstream,
             kind: plan.kind,
             priority: rule.priority,
@@ -71,7 +71,7 @@
             choices,
             nearChoices,
             offer,
-            from: ingress.from,
+            from: ingress.peerAddress,
             arrival,
             limitPerSecond: target.limitPerSecond,
         };
@@ -123,13 +123,13 @@
         if (response.status >= httpStatus.internalServerError) {
             target.recordFailure(now);
             const { status, note } = response;
-            return { outcome: "failed", answer: response, status, retriedBelow: note?.retriedBelow === true };
+            return { outcome: "failed", response: response, status, retriedBelow: note?.retriedBelow === true };
         }
         ingress.retries(plan.service).hedging.observe(now - sentAt, response.note?.calls === true);
         return await this.#deliver(response);
     }
 
-    async #deliver(response: GateAnswer): Promise<Result> {
+    async #deliver(response: GateResponse): Promise<Result> {
         const { claim, deliver } = this.parts;
         if (!claim()) {
             abandonBody(response.body);
@@ -156,7 +156,7 @@
         if (outcome === "broken") {
             return await this.#resultWithoutResponse();
         }
-        target.recordRefusal(reasons[reason].upstream, now);
+        target.recordRefusal(reasons[reason].upstreamEffect, now);
         const { retryAfterMs, goTo, offer, revision, arrived } = note ?? {};
         return { outcome, reason, arrived, retryAfterMs, goTo, offer, revision };
     }
--- a/src/ingress/callerresponse.ts
+++ b/src/ingress/callerresponse.ts
@@ -1,7 +1,7 @@
 /** Sends the one response that a caller gets: an upstream's, or a problem of winglock's own. */
 import type { ServerResponse } from "node:http";
 import type { Dialect } from "../dialect/dialect.js";
-import type { GateAnswer } from "../hop/gateanswer.js";
+import type { GateResponse } from "../hop/gateresponse.js";
 import type { ProblemType } from "../policy/retry/problemtype.js";
 import { deliver } from "./deliver.js";
 import type { Plan } from "./plan.js";
@@ -31,7 +31,7 @@
     }
 
     /** Sends an upstream's response; rejects only if nothing has been sent yet. */
-    deliver(response: GateAnswer, { rule, service }: Plan): Promise<void> {
+    deliver(response: GateResponse, { rule, service }: Plan): Promise<void> {
         return deliver(this.res, response, rule.answer === "whole", this.headOnly, service.bufferBytes);
     }
 
--- a/src/ingress/deliver.ts
+++ b/src/ingress/deliver.ts
@@ -2,7 +2,7 @@
 import { once } from "node:events";
 import type { ServerResponse } from "node:http";
 import { Readable } from "node:stream";
-import type { GateAnswer } from "../hop/gateanswer.js";
+import type { GateResponse } from "../hop/gateresponse.js";
 import { abandonBody } from "../http/abandonbody.js";
 import { collect } from "../http/collect.js";
 import type { HttpHeaders } from "../http/httpheaders.js";
@@ -49,7 +49,7 @@
  */
 export async function deliver(
     res: ServerResponse,
-    response: GateAnswer,
+    response: GateResponse,
     isBuffered: boolean,
     headOnly: boolean,
     bufferBytes: number,
--- a/src/ingress/ingress.ts
+++ b/src/ingress/ingress.ts
@@ -17,7 +17,7 @@
 import { closeServer } from "./closeserver.js";
 import { headBytes } from "./headbytes.js";
 import type { IngressParts } from "./ingressparts.js";
-import type { Outgoing } from "./outgoing.js";
+import type { OutgoingRequest } from "./outgoingrequest.js";
 import { pathOf } from "./pathof.js";
 import type { Plan } from "./plan.js";
 import type { Planner } from "./planner.js";
@@ -47,7 +47,7 @@
     readonly callerService: ServiceName | undefined;
 };
 
-type Body = Outgoing["body"];
+type Body = OutgoingRequest["body"];
 
 /** A request that was planned and not refused. */
 type PlannedRequest = { readonly id: string; readonly path: string; readonly plan: Plan; readonly log: RequestLog; };
@@ -73,7 +73,7 @@
     }
 
     /** Applies the operators' limits on callers; the daemon's own limits apply where the operators set none. */
-    allow(callerLimits: CallerLimits): void {
+    applyCallerLimits(callerLimits: CallerLimits): void {
         this.#callerLimits = callerLimits;
         this.#server.headersTimeout = callerLimits.headersTimeoutMs ?? this.limits.headersTimeoutMs;
         this.#server.keepAliveTimeout = callerLimits.keepAliveMs ?? this.limits.keepAliveMs;
@@ -141,7 +141,7 @@
         if (headBytes(req) > (this.#callerLimits.headerBytes ?? this.limits.headerBytes)) {
             return { type: "refusal", problem: "head-too-large", detail: "header" };
         }
-        const id = this.parts.dialect.idOf(req.headers, this.parts.newId());
+        const id = this.parts.dialect.idOf(req.headers, this.parts.newRequestId());
         const requestLog = new RequestLog(id);
         const plan = this.listenerParts.planner.plan(req, path, startedAt, requestLog);
         if (plan.type === "refusal") {
--- a/src/ingress/ingressparts.ts
+++ b/src/ingress/ingressparts.ts
@@ -8,7 +8,7 @@
 import type { RandomSource } from "../policy/randomsource.js";
 import type { Retries } from "../policy/retry/retries.js";
 import type { Clock } from "../time/clock.js";
-import type { Outgoing } from "./outgoing.js";
+import type { OutgoingRequest } from "./outgoingrequest.js";
 import type { Plan } from "./plan.js";
 import type { UpstreamTable } from "./upstreamtable.js";
 
@@ -23,17 +23,17 @@
     readonly retries: (service: Service) => Retries;
     readonly dialect: Dialect;
     /** True if hedging is enabled. */
-    readonly hedge: boolean;
+    readonly isHedgingEnabled: boolean;
     /** Quarantines requests that crash upstreams. */
-    readonly guard: CrashGuard;
+    readonly crashGuard: CrashGuard;
     /** Returns a new id for a request or an attempt. */
-    readonly newId: () => string;
+    readonly newRequestId: () => string;
     /** Returns the revision of the configuration, or 0 while none is known. */
     readonly revision: () => number;
     /** The daemon's own peer address, to which gates send load reports. */
-    readonly from: string;
+    readonly peerAddress: string;
     /** Pulls the configuration from a gate whose revision is newer. */
-    readonly catchUp: (revision: number, from: Address) => Promise<void>;
+    readonly pullConfiguration: (revision: number, from: Address) => Promise<void>;
     /** Returns the plan under the current rules, or the given plan if no rule matches. */
-    readonly replan: (out: Outgoing, plan: Plan) => Plan;
+    readonly replan: (out: OutgoingRequest, plan: Plan) => Plan;
 };
--- a/src/ingress/plan.ts
+++ b/src/ingress/plan.ts
@@ -6,7 +6,7 @@
 export type Plan = MatchedRule & {
     readonly type: "plan";
     /** Selects the part of a split: from 0 (inclusive) to 1 (exclusive), sampled once per request. */
-    readonly draw: number;
+    readonly splitSample: number;
     readonly startedAt: number;
     readonly deadline: number;
     /** The number of calls between services that led to this request; 0 for a request from outside. */
--- a/src/ingress/planner.ts
+++ b/src/ingress/planner.ts
@@ -4,11 +4,11 @@
 import type { CallContexts } from "../gate/callcontexts.js";
 import { maxDepth } from "../policy/admission/maxdepth.js";
 import { requestDeadline } from "../policy/admission/requestdeadline.js";
-import { retrySoonMs } from "../policy/admission/retrysoon.js";
+import { unplacedRetryAfterMs } from "../policy/admission/unplacedretryafterms.js";
 import type { RandomSource } from "../policy/randomsource.js";
-import { EvenDraws } from "../policy/routing/evendraws.js";
 import type { MatchedRule } from "../policy/routing/matchedrule.js";
 import type { RequestTarget } from "../policy/routing/requesttarget.js";
+import { SplitSampler } from "../policy/routing/splitsampler.js";
 import type { Plan } from "./plan.js";
 import type { RequestLog } from "./requestlog.js";
 import type { RequestRefusal } from "./requestrefusal.js";
@@ -22,17 +22,17 @@
     /** Returns the revision of the configuration, or 0 while none is known. */
     readonly revision: () => number;
     /** Returns the rule for a request, or undefined if none matches. */
-    readonly find: (target: RequestTarget, sample: number) => MatchedRule | undefined;
+    readonly findRule: (target: RequestTarget, sample: number) => MatchedRule | undefined;
 };
 
-type Parent = NonNullable<ReturnType<CallContexts["find"]>>;
+type Parent = NonNullable<ReturnType<CallContexts["findByToken"]>>;
 
 /** Gathers the inputs of each plan; the decisions are made in src/policy/routing and src/policy/admission. */
 export class Planner {
-    readonly #splitSamples: EvenDraws;
+    readonly #splitSamples: SplitSampler;
 
     constructor(private readonly parts: PlannerParts) {
-        this.#splitSamples = new EvenDraws(parts.random);
+        this.#splitSamples = new SplitSampler(parts.random);
     }
 
     /** Returns the plan for a request, or the refusal to send; `startedAt` is in milliseconds on the daemon's clock. */
@@ -40,7 +40,7 @@
         const { revision } = this.parts;
         if (revision() === 0) {
             log.noConfiguration();
-            return { type: "refusal", problem: "not-ready", detail: "", retryAfterMs: retrySoonMs };
+            return { type: "refusal", problem: "not-ready", detail: "", retryAfterMs: unplacedRetryAfterMs };
         }
         const { method = "GET", headers: { host } } = req;
         const { sample, matched } = this.#match({ method, host, path });
@@ -58,7 +58,7 @@
         return {
             type: "plan",
             ...matched,
-            draw: sample,
+            splitSample: sample,
             startedAt,
             deadline: this.#deadline(req, matched, parent, startedAt),
             depth,
@@ -68,20 +68,20 @@
 
     /** Returns the rule that matches, and the sample that selected the part of its split. */
     #match(target: RequestTarget): { readonly sample: number; readonly matched: MatchedRule | undefined; } {
-        const { find } = this.parts;
-        const matched = find(target, 0);
+        const { findRule: findRule } = this.parts;
+        const matched = findRule(target, 0);
         if (matched?.rule.split === undefined) {
             return { sample: 0, matched };
         }
         const sample = this.#splitSamples.next(matched.rule.name);
-        return { sample, matched: find(target, sample) };
+        return { sample, matched: findRule(target, sample) };
     }
 
     /** Returns the request during which a local upstream makes this call, or undefined if it is not such a call. */
     parentOf(req: IncomingMessage): Parent | undefined {
         const { dialect, contexts } = this.parts;
         const token = req.headers[dialect.context] as string | undefined;
-        return contexts.find(token) ?? contexts.ofRequest(dialect.parentOf(req.headers));
+        return contexts.findByToken(token) ?? contexts.findByRequest(dialect.parentOf(req.headers));
     }
 
     #deadline(req: IncomingMessage, { rule }: MatchedRule, parent: Parent | undefined, startedAt: number): number {
--- a/src/ingress/requesthandler.ts
+++ b/src/ingress/requesthandler.ts
@@ -6,20 +6,20 @@
  * carries the decisions out and logs them.
  */
 import { requestKeyOf } from "../dialect/requestkeyof.js";
-import type { GateAnswer } from "../hop/gateanswer.js";
+import type { GateResponse } from "../hop/gateresponse.js";
 import { Cancel } from "../http/cancel.js";
 import { dropBody } from "../http/dropbody.js";
 import type { RequestKey } from "../ids/requestkey.js";
-import { retrySoonMs } from "../policy/admission/retrysoon.js";
-import type { Standing } from "../policy/quarantine/standing.js";
+import { unplacedRetryAfterMs } from "../policy/admission/unplacedretryafterms.js";
+import type { QuarantineStatus } from "../policy/quarantine/quarantinestatus.js";
 import type { Arrival } from "../policy/retry/arrival.js";
 import type { AttemptResult } from "../policy/retry/attemptresult.js";
-import { reasonWord } from "../policy/retry/reasonword.js";
-import { tellProblem } from "../policy/retry/tellproblem.js";
+import { decideProblem } from "../policy/retry/decideproblem.js";
+import { reasonLabel } from "../policy/retry/reasonlabel.js";
 import { Attempt } from "./attempt.js";
 import type { CallerResponse } from "./callerresponse.js";
 import type { IngressParts } from "./ingressparts.js";
-import type { Outgoing } from "./outgoing.js";
+import type { OutgoingRequest } from "./outgoingrequest.js";
 import type { Plan } from "./plan.js";
 import { RequestLog } from "./requestlog.js";
 import type { RequestOutcome } from "./requestoutcome.js";
@@ -29,10 +29,10 @@
 import type { UnservedResult } from "./unservedresult.js";
 import type { UpstreamView } from "./upstreamview.js";
 
-type Result = AttemptResult<GateAnswer>;
+type Result = AttemptResult<GateResponse>;
 type NoResponse = Exclude<UnservedResult, { readonly outcome: "failed"; }>;
 
-const NO_UPSTREAM: NoResponse = { outcome: "not-run", reason: "no-upstream", retryAfterMs: retrySoonMs };
+const NO_UPSTREAM: NoResponse = { outcome: "not-run", reason: "no-upstream", retryAfterMs: unplacedRetryAfterMs };
 
 /** Handles one request; `run` must be called only once. */
 export class RequestHandler {
@@ -50,7 +50,7 @@
     constructor(
         private readonly response: CallerResponse,
         private plan: Plan,
-        private readonly outgoing: Outgoing,
+        private readonly outgoing: OutgoingRequest,
         private readonly parts: IngressParts,
     ) {
         this.#log = new RequestLog(outgoing.id);
@@ -61,7 +61,7 @@
             standing: () => this.#standing(),
             log: this.#log,
         });
-        this.#targets = new TargetSelector(parts, this.#retries.history.tried);
+        this.#targets = new TargetSelector(parts, this.#retries.history.attempted);
     }
 
     /** The number of attempts, including those that reached no upstream. */
@@ -119,14 +119,14 @@
 
     /** Returns the result of a request that is quarantined and gets no attempt, or undefined for any other. */
     #quarantineRefusal(): NoResponse | undefined {
-        const { guard } = this.parts;
-        const retryAfterMs = guard.isEmpty ? undefined : guard.quarantinedForMs(this.#requestKey());
+        const { crashGuard: crashGuard } = this.parts;
+        const retryAfterMs = crashGuard.isEmpty ? undefined : crashGuard.quarantinedForMs(this.#requestKey());
         return retryAfterMs === undefined ? undefined : { outcome: "not-run", reason: "quarantined", retryAfterMs };
     }
 
-    #standing(): Standing {
-        const { guard } = this.parts;
-        return guard.isEmpty ? "free" : guard.standing(this.#requestKey());
+    #standing(): QuarantineStatus {
+        const { crashGuard: crashGuard } = this.parts;
+        return crashGuard.isEmpty ? "free" : crashGuard.standing(this.#requestKey());
     }
 
     /** Computes the key once, and only while crashes are recorded, since a digest of the body costs time. */
@@ -158,7 +158,7 @@
         }
         overdue.recordOverdue(afterMs, this.parts.clock());
         const target = this.#targets.choose(this.plan.service.name, undefined);
-        if (target === undefined || this.#retries.history.tried.has(target)) {
+        if (target === undefined || this.#retries.history.attempted.has(target)) {
             return undefined;
         }
         if (!this.#retries.spendForHedge(afterMs, overdue, target)) {
@@ -169,12 +169,12 @@
 
     #createAttempt(target: UpstreamView, offer: string | undefined, arrival: Arrival): Attempt {
         this.#retries.history.begin(target);
-        const untried = this.#retries.history.mayMove ? this.#targets.untried(this.plan.service.name) : [];
+        const untried = this.#retries.history.mayRedirect ? this.#targets.untried(this.plan.service.name) : [];
         const attempt: Attempt = new Attempt(target, { offer, arrival }, {
             ingress: this.parts,
             plan: this.plan,
             choices: untried.length,
-            nearChoices: untried.filter(other => other.near).length,
+            nearChoices: untried.filter(other => other.sameHall).length,
             outgoing: this.outgoing,
             log: this.#log,
             requestCancel: this.#requestCancel,
@@ -194,32 +194,32 @@
      * Prepares another attempt: discards the last response, and pulls the newer configuration of a gate that has one.
      */
     async #prepareRetry(result: UnservedResult, target: UpstreamView): Promise<void> {
-        this.parts.metrics.retried(this.plan.service.name, reasonWord(result));
+        this.parts.metrics.retried(this.plan.service.name, reasonLabel(result));
         if (result.outcome === "failed") {
-            dropBody(result.answer.body);
+            dropBody(result.response.body);
             return;
         }
         if (result.reason === "stale-rule") {
-            this.#retries.history.tried.delete(target);
-            await this.parts.catchUp(result.revision ?? 0, target.settings.gate);
+            this.#retries.history.attempted.delete(target);
+            await this.parts.pullConfiguration(result.revision ?? 0, target.settings.gate);
             this.plan = this.parts.replan(this.outgoing, this.plan);
         }
     }
 
     async #respondUnserved(result: UnservedResult): Promise<RequestOutcome> {
         if (result.outcome === "failed") {
-            return await this.#respondFailed(result.answer);
+            return await this.#respondFailed(result.response);
         }
         const outcome = this.#retries.history.mayHaveRun ? "unknown" : "not-run";
         const { reason: detail, retryAfterMs } = result;
-        const problem = tellProblem(result.outcome, detail);
-        const problemRetryAfterMs = problem === "no-upstream" ? retryAfterMs ?? retrySoonMs : retryAfterMs;
+        const problem = decideProblem(result.outcome, detail);
+        const problemRetryAfterMs = problem === "no-upstream" ? retryAfterMs ?? unplacedRetryAfterMs : retryAfterMs;
         this.response.sendProblem(problem, { outcome, detail, retryAfterMs: problemRetryAfterMs });
         return outcome;
     }
 
     /** Passes an upstream's error response on to the caller, since no other attempt follows. */
-    async #respondFailed(response: GateAnswer): Promise<RequestOutcome> {
+    async #respondFailed(response: GateResponse): Promise<RequestOutcome> {
         try {
             await this.#deliver(response);
             return "served";
@@ -231,7 +231,7 @@
         }
     }
 
-    #deliver(response: GateAnswer): Promise<void> {
+    #deliver(response: GateResponse): Promise<void> {
         if (this.plan.rule.answer === "streamed") {
             clearTimeout(this.#timer);
         }
--- a/src/ingress/requestlog.ts
+++ b/src/ingress/requestlog.ts
@@ -1,7 +1,7 @@
 /** Writes the ingress's log lines of one request; the gates that it is sent to log the same id. */
 import { log } from "../log/log.js";
 import type { Arrival } from "../policy/retry/arrival.js";
-import { reasonWord } from "../policy/retry/reasonword.js";
+import { reasonLabel } from "../policy/retry/reasonlabel.js";
 import type { RetryDecision } from "../policy/retry/retrydecision.js";
 import type { Plan } from "./plan.js";
 import type { RequestOutcome } from "./requestoutcome.js";
@@ -40,7 +40,7 @@
     constructor(private readonly id: string) {}
 
     attemptSent(target: UpstreamView, { id, choices, remainingMs, arrival }: SentAttempt, now: number): void {
-        const { upstream, near, outstanding, report, reportAt } = target;
+        const { upstream, sameHall: near, outstanding, report, reportedAt: reportAt } = target;
         logger.decision(this.id, "The request is sent to an upstream.", {
             try: id,
             upstream,
@@ -69,7 +69,7 @@
             again ? "The attempt failed; another one follows." : "The attempt failed; no other one follows.",
             {
                 outcome: result.outcome,
-                reason: reasonWord(result),
+                reason: reasonLabel(result),
                 why,
                 tries: state.attempts,
                 redirects: state.redirects,
--- a/src/ingress/requestretries.ts
+++ b/src/ingress/requestretries.ts
@@ -3,11 +3,11 @@
  *
  * Owns the history of the request's attempts and logs each decision. Times are in milliseconds.
  */
-import type { Standing } from "../policy/quarantine/standing.js";
+import type { QuarantineStatus } from "../policy/quarantine/quarantinestatus.js";
 import { AttemptHistory } from "../policy/retry/attempthistory.js";
 import { decideHedge } from "../policy/retry/decidehedge.js";
 import { decideRetry } from "../policy/retry/decideretry.js";
-import { defaultAttempts } from "../policy/retry/defaultattempts.js";
+import { defaultMaxAttempts } from "../policy/retry/defaultmaxattempts.js";
 import type { Retries } from "../policy/retry/retries.js";
 import type { RetryDecision } from "../policy/retry/retrydecision.js";
 import type { IngressParts } from "./ingressparts.js";
@@ -24,7 +24,7 @@
     readonly plan: () => Plan;
     /** True if the body can be sent again. */
     readonly bodyKept: boolean;
-    readonly standing: () => Standing;
+    readonly standing: () => QuarantineStatus;
     readonly log: RequestLog;
 };
 
@@ -55,19 +55,19 @@
             {
                 result,
                 kind,
-                attempts: this.history.counted,
+                attempts: this.history.countedAttempts,
                 maxAttempts: this.#maxAttempts(),
-                moves: this.history.moves,
+                redirects: this.history.redirects,
                 remainingMs: deadline - now,
                 bodyKept,
-                owes: this.history.owes,
+                needsBudget: this.history.needsBudget,
                 standing: this.parts.standing(),
             },
             this.#retries(),
             now,
         );
         if (decision.why === "budget") {
-            this.history.pay();
+            this.history.recordBudgetSpent();
         }
         this.logDecision(result, decision);
         return decision;
@@ -75,7 +75,7 @@
 
     logDecision(result: UnservedResult, decision: RetryDecision): void {
         const { ingress: { clock }, plan, log } = this.parts;
-        const { attempts, moves } = this.history;
+        const { attempts, redirects: moves } = this.history;
         const now = clock();
         const budgetLeft = this.#budgetLeft(now);
         log.retryDecided(result, decision, {
@@ -88,14 +88,14 @@
 
     /** Returns the time after which a response is overdue, or undefined if the request must not be hedged. */
     hedgeAfterMs(): number | undefined {
-        const { ingress: { hedge: isEnabled }, plan, bodyKept, standing } = this.parts;
+        const { ingress: { isHedgingEnabled: isEnabled }, plan, bodyKept, standing } = this.parts;
         const { kind, rule } = plan();
         return decideHedge({
             isEnabled: isEnabled && standing() === "free",
             kind,
             answer: rule.answer,
             bodyKept,
-            attempts: this.history.counted,
+            attempts: this.history.countedAttempts,
             maxAttempts: this.#maxAttempts(),
             afterMs: this.#retries().hedging.afterMs,
         });
@@ -109,7 +109,7 @@
         if (!budget.spendSurplus(allowance, now)) {
             return false;
         }
-        this.history.hedge();
+        this.history.recordHedge();
         metrics.retried(plan().service.name, "hedge");
         log.hedgeSent(overdueMs, overdue, target, this.#budgetLeft(now));
         return true;
@@ -118,7 +118,7 @@
     /** Returns the remaining retry budget in repeats, rounded to tenths for log lines. */
     #budgetLeft(now: number): number {
         const { budget, allowance } = this.#retries();
-        return Math.round(budget.left(allowance, now) * TENTHS_PER_REPEAT) / TENTHS_PER_REPEAT;
+        return Math.round(budget.remaining(allowance, now) * TENTHS_PER_REPEAT) / TENTHS_PER_REPEAT;
     }
 
     #retries(): Retries {
@@ -126,6 +126,6 @@
     }
 
     #maxAttempts(): number {
-        return this.parts.plan().rule.maxTries ?? defaultAttempts;
+        return this.parts.plan().rule.maxTries ?? defaultMaxAttempts;
     }
 }
--- a/src/ingress/runhedged.ts
+++ b/src/ingress/runhedged.ts
@@ -4,14 +4,14 @@
  *
  * policy/retry/decidehedge.ts decides whether and when a hedge is allowed.
  */
-import type { GateAnswer } from "../hop/gateanswer.js";
+import type { GateResponse } from "../hop/gateresponse.js";
 import { dropBody } from "../http/dropbody.js";
 import type { AttemptResult } from "../policy/retry/attemptresult.js";
 import { pickResult } from "../policy/retry/pickresult.js";
 import { isOverdue } from "../time/isoverdue.js";
 import type { Attempt } from "./attempt.js";
 
-type Result = AttemptResult<GateAnswer>;
+type Result = AttemptResult<GateResponse>;
 
 /** `afterMs`: the time in milliseconds after which a response is overdue; undefined if no hedge is allowed. */
 type HedgeParts = {
@@ -35,7 +35,7 @@
     const picked = pickResult(firstResult, hedgeResult);
     const unused = picked === firstResult ? hedgeResult : firstResult;
     if (unused.outcome === "failed") {
-        dropBody(unused.answer.body);
+        dropBody(unused.response.body);
     }
     return picked;
 }
--- a/src/ingress/targetselector.ts
+++ b/src/ingress/targetselector.ts
@@ -3,7 +3,7 @@
  * policy/placement.
  */
 import type { ServiceName } from "../ids/servicename.js";
-import { availableOf } from "../policy/placement/availableof.js";
+import { availableTargets } from "../policy/placement/availabletargets.js";
 import { selectTargets } from "../policy/placement/selecttargets.js";
 import type { IngressParts } from "./ingressparts.js";
 import type { UpstreamView } from "./upstreamview.js";
@@ -31,7 +31,7 @@
 
     /** Returns the available upstreams that the request was not sent to yet. */
     untried(service: ServiceName): UpstreamView[] {
-        return availableOf(this.#viewsOf(service), this.tried, this.parts.clock());
+        return availableTargets(this.#viewsOf(service), this.tried, this.parts.clock());
     }
 
     #viewsOf(service: ServiceName): readonly UpstreamView[] {
--- a/src/ingress/upstreamstatements.ts
+++ b/src/ingress/upstreamstatements.ts
@@ -8,7 +8,7 @@
  */
 import type { Incarnation } from "../ids/incarnation.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
-import type { AnswerNote } from "../wire/answernote.js";
+import type { AnswerNote } from "../wire/responsemetadata.js";
 
 /** Bounds memory. The upstreams with the latest statements are kept; upstreams without a statement have no entry. */
 const MAX_UPSTREAMS = 1024;
--- a/src/ingress/upstreamtable.ts
+++ b/src/ingress/upstreamtable.ts
@@ -26,12 +26,12 @@
     constructor(private readonly openHop: OpenHop, private readonly evacuations: Evacuations) {}
 
     /** The upstreams that requests were sent to and that the failure detector still has to check. */
-    get unsettled(): Iterable<UpstreamView> {
+    get monitored(): Iterable<UpstreamView> {
         return this.#monitored;
     }
 
     /** Excludes an upstream from failure detection until the next request is sent to it. */
-    settle(view: UpstreamView): void {
+    stopMonitoring(view: UpstreamView): void {
         this.#monitored.delete(view);
     }
 
--- a/src/ingress/upstreamview.ts
+++ b/src/ingress/upstreamview.ts
@@ -9,20 +9,20 @@
 import type { Hop } from "../hop/hop.js";
 import type { Cancel } from "../http/cancel.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
-import { Silence } from "../policy/failure/silence.js";
+import { LivenessCheck } from "../policy/failure/livenesscheck.js";
 import { Suspicion } from "../policy/failure/suspicion.js";
-import { atLeast } from "../policy/placement/atleast.js";
 import type { Availability } from "../policy/placement/availability.js";
-import { Avoidance } from "../policy/placement/avoidance.js";
 import type { Candidate } from "../policy/placement/candidate.js";
+import { Exclusion } from "../policy/placement/exclusion.js";
 import { FailurePenalty } from "../policy/placement/failurepenalty.js";
-import { Fullness } from "../policy/placement/fullness.js";
+import { FullBackoff } from "../policy/placement/fullbackoff.js";
 import type { LoadReport } from "../policy/placement/loadreport.js";
 import { RateShare } from "../policy/placement/rateshare.js";
 import { RoundTrip } from "../policy/placement/roundtrip.js";
 import type { Selectable } from "../policy/placement/selectable.js";
+import { withMinServiceTime } from "../policy/placement/withminservicetime.js";
 import type { ReasonFacts } from "../policy/retry/reasonfacts.js";
-import type { AnswerNote } from "../wire/answernote.js";
+import type { AnswerNote } from "../wire/responsemetadata.js";
 import type { UpstreamStatements } from "./upstreamstatements.js";
 
 /** What a view is made of. */
@@ -44,13 +44,13 @@
     /** The number of this daemon's requests at the upstream that have not ended. */
     outstanding = 0;
     report: LoadReport | undefined;
-    reportAt = 0;
+    reportedAt = 0;
     outstandingAtReport = 0;
-    readonly silence = new Silence();
+    readonly livenessCheck = new LivenessCheck();
     readonly suspicion = new Suspicion();
-    readonly #avoidance = new Avoidance();
-    readonly #coldAvoidance = new Avoidance();
-    readonly #fullness = new Fullness();
+    readonly #avoidance = new Exclusion();
+    readonly #coldAvoidance = new Exclusion();
+    readonly #fullness = new FullBackoff();
     readonly #rateShare = new RateShare();
     readonly #penalty = new FailurePenalty();
     readonly #roundTrip = new RoundTrip();
@@ -58,14 +58,14 @@
     readonly #cancellable = new Set<Cancel>();
 
     constructor(public settings: Upstream, private readonly parts: ViewParts) {
-        this.#rateShare.follow(this.limitPerSecond, -Infinity);
+        this.#rateShare.setLimit(this.limitPerSecond, -Infinity);
     }
 
     get hop(): Hop {
         return this.parts.hop;
     }
 
-    get near(): boolean {
+    get sameHall(): boolean {
         return this.parts.near;
     }
 
@@ -99,8 +99,8 @@
         return this.#penalty.ms;
     }
 
-    get penaltyAt(): number {
-        return this.#penalty.at;
+    get lastFailureAt(): number {
+        return this.#penalty.lastFailureAt;
     }
 
     availability(now: number): Availability {
@@ -113,13 +113,13 @@
         if (this.isLeavingPermanently || this.#avoidance.isActive(now)) {
             return "leaving";
         }
-        if (this.suspicion.active(now)) {
+        if (this.suspicion.isActive(now)) {
             return "suspected";
         }
         if (this.#coldAvoidance.isActive(now)) {
             return "cold";
         }
-        if (!this.#rateShare.isOpen(now)) {
+        if (!this.#rateShare.maySend(now)) {
             return "limited";
         }
         return this.#fullness.isActive(now) ? "full" : "available";
@@ -127,14 +127,14 @@
 
     /** True if the next request should go to this upstream to find out whether its stated rate limit has ended. */
     isRateProbeDue(now: number): boolean {
-        return this.#rateShare.isDue(now);
+        return this.#rateShare.isProbeDue(now);
     }
 
     /** Counts an attempt; `cancel`, if given, is called when the gate becomes unresponsive. */
     attemptStarted(now: number, cancel: Cancel | undefined): void {
         this.outstanding += 1;
-        this.suspicion.probe(now);
-        this.silence.sent(now);
+        this.suspicion.recordProbe(now);
+        this.livenessCheck.recordSent(now);
         this.#rateShare.recordSent(now);
         this.parts.onSent(this);
         if (cancel !== undefined) {
@@ -145,7 +145,7 @@
     attemptEnded(cancel: Cancel | undefined): void {
         this.outstanding -= 1;
         if (this.outstanding === 0) {
-            this.silence.settled();
+            this.livenessCheck.recordIdle();
         }
         if (cancel !== undefined) {
             this.#cancellable.delete(cancel);
@@ -154,14 +154,14 @@
 
     /** Records that the gate has responded. */
     recordAlive(now: number): void {
-        this.silence.heard(this.outstanding, now);
+        this.livenessCheck.recordAlive(this.outstanding, now);
         this.suspicion.clear();
     }
 
     recordReport(report: LoadReport | undefined, now: number): void {
         if (report !== undefined) {
             this.report = report;
-            this.reportAt = now;
+            this.reportedAt = now;
             this.outstandingAtReport = this.outstanding;
         }
     }
@@ -171,7 +171,7 @@
         this.recordAlive(now);
         this.recordReport(note.report, now);
         this.parts.statements.recordRefusal(this.upstream, note);
-        this.#rateShare.follow(this.limitPerSecond, now);
+        this.#rateShare.setLimit(this.limitPerSecond, now);
     }
 
     /** Records the note of an upstream's response; `elapsedMs` is the time from sending to the response's head. */
@@ -181,8 +181,8 @@
         if (note !== undefined) {
             this.parts.statements.recordResponse(this.upstream, note);
         }
-        this.#rateShare.follow(this.limitPerSecond, now);
-        this.#rateShare.recordAnswer();
+        this.#rateShare.setLimit(this.limitPerSecond, now);
+        this.#rateShare.recordResponse();
         if (note?.tookMs !== undefined) {
             this.#roundTrip.observe(elapsedMs, note.tookMs);
         }
@@ -193,39 +193,39 @@
      * least that, since the delay is newer evidence than the report.
      */
     recordOverdue(elapsedMs: number, now: number): void {
-        if (this.report !== undefined && atLeast(this.report, elapsedMs) !== this.report) {
-            this.recordReport(atLeast(this.report, elapsedMs), now);
+        if (this.report !== undefined && withMinServiceTime(this.report, elapsedMs) !== this.report) {
+            this.recordReport(withMinServiceTime(this.report, elapsedMs), now);
         }
     }
 
     recordSuccess(): void {
-        this.#penalty.succeeded();
-        this.#fullness.served();
+        this.#penalty.recordSuccess();
+        this.#fullness.recordServed();
     }
 
     recordFailure(now: number): void {
-        this.#penalty.failed(now);
+        this.#penalty.recordFailure(now);
     }
 
     /** Records that the gate's daemon is shutting down. */
     recordStopping(now: number): void {
-        this.#avoidance.avoid("stopping", now);
+        this.#avoidance.start("stopping", now);
     }
 
     /** Records the effect of a refusal's reason on the upstream's availability. */
-    recordRefusal(effect: ReasonFacts["upstream"], now: number): void {
+    recordRefusal(effect: ReasonFacts["upstreamEffect"], now: number): void {
         switch (effect) {
             case "none":
                 return;
             case "full":
-                return this.#fullness.turnedAway(now);
+                return this.#fullness.recordRefusal(now);
             case "cold":
-                return this.#coldAvoidance.avoid(effect, now);
+                return this.#coldAvoidance.start(effect, now);
             case "limited":
                 return this.#rateShare.recordRefusal(now);
             case "leaving":
             case "absent":
-                return this.#avoidance.avoid(effect, now);
+                return this.#avoidance.start(effect, now);
             case "suspected":
                 return this.suspect(now);
         }
@@ -236,7 +236,7 @@
      * attempts.
      */
     suspect(now: number, cancelAttempts = true): void {
-        this.suspicion.fail(now);
+        this.suspicion.recordFailure(now);
         if (cancelAttempts) {
             this.#cancellable.forEach(cancel => cancel.abort());
             this.#cancellable.clear();
--- a/src/ledger/ledgermodel.test.ts
+++ b/src/ledger/ledgermodel.test.ts
@@ -132,7 +132,7 @@
             return;
         }
         const attempt = (last?.message.attempt ?? 0) + 1;
-        const message = { id, attempt, restarts: this.restarts, gateTime: this.gateClock.reckon(this.ingressNow)! };
+        const message = { id, attempt, restarts: this.restarts, gateTime: this.gateClock.estimate(this.ingressNow)! };
         this.attempts.set(id, { message, outcome: "none" });
         this.inTransit.push(message);
     }
--- a/src/link/linkconnection.ts
+++ b/src/link/linkconnection.ts
@@ -4,8 +4,8 @@
 import type { GateCall } from "../hop/gatecall.js";
 import { log } from "../log/log.js";
 import type { Clock } from "../time/clock.js";
-import type { AnswerNote } from "../wire/answernote.js";
-import { readNote } from "../wire/readnote.js";
+import { readResponseMetadata } from "../wire/readresponsemetadata.js";
+import type { AnswerNote } from "../wire/responsemetadata.js";
 import { emptyBuffer } from "./emptybuffer.js";
 import type { Frame } from "./frame.js";
 import { FramedBody } from "./framedbody.js";
@@ -184,7 +184,7 @@
             return;
         }
         if (frame.type === frameType.alive) {
-            this.#onAlive(frame.payload.length === 0 ? undefined : readNote(unpackList(frame.payload)));
+            this.#onAlive(frame.payload.length === 0 ? undefined : readResponseMetadata(unpackList(frame.payload)));
             return;
         }
         if (!isBodyFrame(frame)) {
--- a/src/link/linkpool.ts
+++ b/src/link/linkpool.ts
@@ -3,7 +3,7 @@
 import type { Address } from "../ids/address.js";
 import { splitAddress } from "../ids/splitaddress.js";
 import type { Clock } from "../time/clock.js";
-import type { AnswerNote } from "../wire/answernote.js";
+import type { AnswerNote } from "../wire/responsemetadata.js";
 import { frameType } from "./frametype.js";
 import { LinkCheck } from "./linkcheck.js";
 import { LinkConnection } from "./linkconnection.js";
--- a/src/link/wireanswer.ts
+++ b/src/link/wireanswer.ts
@@ -1,6 +1,6 @@
 /** An answer, or a refusal, as a peer sent it. */
 import type { HttpHeaders } from "../http/httpheaders.js";
-import type { AnswerNote } from "../wire/answernote.js";
+import type { AnswerNote } from "../wire/responsemetadata.js";
 import type { WireBody } from "./wirebody.js";
 
 /** `last` says that the connection takes no more requests. */
--- a/src/loadreports/loadreporter.ts
+++ b/src/loadreports/loadreporter.ts
@@ -6,8 +6,8 @@
 import type { Message } from "../datagram/message.js";
 import type { Gate } from "../gate/gate.js";
 import type { Address } from "../ids/address.js";
-import { isWorthReporting } from "../policy/placement/isworthreporting.js";
 import type { LoadReport } from "../policy/placement/loadreport.js";
+import { shouldReportLoad } from "../policy/placement/shouldreportload.js";
 import type { Clock } from "../time/clock.js";
 
 /** At the most, in milliseconds: gates change with each request. */
@@ -62,7 +62,7 @@
     #compare(gate: Gate): void {
         const report = gate.report();
         const reported = this.#reported.get(gate);
-        if (isWorthReporting(report, reported)) {
+        if (shouldReportLoad(report, reported)) {
             this.#reported.set(gate, report);
             this.#report(gate, report);
         }
--- a/src/membership/claims.ts
+++ b/src/membership/claims.ts
@@ -5,8 +5,8 @@
  */
 import type { UpstreamName } from "../ids/upstreamname.js";
 import { log } from "../log/log.js";
-import { judgeClaim } from "../policy/membership/judgeclaim.js";
 import type { Occupant } from "../policy/membership/occupant.js";
+import { resolveClaim } from "../policy/membership/resolveclaim.js";
 import type { Announcement } from "./announcement.js";
 import type { LocalUpstreams } from "./localupstreams.js";
 import { MembershipError } from "./membershiperror.js";
@@ -29,7 +29,7 @@
         if (!this.local.isContested(name, address)) {
             return this.local.record(name, announcement, now);
         }
-        switch (judgeClaim(name, await this.ask(announcement))) {
+        switch (resolveClaim(name, await this.ask(announcement))) {
             case "there":
                 return this.local.record(name, announcement, now);
             case "late":
--- a/src/membership/learnedshares.ts
+++ b/src/membership/learnedshares.ts
@@ -9,7 +9,7 @@
 import type { Incarnation } from "../ids/incarnation.js";
 import type { ServiceName } from "../ids/servicename.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
-import { usualShare } from "../policy/admission/usualshare.js";
+import { medianShare } from "../policy/admission/medianshare.js";
 import type { HostedUpstream } from "../wire/hostedupstream.js";
 import type { Member } from "../wire/member.js";
 
@@ -65,7 +65,7 @@
     /** What is usual for a service, by the records of others and by this daemon's earlier one; undefined where nothing is known. */
     usual(service: ServiceName, others: readonly HostedUpstream[]): number | undefined {
         const known = [...others, ...this.#earlier].filter(upstream => upstream.service === service);
-        return usualShare(known.map(upstream => upstream.limitShare).filter(share => share !== undefined));
+        return medianShare(known.map(upstream => upstream.limitShare).filter(share => share !== undefined));
     }
 
     /** True when something else has been learnt than records say of the service, now and then: one of its gates tells for all. */
--- a/src/membership/localupstreams.ts
+++ b/src/membership/localupstreams.ts
@@ -1,7 +1,7 @@
 /** The upstreams beside this daemon, by their own announcements. */
 import type { Address } from "../ids/address.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
-import { compareLives } from "../policy/membership/comparelives.js";
+import { compareIncarnations } from "../policy/membership/compareincarnations.js";
 import type { HostedUpstream } from "../wire/hostedupstream.js";
 import type { Announcement } from "./announcement.js";
 import type { Born } from "./born.js";
@@ -42,7 +42,7 @@
             this.#entries.set(name, { announcement, heardAt: now, isEnding: false });
             return true;
         }
-        if (compareLives(announcement.born, entry.announcement.born) === "earlier") {
+        if (compareIncarnations(announcement.born, entry.announcement.born) === "earlier") {
             return false;
         }
         entry.heardAt = now;
@@ -74,7 +74,7 @@
     /** Removes an upstream that is about to end, or has ended; false when it was not known, or a later life of it is. */
     remove(name: UpstreamName, born?: Born): boolean {
         const known = this.#entries.get(name)?.announcement.born;
-        if (compareLives(born, known) === "earlier") {
+        if (compareIncarnations(born, known) === "earlier") {
             return false;
         }
         this.end(name, born ?? known);
@@ -84,7 +84,7 @@
     /** Removes an upstream that has started again under its name, whatever the earlier life held; false when it has not. */
     removeEarlierLife(name: UpstreamName, born: Born | undefined): boolean {
         const entry = this.#entries.get(name);
-        return entry !== undefined && compareLives(born, entry.announcement.born) === "later"
+        return entry !== undefined && compareIncarnations(born, entry.announcement.born) === "later"
             && this.#entries.delete(name);
     }
 
@@ -106,7 +106,7 @@
 
     /** Takes no later word of an upstream that has ended, unless of a later life. */
     end(name: UpstreamName, born?: Born): void {
-        if (compareLives(born, this.#ended.get(name)) === "earlier") {
+        if (compareIncarnations(born, this.#ended.get(name)) === "earlier") {
             return;
         }
         this.#ended.set(name, born ?? this.#ended.get(name));
@@ -116,6 +116,6 @@
     }
 
     #hasEnded(name: UpstreamName, born: Born | undefined): boolean {
-        return this.#ended.has(name) && compareLives(born, this.#ended.get(name)) !== "later";
+        return this.#ended.has(name) && compareIncarnations(born, this.#ended.get(name)) !== "later";
     }
 }
--- a/src/membership/memberlist.ts
+++ b/src/membership/memberlist.ts
@@ -7,9 +7,9 @@
 import type { Upstream } from "../config/upstream.js";
 import type { Address } from "../ids/address.js";
 import type { Incarnation } from "../ids/incarnation.js";
-import { directMs } from "../policy/membership/directms.js";
-import { isNews } from "../policy/membership/isnews.js";
-import { judgeMember } from "../policy/membership/judgemember.js";
+import { directPrecedenceMs } from "../policy/membership/directprecedencems.js";
+import { isNewerRecord } from "../policy/membership/isnewerrecord.js";
+import { memberPresence } from "../policy/membership/memberpresence.js";
 import type { MemberSource } from "../policy/membership/membersource.js";
 import type { HostedUpstream } from "../wire/hostedupstream.js";
 import type { Member } from "../wire/member.js";
@@ -125,7 +125,7 @@
         }
         const { incarnation, version } = entry.member;
         const known = { incarnation, version, heardAt: entry.heardAt, lapsed: entry.lapsedAt !== undefined };
-        const news = isNews(member, known, source, now);
+        const news = isNewerRecord(member, known, source, now);
         if (source === "itself") {
             entry.heardAt = now;
         }
@@ -157,7 +157,7 @@
      */
     recordGone(gate: Address, now: number): void {
         const heardAt = this.#entries.get(gate)?.heardAt ?? -Infinity;
-        if (now - heardAt < directMs) {
+        if (now - heardAt < directPrecedenceMs) {
             this.recordLapse(gate, now);
         }
         else {
@@ -177,7 +177,7 @@
     /** True when the daemon's record is gone and it has given no sign of life since: a question settles it. */
     isDoubtful(gate: Address, now: number): boolean {
         const entry = this.#entries.get(gate);
-        return entry !== undefined && judgeMember(entry, now) !== "present";
+        return entry !== undefined && memberPresence(entry, now) !== "present";
     }
 
     /** Members that are doubtful. */
@@ -187,7 +187,9 @@
 
     /** Gives up members that were silent for too long after their records went; returns them. */
     removeGone(now: number): Address[] {
-        const gone = [...this.#entries].filter(([, entry]) => judgeMember(entry, now) === "gone").map(([gate]) => gate);
+        const gone = [...this.#entries].filter(([, entry]) => memberPresence(entry, now) === "gone").map(([gate]) =>
+            gate
+        );
         this.inOne(() => gone.forEach(gate => this.remove(gate)));
         return gone;
     }
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -6,7 +6,7 @@
 import { headerName } from "../dialect/headername.js";
 import type { Gate } from "../gate/gate.js";
 import type { GateIdentity } from "../gate/gateidentity.js";
-import type { GateAnswer } from "../hop/gateanswer.js";
+import type { GateResponse } from "../hop/gateresponse.js";
 import { HopError } from "../hop/hoperror.js";
 import type { Cancel } from "../http/cancel.js";
 import { httpStatus } from "../http/httpstatus.js";
@@ -20,8 +20,8 @@
 import type { RequestTarget } from "../policy/routing/requesttarget.js";
 import type { Clock } from "../time/clock.js";
 import { listen } from "../time/listen.js";
-import type { AnswerNote } from "../wire/answernote.js";
 import type { CallHead } from "../wire/callhead.js";
+import type { AnswerNote } from "../wire/responsemetadata.js";
 import { answerCall } from "./answercall.js";
 import type { PeerService } from "./peerservice.js";
 
@@ -166,7 +166,7 @@
         return this.#note({ outcome, reason, ...note });
     }
 
-    async #answer({ head, method, path, headers, body }: ServedCall, cancel: Cancel): Promise<GateAnswer> {
+    async #answer({ head, method, path, headers, body }: ServedCall, cancel: Cancel): Promise<GateResponse> {
         const gate = this.parts.gate(head.upstream);
         if (gate === undefined) {
             throw new HopError("not-run", "no-such-upstream");
--- a/src/peer/remotehop.ts
+++ b/src/peer/remotehop.ts
@@ -1,7 +1,7 @@
 /** The way to the gate of another host: one request a connection at a time, no retries. */
-import type { GateAnswer } from "../hop/gateanswer.js";
 import type { GateCall } from "../hop/gatecall.js";
 import { GateClock } from "../hop/gateclock.js";
+import type { GateResponse } from "../hop/gateresponse.js";
 import { Hop } from "../hop/hop.js";
 import { HopError } from "../hop/hoperror.js";
 import { guardBody } from "../http/guardbody.js";
@@ -13,8 +13,8 @@
 import { log } from "../log/log.js";
 import { decodeReason } from "../policy/retry/decodereason.js";
 import type { Reason } from "../policy/retry/reason.js";
-import type { AnswerNote } from "../wire/answernote.js";
 import type { CallHead } from "../wire/callhead.js";
+import type { AnswerNote } from "../wire/responsemetadata.js";
 import type { PeerClient } from "./peerclient.js";
 import type { PeerOptions } from "./peeroptions.js";
 
@@ -34,10 +34,10 @@
         this.#pool = new LinkPool(address, options);
     }
 
-    async send(call: GateCall): Promise<GateAnswer> {
+    async send(call: GateCall): Promise<GateResponse> {
         const askedAt = this.options.clock();
         if (call.head.kind === "once" && this.clock.incarnation === undefined) {
-            await this.greet();
+            await this.handshake();
         }
         const { status, headers, body = emptyBuffer, note } = await this.#request(call, askedAt);
         if (note.outcome !== undefined) {
@@ -55,7 +55,7 @@
         return this.peer.revoke(this.address, { id, incarnation, gateTime, remainingMs });
     }
 
-    async greet(): Promise<void> {
+    async handshake(): Promise<void> {
         try {
             const askedAt = this.options.clock();
             this.#readClock(await this.#pool.greet() ?? await this.peer.hello(this.address), askedAt);
@@ -92,7 +92,7 @@
         stamped.remainingMs = Math.max(0, head.remainingMs - tookMs);
         stamped.maxWaitMs = Math.max(0, head.maxWaitMs - tookMs);
         stamped.incarnation = this.clock.incarnation;
-        stamped.gateTime = this.clock.reckon(sentAt);
+        stamped.gateTime = this.clock.estimate(sentAt);
     }
 
     /** The gate has said what its clock showed, some time after it was asked. */
--- a/src/policy/admission/admission.ts
+++ b/src/policy/admission/admission.ts
@@ -11,15 +11,15 @@
 import { concurrencyAtRate } from "../rate/concurrencyatrate.js";
 import type { SendRate } from "../rate/sendrate.js";
 import type { AdmissionDecision } from "./admissiondecision.js";
-import type { Ended } from "./ended.js";
-import { isWorthWaiting } from "./isworthwaiting.js";
+import type { FinishedRequest } from "./finishedrequest.js";
 import type { LevelClock } from "./levelclock.js";
+import type { QueuedRequest } from "./queuedrequest.js";
 import type { Refusal } from "./refusal.js";
 import type { RefusedRequest } from "./refusedrequest.js";
 import type { RuleTimes } from "./ruletimes.js";
+import { shouldWaitForPace } from "./shouldwaitforpace.js";
 import type { SlotLimit } from "./slotlimit.js";
 import { WaitEstimate } from "./waitestimate.js";
-import type { Waiting } from "./waiting.js";
 import { WaitQueue } from "./waitqueue.js";
 
 /** Maximum number of queued requests for each slot; bounds memory. */
@@ -34,10 +34,10 @@
 const RUN: AdmissionDecision = { type: "run" };
 
 /** Requests that `next` removes from the queue; those in `late` have expired. */
-type Released<Item> = { readonly run: Item[]; readonly late: Item[]; };
+type Released<Item> = { readonly run: Item[]; readonly expired: Item[]; };
 
 /** Counts the running requests of one upstream and holds the queued ones. */
-export class Admission<Item extends Waiting> {
+export class Admission<Item extends QueuedRequest> {
     readonly #queue = new WaitQueue<Item>();
     readonly #waitEstimate: WaitEstimate;
     #running = 0;
@@ -57,12 +57,12 @@
         return this.#running;
     }
 
-    get waiting(): number {
+    get queued(): number {
         return this.#queue.length;
     }
 
     /** Returns how many slots can be offered to other gates of the service; 0 while the request rate is bounded. */
-    free(now: number): number {
+    freeSlots(now: number): number {
         const isBounded = this.sendRate.perSecond(now) !== undefined;
         return isBounded ? 0 : Math.max(0, this.limit.current() - this.#running - this.#reserved - this.#queue.length);
     }
@@ -84,9 +84,9 @@
     }
 
     /** Decides on a request, and queues it if it has to wait. With `hasReservedSlot` it takes a reserved slot. */
-    arrive(item: Item, now: number, hasReservedSlot = false): AdmissionDecision {
+    admit(item: Item, now: number, hasReservedSlot = false): AdmissionDecision {
         if (hasReservedSlot) {
-            this.release();
+            this.releaseSlot();
         }
         this.sendRate.recordArrival(item.priority, now);
         if (now >= item.deadline) {
@@ -106,8 +106,8 @@
     }
 
     /** Reserves a slot for a request that will arrive; returns false if none is free. */
-    hold(now: number): boolean {
-        if (this.free(now) === 0) {
+    reserveSlot(now: number): boolean {
+        if (this.freeSlots(now) === 0) {
             return false;
         }
         this.#reserved += 1;
@@ -115,7 +115,7 @@
     }
 
     /** Releases a reserved slot. */
-    release(): void {
+    releaseSlot(): void {
         this.#reserved = Math.max(0, this.#reserved - 1);
     }
 
@@ -123,12 +123,12 @@
      * Records that a running request has finished; `serviceMs` is undefined if its time is no measure of the upstream.
      * Ignores times while the upstream states a rate limit: it is degraded and runs few requests at a time.
      */
-    finish(serviceMs: number | undefined, ended: Ended | undefined, now: number): void {
+    recordFinished(serviceMs: number | undefined, ended: FinishedRequest | undefined, now: number): void {
         this.#setRunning(this.#running - 1, now);
         if (serviceMs !== undefined && ended !== undefined && !this.sendRate.isLimited) {
             const { rule, work, pace = 1 } = ended;
             this.times.observe(rule, serviceMs, work.reduce((sum, ms) => sum + ms, 0) / pace);
-            const expectedMs = this.times.longMs(rule) * pace;
+            const expectedMs = this.times.meanWorkMs(rule) * pace;
             this.limit.observe(work.map(ms => ms / expectedMs));
         }
     }
@@ -140,18 +140,18 @@
     }
 
     /** Returns when the first queued request may be sent if only the request rate holds it back, else undefined. */
-    opensAt(now: number): number | undefined {
+    nextSendAt(now: number): number | undefined {
         const isRateLimited = this.#queue.length > 0 && this.#hasFreeSlot && !this.sendRate.canSend(now);
         return isRateLimited ? this.sendRate.sendableAt(1, now) : undefined;
     }
 
     /** Removes a request from the queue; returns false if it is not queued. */
-    leave(item: Item): boolean {
+    remove(item: Item): boolean {
         return this.#queue.remove(item);
     }
 
     /** Decides again on all queued requests after the request rate has fallen; returns those that are now refused. */
-    reconsider(now: number): RefusedRequest<Item>[] {
+    reevaluate(now: number): RefusedRequest<Item>[] {
         const refused: RefusedRequest<Item>[] = [];
         for (const item of this.#queue.removeWhere(() => true)) {
             const refusal = this.#refusalFor(item, now);
@@ -172,8 +172,8 @@
     }
 
     /** Removes the requests that may run now, and the expired ones ahead of them, from the queue. */
-    next(now: number): Released<Item> {
-        const released: Released<Item> = { run: [], late: [] };
+    dequeue(now: number): Released<Item> {
+        const released: Released<Item> = { run: [], expired: [] };
         for (;;) {
             const item = this.#queue.peek();
             if (item === undefined || !this.#canStart(now) || (now < item.deadline && this.#awaitsPace(item, now))) {
@@ -181,7 +181,7 @@
             }
             this.#queue.shift();
             if (now >= item.deadline) {
-                released.late.push(item);
+                released.expired.push(item);
                 continue;
             }
             this.#start(item, now);
@@ -211,7 +211,11 @@
     #awaitsPace({ rule }: Item, now: number): boolean {
         const slowdown = this.pace.slowdown(now);
         return slowdown > 1
-            && isWorthWaiting({ workMs: this.times.longMs(rule), slowdown, spellMs: this.pace.spellMs(now) });
+            && shouldWaitForPace({
+                workMs: this.times.meanWorkMs(rule),
+                slowdown,
+                remainingSlowMs: this.pace.remainingSlowMs(now),
+            });
     }
 
     #setRunning(running: number, now: number): void {
--- a/src/policy/admission/makelimit.ts
+++ b/src/policy/admission/createlimit.ts
@@ -9,7 +9,7 @@
  * `serviceKneeShare` returns the share of the slots above which upstreams of the service slow down, or undefined if
  * none is known.
  */
-export function makeLimit(name: LimitName, slots: number, serviceKneeShare: () => number | undefined): SlotLimit {
+export function createLimit(name: LimitName, slots: number, serviceKneeShare: () => number | undefined): SlotLimit {
     switch (name) {
         case "fixed":
             return new FixedLimit(slots);
--- a/src/policy/admission/usualshare.ts
+++ b/src/policy/admission/medianshare.ts
@@ -5,7 +5,7 @@
  */
 
 /** Returns the lower median of the shares, or undefined if there are none. */
-export function usualShare(shares: readonly number[]): number | undefined {
+export function medianShare(shares: readonly number[]): number | undefined {
     const sorted = [...shares].sort((a, b) => a - b);
     return sorted[Math.floor((sorted.length - 1) / 2)];
 }
--- a/src/policy/admission/waiting.ts
+++ b/src/policy/admission/queuedrequest.ts
@@ -4,7 +4,7 @@
 import type { TeamName } from "../../ids/teamname.js";
 
 /** The properties of a request by which admission decides; `deadline` is a time in milliseconds on the gate's clock. */
-export type Waiting = {
+export type QueuedRequest = {
     readonly priority: Priority;
     readonly team: TeamName;
     readonly deadline: number;
--- a/src/policy/admission/isworthwaiting.ts
+++ b/src/policy/admission/shouldwaitforpace.ts
@@ -10,9 +10,9 @@
  * The work takes `workMs` at the usual pace and `slowdown` times that if it starts now; the upstream stays slow for
  * `spellMs` more.
  */
-type WaitInput = { readonly workMs: number; readonly slowdown: number; readonly spellMs: number; };
+type WaitInput = { readonly workMs: number; readonly slowdown: number; readonly remainingSlowMs: number; };
 
 /** Returns true if starting now costs more time than waiting for the end of the slow period. */
-export function isWorthWaiting({ workMs, slowdown, spellMs }: WaitInput): boolean {
+export function shouldWaitForPace({ workMs, slowdown, remainingSlowMs: spellMs }: WaitInput): boolean {
     return (slowdown - 1) * workMs > spellMs;
 }
--- a/src/policy/admission/retrysoon.ts
+++ b/src/policy/admission/unplacedretryafterms.ts
@@ -3,4 +3,4 @@
  * yet or no upstream of the service takes requests. A daemon reads its configuration and discovers its upstreams within
  * about this time after a start.
  */
-export const retrySoonMs = 250;
+export const unplacedRetryAfterMs = 250;
--- a/src/policy/admission/waitqueue.ts
+++ b/src/policy/admission/waitqueue.ts
@@ -8,16 +8,16 @@
 import type { Priority } from "../../config/priority.js";
 import type { TeamName } from "../../ids/teamname.js";
 import { FairQueue } from "./fairqueue.js";
-import type { Waiting } from "./waiting.js";
+import type { QueuedRequest } from "./queuedrequest.js";
 
 /** Weights of the priorities, most urgent first: each gets eight turns for one of the next. */
 const WEIGHTS: Readonly<Record<Priority, number>> = { urgent: 64, normal: 8, background: 1 };
 const PRIORITIES = Object.keys(WEIGHTS) as Priority[];
 
-const hasEarlierDeadline = (a: Waiting, b: Waiting): boolean => a.deadline < b.deadline;
+const hasEarlierDeadline = (a: QueuedRequest, b: QueuedRequest): boolean => a.deadline < b.deadline;
 
 /** Holds the queued requests of one upstream. */
-export class WaitQueue<Item extends Waiting> {
+export class WaitQueue<Item extends QueuedRequest> {
     readonly #priorityQueue = new FairQueue<Priority, Priority>(priority => WEIGHTS[priority]);
     readonly #teamQueues = new Map<Priority, FairQueue<TeamName, Item>>(
         PRIORITIES.map(priority => [priority, new FairQueue<TeamName, Item>(() => 1, hasEarlierDeadline)]),
--- a/src/policy/cold/coldguard.test.ts
+++ b/src/policy/cold/coldguard.test.ts
@@ -47,16 +47,16 @@
     let probeCount = 0;
     for (let now = 0; now < 8 * SECOND_MS; now += 1) {
         if (probe !== undefined && now >= probe.endsAt) {
-            guard.recordAnswer(probe.coldMs, probe.sentAt, now);
+            guard.recordProbeResponse(probe.coldMs, probe.sentAt, now);
             probe = undefined;
         }
-        if (probe === undefined && guard.shouldAsk(now)) {
+        if (probe === undefined && guard.shouldProbe(now)) {
             const durationMs = probeMs[probeCount++ % probeMs.length]!;
             const stateAt = now + Math.floor(durationMs / 2);
             probe = { sentAt: now, endsAt: now + durationMs, coldMs: coldRemainingAt(stateAt) };
-            guard.recordQuestion(now);
+            guard.recordProbe(now);
         }
-        if (now % arrivalIntervalMs === 0 && guard.isOpen(now)) {
+        if (now % arrivalIntervalMs === 0 && guard.canSend(now)) {
             guard.recordSent(now);
             sent.push(now);
         }
@@ -102,30 +102,30 @@
 
 test("cold: an upstream that does not report it is assumed cold for the start time, then warm", () => {
     const guard = new ColdGuard(0, createLimits(10));
-    guard.recordAnswer(undefined, 100, 110);
+    guard.recordProbeResponse(undefined, 100, 110);
     assert.equal(guard.isCold(2999), true);
     assert.equal(guard.isCold(3000), false);
-    guard.recordAnswer(undefined, 3100, 3110);
+    guard.recordProbeResponse(undefined, 3100, 3110);
     assert.equal(guard.isCold(3110), false);
 });
 
 test("cold: without limits no probe is sent and no request held back", () => {
     const guard = new ColdGuard(0);
     for (let now = 0; now < 1000; now++) {
-        assert.equal(guard.isOpen(now) && !guard.shouldAsk(now), true);
+        assert.equal(guard.canSend(now) && !guard.shouldProbe(now), true);
         guard.recordSent(now);
     }
-    guard.recordAnswer(3000, 1000, 1001);
+    guard.recordProbeResponse(3000, 1000, 1001);
     assert.equal(guard.perSecond(1002), undefined);
 });
 
 test("cold: changed limits apply at once", () => {
     const guard = new ColdGuard(0);
     guard.setLimits(createLimits(1, 1, 0));
-    guard.recordAnswer(5000, 0, 0);
+    guard.recordProbeResponse(5000, 0, 0);
     guard.recordSent(0);
-    assert.equal(guard.isOpen(500), false);
-    assert.equal(guard.isOpen(1100), true);
+    assert.equal(guard.canSend(500), false);
+    assert.equal(guard.canSend(1100), true);
     guard.setLimits(undefined);
-    assert.equal(guard.isOpen(0), true);
+    assert.equal(guard.canSend(0), true);
 });
--- a/src/policy/cold/coldguard.ts
+++ b/src/policy/cold/coldguard.ts
@@ -51,7 +51,7 @@
      * Records the response to a probe sent at `probedAt`. `coldMs` is the time left until the upstream is warm, or
      * undefined if it does not report one.
      */
-    recordAnswer(coldMs: number | undefined, probedAt: number, now: number): void {
+    recordProbeResponse(coldMs: number | undefined, probedAt: number, now: number): void {
         if (this.#limits === undefined) {
             return;
         }
@@ -63,7 +63,7 @@
     }
 
     /** Records that a probe is sent. */
-    recordQuestion(now: number): void {
+    recordProbe(now: number): void {
         this.#probedAt = now;
     }
 
@@ -71,7 +71,7 @@
         this.#limiter?.recordSent(now);
     }
 
-    isOpen(now: number): boolean {
+    canSend(now: number): boolean {
         return this.sendableAt(1, now) <= now;
     }
 
@@ -81,7 +81,7 @@
     }
 
     /** Returns true if the upstream should be probed, which is so before the requests that may be sent run out. */
-    shouldAsk(now: number): boolean {
+    shouldProbe(now: number): boolean {
         return !this.isCold(now) && now - this.#probedAt >= MIN_PROBE_INTERVAL_MS
             && this.#limiter?.isMoreThanHalfUsed(now) === true;
     }
--- a/src/policy/failure/pacecheck.ts
+++ b/src/policy/failure/checkpace.ts
@@ -6,7 +6,7 @@
  * that it would wait here until the upstream is faster. If the last report is stale, the upstream is asked for a new
  * one first, within a budget.
  */
-import { isWorthWaiting } from "../admission/isworthwaiting.js";
+import { shouldWaitForPace } from "../admission/shouldwaitforpace.js";
 import type { Pace } from "./pace.js";
 
 /**
@@ -24,7 +24,11 @@
 
 /** Returns what to do with a request at `now`, in milliseconds on the daemon's clock. */
 export function checkPace(pace: Pace, { choices, workMs }: PaceCheckInput, now: number): PaceDecision {
-    const mayWait = isWorthWaiting({ workMs, slowdown: pace.lastSlowdown, spellMs: pace.spellMs(now) });
+    const mayWait = shouldWaitForPace({
+        workMs,
+        slowdown: pace.lastSlowdown,
+        remainingSlowMs: pace.remainingSlowMs(now),
+    });
     if (choices === 0 && !mayWait) {
         return "serve";
     }
--- a/src/policy/failure/brokenruns.ts
+++ b/src/policy/failure/interruptedruns.ts
@@ -22,7 +22,7 @@
 type InterruptedRun = { readonly request: RequestKey; readonly at: number; readonly cancelled: boolean; };
 
 /** Holds the recently interrupted runs of one upstream; times are milliseconds on the daemon's clock. */
-export class BrokenRuns {
+export class InterruptedRuns {
     #runs: InterruptedRun[] = [];
 
     /** Records a run that was interrupted, or cancelled. */
@@ -31,12 +31,12 @@
     }
 
     /** Records a response to a request sent at `sentAt`; runs that ended earlier were not ended by a crash. */
-    lived(sentAt: number): void {
+    recordResponse(sentAt: number): void {
         this.#runs = this.#runs.filter(({ at }) => at > sentAt);
     }
 
     /** Returns the requests that were in progress at a crash found at `now`, and forgets them. */
-    takeUnderWay(now: number): RequestKey[] {
+    takeInProgress(now: number): RequestKey[] {
         const requests = this.#recent(now).map(({ request }) => request);
         this.#runs = [];
         return [...new Set(requests)];
--- a/src/policy/failure/silence.test.ts
+++ b/src/policy/failure/livenesscheck.test.ts
@@ -1,57 +1,57 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Silence } from "./silence.js";
+import { LivenessCheck } from "./livenesscheck.js";
 
 const known = { outstanding: 1, serviceMs: 10, answersPings: true, isSuspected: false };
 
 test("liveness: a gate without outstanding requests is not pinged", () => {
-    const liveness = new Silence();
+    const liveness = new LivenessCheck();
     assert.deepEqual(liveness.decide({ ...known, outstanding: 0 }, 10_000), { type: "none" });
 });
 
 test("liveness: an unresponsive gate is pinged twice and then suspected", () => {
-    const liveness = new Silence();
-    liveness.sent(0);
+    const liveness = new LivenessCheck();
+    liveness.recordSent(0);
     assert.deepEqual(liveness.decide(known, 150), { type: "none" });
     assert.deepEqual(liveness.decide(known, 151), { type: "ping", why: "silent" });
-    liveness.pinged(151);
+    liveness.recordPing(151);
     assert.deepEqual(liveness.decide(known, 301), { type: "none" });
     assert.deepEqual(liveness.decide(known, 302), { type: "ping", why: "unanswered" });
-    liveness.pinged(302);
+    liveness.recordPing(302);
     assert.deepEqual(liveness.decide(known, 453), { type: "suspect" });
 });
 
 test("liveness: a gate whose upstream has long service times is pinged later", () => {
-    const liveness = new Silence();
-    liveness.sent(0);
+    const liveness = new LivenessCheck();
+    liveness.recordSent(0);
     assert.deepEqual(liveness.decide({ ...known, serviceMs: 400 }, 600), { type: "none" });
     assert.deepEqual(liveness.decide({ ...known, serviceMs: 400 }, 601), { type: "ping", why: "silent" });
 });
 
 test("liveness: nothing is due without outstanding requests, unanswered pings or suspicion", () => {
-    const liveness = new Silence();
+    const liveness = new LivenessCheck();
     const idle = { ...known, outstanding: 0 };
-    assert.equal(liveness.isSettled(idle), true);
-    assert.equal(liveness.isSettled(known), false);
-    assert.equal(liveness.isSettled({ ...idle, isSuspected: true }), false);
-    liveness.pinged(0);
-    assert.equal(liveness.isSettled(idle), false);
-    liveness.heard(0, 10);
-    assert.equal(liveness.isSettled(idle), true);
+    assert.equal(liveness.isIdle(idle), true);
+    assert.equal(liveness.isIdle(known), false);
+    assert.equal(liveness.isIdle({ ...idle, isSuspected: true }), false);
+    liveness.recordPing(0);
+    assert.equal(liveness.isIdle(idle), false);
+    liveness.recordAlive(0, 10);
+    assert.equal(liveness.isIdle(idle), true);
     assert.equal(
-        liveness.isSettled({ ...idle, answersPings: false }),
+        liveness.isIdle({ ...idle, answersPings: false }),
         false,
         "the gate responded but never answered a ping",
     );
 });
 
 test("liveness: a response restarts the timeout, and a gate that never answered a ping is not suspected", () => {
-    const liveness = new Silence();
-    liveness.sent(0);
-    liveness.heard(1, 100);
+    const liveness = new LivenessCheck();
+    liveness.recordSent(0);
+    liveness.recordAlive(1, 100);
     assert.deepEqual(liveness.decide(known, 250), { type: "none" });
     const neverAnswered = { ...known, answersPings: false };
     assert.deepEqual(liveness.decide(neverAnswered, 250), { type: "ping", why: "never-asked" });
-    liveness.pinged(251);
+    liveness.recordPing(251);
     assert.deepEqual(liveness.decide(neverAnswered, 402), { type: "none" });
 });
--- a/src/policy/failure/silence.ts
+++ b/src/policy/failure/livenesscheck.ts
@@ -44,24 +44,24 @@
 const NO_ACTION: LivenessAction = { type: "none" };
 
 /** Holds the liveness of one gate, as far as requests to one upstream show it. */
-export class Silence {
+export class LivenessCheck {
     #lastAliveAt: number | undefined;
     #outstandingSince: number | undefined;
     #pingedAt: number | undefined;
     #unansweredPings = 0;
 
     /** Records that a request was sent to the gate. */
-    sent(now: number): void {
+    recordSent(now: number): void {
         this.#outstandingSince ??= now;
     }
 
     /** Records that no request is outstanding any more. */
-    settled(): void {
+    recordIdle(): void {
         this.#outstandingSince = undefined;
     }
 
     /** Records a response to a request or a ping; `outstanding` is the number of requests still outstanding. */
-    heard(outstanding: number, now: number): void {
+    recordAlive(outstanding: number, now: number): void {
         this.#lastAliveAt = now;
         this.#outstandingSince = outstanding > 0 ? now : undefined;
         this.#pingedAt = undefined;
@@ -69,12 +69,12 @@
     }
 
     /** Records that a ping was sent. */
-    pinged(now: number): void {
+    recordPing(now: number): void {
         this.#pingedAt = now;
     }
 
     /** Returns true if nothing is to be decided until the next request is sent. */
-    isSettled({ outstanding, answersPings, isSuspected }: LivenessInput): boolean {
+    isIdle({ outstanding, answersPings, isSuspected }: LivenessInput): boolean {
         const isKnown = answersPings || this.#lastAliveAt === undefined;
         return outstanding === 0 && isKnown && !isSuspected && this.#pingedAt === undefined;
     }
--- a/src/policy/failure/pace.ts
+++ b/src/policy/failure/pace.ts
@@ -46,7 +46,7 @@
      * periods, or the time that the current one has lasted if that is longer. So requests wait for the end of a short
      * period, but use an upstream that stays slow.
      */
-    spellMs(now: number): number {
+    remainingSlowMs(now: number): number {
         return Math.max(this.#meanSlowPeriodMs, now - (this.#slowSince ?? now));
     }
 
@@ -63,7 +63,7 @@
     }
 
     /** Pace that was last reported; undefined if the upstream has not reported any. */
-    get last(): number | undefined {
+    get lastReported(): number | undefined {
         return this.#hasReported ? this.#pace : undefined;
     }
 
--- a/src/policy/failure/suspicion.ts
+++ b/src/policy/failure/suspicion.ts
@@ -16,18 +16,18 @@
     #pausedUntil = 0;
 
     /** True from the first failure to the next response. */
-    get suspected(): boolean {
+    get isSuspected(): boolean {
         return this.#failures > 0;
     }
 
     /** Returns true while no requests should be sent to the gate. */
-    active(now: number): boolean {
+    isActive(now: number): boolean {
         return now < this.#pausedUntil;
     }
 
     /** Records that the gate did not respond; further failures during a pause do not count. */
-    fail(now: number): void {
-        if (this.active(now) && this.suspected) {
+    recordFailure(now: number): void {
+        if (this.isActive(now) && this.isSuspected) {
             return;
         }
         this.#pausedUntil = now + this.#pauseMs();
@@ -37,8 +37,8 @@
     /**
      * Records that a request is sent to the gate; if the gate is suspected, no other is sent for the length of a pause.
      */
-    probe(now: number): void {
-        if (this.suspected) {
+    recordProbe(now: number): void {
+        if (this.isSuspected) {
             this.#pausedUntil = Math.max(this.#pausedUntil, now + this.#pauseMs());
         }
     }
--- a/src/policy/failure/silentafter.ts
+++ b/src/policy/failure/unresponsiveafterms.ts
@@ -17,6 +17,6 @@
 /**
  * Returns the time from sending the request, in milliseconds; `meanServiceMs` is the mean service time of its upstream.
  */
-export function silentAfter(meanServiceMs: number): number {
+export function unresponsiveAfterMs(meanServiceMs: number): number {
     return Math.max(MIN_TIMEOUT_MS, SERVICE_TIME_FACTOR * meanServiceMs);
 }
--- a/src/policy/halls/applyhallschange.test.ts
+++ b/src/policy/halls/applyhallschange.test.ts
@@ -5,7 +5,7 @@
 import { applyHallsChange } from "./applyhallschange.js";
 import type { EvacuatedHalls } from "./evacuatedhalls.js";
 import type { HallsChange } from "./hallschange.js";
-import { isLaterMark } from "./islatermark.js";
+import { isLaterPosition } from "./islaterposition.js";
 
 const EMPTY: EvacuatedHalls = { mark: { era: 0, revision: 0 }, halls: [] };
 const hall = (name: string): HallName => name as HallName;
@@ -31,7 +31,7 @@
     const known = applyHallsChange(EMPTY, createChange(50, { evacuated: [hall("a")] }))!;
     const later = { ...createChange(3, { evacuated: [hall("b")] }), mark: { era: 1, revision: 3 } };
     assert.deepEqual(applyHallsChange(known, later)!.halls, ["b"]);
-    assert.equal(isLaterMark(known.mark, later.mark), false);
+    assert.equal(isLaterPosition(known.mark, later.mark), false);
 });
 
 test("halls: an unreadable entry leaves the state of its hall unchanged", () => {
--- a/src/policy/halls/applyhallschange.ts
+++ b/src/policy/halls/applyhallschange.ts
@@ -1,7 +1,7 @@
 /** Applies a change from the store to the halls that are known to be evacuated. */
 import type { EvacuatedHalls } from "./evacuatedhalls.js";
 import type { HallsChange } from "./hallschange.js";
-import { isLaterMark } from "./islatermark.js";
+import { isLaterPosition } from "./islaterposition.js";
 
 /**
  * Returns the new state, or undefined if the change is not later than the known state. A change that is not complete
@@ -10,7 +10,7 @@
  */
 export function applyHallsChange(known: EvacuatedHalls, change: HallsChange): EvacuatedHalls | undefined {
     const { mark, complete, evacuated, ended, unreadable } = change;
-    if (!isLaterMark(mark, known.mark)) {
+    if (!isLaterPosition(mark, known.mark)) {
         return undefined;
     }
     const kept = complete
--- a/src/policy/halls/evacuatedhalls.ts
+++ b/src/policy/halls/evacuatedhalls.ts
@@ -1,6 +1,6 @@
 /** The halls that operators have evacuated. */
 import type { HallName } from "../../ids/hallname.js";
-import type { StoreMark } from "./storemark.js";
+import type { StorePosition } from "./storeposition.js";
 
 /** The state of the store at the position `mark`. */
-export type EvacuatedHalls = { readonly mark: StoreMark; readonly halls: readonly HallName[]; };
+export type EvacuatedHalls = { readonly mark: StorePosition; readonly halls: readonly HallName[]; };
--- a/src/policy/halls/hallschange.ts
+++ b/src/policy/halls/hallschange.ts
@@ -1,10 +1,10 @@
 /** A report of the store on evacuated halls: all of them, or changes. */
 import type { HallName } from "../../ids/hallname.js";
-import type { StoreMark } from "./storemark.js";
+import type { StorePosition } from "./storeposition.js";
 
 /** With `complete` the store has no other entries; otherwise the report holds the changes since the last response. */
 export type HallsChange = {
-    readonly mark: StoreMark;
+    readonly mark: StorePosition;
     readonly complete: boolean;
     readonly evacuated: readonly HallName[];
     /** Halls whose entries were deleted. */
--- a/src/policy/halls/storemark.ts
+++ b/src/policy/halls/storeposition.ts
@@ -4,4 +4,4 @@
  * `era` rises with each restore of the store from a backup, `revision` with each change; revisions compare only within
  * an era.
  */
-export type StoreMark = { readonly era: number; readonly revision: number; };
+export type StorePosition = { readonly era: number; readonly revision: number; };
--- a/src/policy/membership/comparelives.ts
+++ b/src/policy/membership/compareincarnations.ts
@@ -7,7 +7,10 @@
  */
 
 /** Compares `reported` with `known`, the start times of both incarnations in Unix milliseconds. */
-export function compareLives(reported: number | undefined, known: number | undefined): "same" | "later" | "earlier" {
+export function compareIncarnations(
+    reported: number | undefined,
+    known: number | undefined,
+): "same" | "later" | "earlier" {
     if (reported === undefined || known === undefined || reported === known) {
         return "same";
     }
--- a/src/policy/membership/directms.ts
+++ b/src/policy/membership/directprecedencems.ts
@@ -2,4 +2,4 @@
  * The time in milliseconds for which a daemon's own report takes precedence over reports of others about it: more than
  * two of its heartbeat intervals.
  */
-export const directMs = 5000;
+export const directPrecedenceMs = 5000;
--- a/src/policy/membership/isnews.ts
+++ b/src/policy/membership/isnewerrecord.ts
@@ -7,7 +7,7 @@
  * report about a third daemon is used only if the store no longer has a record of that daemon.
  */
 import type { Incarnation } from "../../ids/incarnation.js";
-import { directMs } from "./directms.js";
+import { directPrecedenceMs } from "./directprecedencems.js";
 import type { MemberSource } from "./membersource.js";
 
 /** Identifies one state of a daemon. */
@@ -22,7 +22,7 @@
 };
 
 /** Returns true if the reported version replaces the known one; `now` is in milliseconds on this daemon's clock. */
-export function isNews(reported: Version, known: Known, source: MemberSource, now: number): boolean {
+export function isNewerRecord(reported: Version, known: Known, source: MemberSource, now: number): boolean {
     if (reported.incarnation === known.incarnation) {
         return reported.version > known.version;
     }
@@ -30,7 +30,7 @@
         case "itself":
             return true;
         case "store":
-            return now - known.heardAt > directMs;
+            return now - known.heardAt > directPrecedenceMs;
         case "peer":
             return known.lapsed;
     }
--- a/src/policy/membership/judgemember.ts
+++ b/src/policy/membership/memberpresence.ts
@@ -17,7 +17,7 @@
 };
 
 /** Returns `present`, `doubtful` if the member has to be probed, or `gone` if it has not responded in time. */
-export function judgeMember({ heardAt, lapsedAt }: MemberTimes, now: number): "present" | "doubtful" | "gone" {
+export function memberPresence({ heardAt, lapsedAt }: MemberTimes, now: number): "present" | "doubtful" | "gone" {
     if (lapsedAt === undefined || heardAt >= lapsedAt) {
         return "present";
     }
--- a/src/policy/membership/judgeclaim.ts
+++ b/src/policy/membership/resolveclaim.ts
@@ -14,7 +14,7 @@
  * `late`: another upstream is there, and the announcement was delayed.
  * `unknown`: nobody responds, so nothing is decided until the next announcement.
  */
-export function judgeClaim(claimant: UpstreamName, occupant: Occupant): "there" | "late" | "unknown" {
+export function resolveClaim(claimant: UpstreamName, occupant: Occupant): "there" | "late" | "unknown" {
     switch (occupant.type) {
         case "named":
             return occupant.name === claimant ? "there" : "late";
--- a/src/policy/model/modelgate.ts
+++ b/src/policy/model/modelgate.ts
@@ -1,7 +1,7 @@
 /** A gate of a model: the daemon's own admission and pace, with the model's time and upstream. */
 import { Admission } from "../admission/admission.js";
+import { createLimit } from "../admission/createlimit.js";
 import { LevelClock } from "../admission/levelclock.js";
-import { makeLimit } from "../admission/makelimit.js";
 import { RuleTimes } from "../admission/ruletimes.js";
 import { waitLimit } from "../admission/waitlimit.js";
 import { WorkTime } from "../admission/worktime.js";
@@ -9,8 +9,8 @@
 import { Pace } from "../failure/pace.js";
 import type { LoadReport } from "../placement/loadreport.js";
 import type { RandomSource } from "../randomsource.js";
-import { RequestLimit } from "../rate/requestlimit.js";
 import { SendRate } from "../rate/sendrate.js";
+import { StatedRateLimiter } from "../rate/statedratelimiter.js";
 import type { EventLoop } from "./eventloop.js";
 import type { ModelEnd } from "./modelend.js";
 import type { ModelPolicy } from "./modelpolicy.js";
@@ -55,11 +55,11 @@
         this.#levels = new LevelClock(slots, loop.now);
         const heeded = policy.waitsForPace ? this.#pace : new Pace();
         this.#admission = new Admission(
-            makeLimit(policy.limit, slots, parts.usualShare),
+            createLimit(policy.limit, slots, parts.usualShare),
             this.#times,
             this.#levels,
             heeded,
-            new SendRate(this.#cold, new RequestLimit()),
+            new SendRate(this.#cold, new StatedRateLimiter()),
         );
     }
 
@@ -78,7 +78,7 @@
     }
 
     report(): LoadReport {
-        return { ...this.#admission.report(this.parts.loop.now), pace: this.#pace.last };
+        return { ...this.#admission.report(this.parts.loop.now), pace: this.#pace.lastReported };
     }
 
     /** `onEnd` is called once. */
@@ -96,7 +96,7 @@
             return;
         }
         this.#askIfCold();
-        const verdict = this.#admission.arrive(request, loop.now);
+        const verdict = this.#admission.admit(request, loop.now);
         if (verdict.type === "refuse") {
             done({ outcome: "refused", ...verdict.refusal });
             return;
@@ -111,9 +111,9 @@
     /** An answer takes no time here. */
     #askIfCold(): void {
         const { loop, upstream } = this.parts;
-        if (this.#cold.shouldAsk(loop.now)) {
-            this.#cold.recordQuestion(loop.now);
-            this.#cold.recordAnswer(upstream.coldMs, loop.now, loop.now);
+        if (this.#cold.shouldProbe(loop.now)) {
+            this.#cold.recordProbe(loop.now);
+            this.#cold.recordProbeResponse(upstream.coldMs, loop.now, loop.now);
         }
     }
 
@@ -121,7 +121,7 @@
         const { loop } = this.parts;
         const { afterMs, reason } = waitLimit(request.maxWaitMs, request.deadline - loop.now);
         const forget = loop.in(afterMs, () => {
-            if (!this.#isGone && this.#admission.leave(request)) {
+            if (!this.#isGone && this.#admission.remove(request)) {
                 done({ outcome: "refused", reason, retryAfterMs: this.#admission.retryAfterMs(request, loop.now) });
             }
         });
@@ -150,7 +150,7 @@
             }
             const served = end.outcome === "served" ? loop.now - startedAt : undefined;
             this.#pace.observe(upstream.pace, loop.now);
-            this.#admission.finish(served, { rule: request.rule, work: work.read(loop.now), pace }, loop.now);
+            this.#admission.recordFinished(served, { rule: request.rule, work: work.read(loop.now), pace }, loop.now);
             done(end);
             this.#advance();
         };
@@ -178,7 +178,7 @@
     }
 
     #advance(): void {
-        const { run, late } = this.#admission.next(this.parts.loop.now);
+        const { run, expired: late } = this.#admission.dequeue(this.parts.loop.now);
         late.forEach(request => request.refuse({ outcome: "refused", reason: "deadline", retryAfterMs: 0 }));
         run.forEach(request => request.grant());
         this.#watchPace();
@@ -187,7 +187,7 @@
 
     #watchCold(): void {
         const { loop } = this.parts;
-        const opensAt = this.#admission.opensAt(loop.now);
+        const opensAt = this.#admission.nextSendAt(loop.now);
         if (this.#isWaitingForCold || opensAt === undefined) {
             return;
         }
--- a/src/policy/model/modelingress.ts
+++ b/src/policy/model/modelingress.ts
@@ -1,10 +1,10 @@
 /** An ingress of a model: the daemon's own placement, waits and bounds of moves. */
 import { maxWait } from "../admission/maxwait.js";
-import { availableOf } from "../placement/availableof.js";
+import { availableTargets } from "../placement/availabletargets.js";
 import { ExpectedTime } from "../placement/expectedtime.js";
 import { selectTargets } from "../placement/selecttargets.js";
 import type { RandomSource } from "../randomsource.js";
-import { maxMoves } from "../retry/maxmoves.js";
+import { maxRedirects } from "../retry/maxredirects.js";
 import type { EventLoop } from "./eventloop.js";
 import type { ModelEnd } from "./modelend.js";
 import type { ModelRequest } from "./modelrequest.js";
@@ -53,7 +53,7 @@
             return;
         }
         so.tried.add(target);
-        const untried = so.moves < maxMoves ? availableOf(views, so.tried, loop.now) : [];
+        const untried = so.moves < maxRedirects ? availableTargets(views, so.tried, loop.now) : [];
         const request = this.#request(sent, untried);
         target.outstanding += 1;
         const onEnd = (end: ModelEnd): void => {
@@ -65,7 +65,7 @@
                 }
                 const isMove = end.outcome === "refused" && ["busy", "cold", "slow"].includes(end.reason);
                 const isFull = end.outcome === "refused" && !isMove && end.reason !== "deadline";
-                if (isMove && so.moves <= maxMoves) {
+                if (isMove && so.moves <= maxRedirects) {
                     so.moves += 1;
                     this.#try(sent, views, so, done);
                 }
@@ -93,7 +93,7 @@
             maxWaitMs: maxWait(wait, loop.now),
             rule: ruleOf(kind.name),
             choices: untried.length,
-            nearChoices: untried.filter(view => view.near).length,
+            nearChoices: untried.filter(view => view.sameHall).length,
             grant: () => {},
             refuse: () => {},
         };
--- a/src/policy/model/modelrequest.ts
+++ b/src/policy/model/modelrequest.ts
@@ -1,10 +1,10 @@
 /** A request in a model, at one gate. */
-import type { Waiting } from "../admission/waiting.js";
+import type { QueuedRequest } from "../admission/queuedrequest.js";
 import type { ModelEnd } from "./modelend.js";
 import type { ModelSent } from "./modelsent.js";
 
 /** Waits at a gate; `grant` and `refuse` end its wait. */
-export type ModelRequest = Waiting & {
+export type ModelRequest = QueuedRequest & {
     readonly sent: ModelSent;
     grant: () => void;
     refuse: (end: ModelEnd) => void;
--- a/src/policy/model/runmodel.ts
+++ b/src/policy/model/runmodel.ts
@@ -3,7 +3,7 @@
  *
  * No network, no clock, no processes: the same scenario and seed give the same figures.
  */
-import { usualShare } from "../admission/usualshare.js";
+import { medianShare } from "../admission/medianshare.js";
 import type { RandomSource } from "../randomsource.js";
 import { classOfCall } from "./classofcall.js";
 import type { ClassTally } from "./classtally.js";
@@ -73,7 +73,7 @@
         }
         const hosts = this.#hosts.filter(host => host.service === service);
         hosts.forEach(host => host.told = host.gate.learnedShare ?? host.told);
-        return usualShare(hosts.map(host => host.told).filter(share => share !== undefined));
+        return medianShare(hosts.map(host => host.told).filter(share => share !== undefined));
     }
 
     #gate(service: string, upstream: ModelUpstream): ModelGate {
--- a/src/policy/placement/availableof.ts
+++ b/src/policy/placement/availabletargets.ts
@@ -2,7 +2,7 @@
 import type { Selectable } from "./selectable.js";
 
 /** Returns the targets that are available at `now` and not in `attempted`, in the order of `all`. */
-export function availableOf<Target extends Selectable>(
+export function availableTargets<Target extends Selectable>(
     all: readonly Target[],
     attempted: ReadonlySet<Target>,
     now: number,
--- a/src/policy/placement/candidate.ts
+++ b/src/policy/placement/candidate.ts
@@ -8,18 +8,18 @@
     /** Requests that the upstream serves at a time. */
     readonly slots: number;
     /** True if the upstream is in the ingress's own data hall. */
-    readonly near: boolean;
+    readonly sameHall: boolean;
     /** Network round trip to the gate, without the time that the gate takes. */
     readonly roundTripMs: number;
     /** Requests that this daemon has sent to the upstream and that have not ended. */
     readonly outstanding: number;
     readonly report: LoadReport | undefined;
     /** When the report was received. */
-    readonly reportAt: number;
+    readonly reportedAt: number;
     /** Value of `outstanding` when the report was received. */
     readonly outstandingAtReport: number;
     /** Added to the expected time, so that fast failures do not look like fast responses; decays with time. */
     readonly penaltyMs: number;
     /** When the upstream last failed. */
-    readonly penaltyAt: number;
+    readonly lastFailureAt: number;
 };
--- a/src/policy/placement/avoidance.ts
+++ b/src/policy/placement/exclusion.ts
@@ -25,11 +25,11 @@
 };
 
 /** Holds the exclusion period of one upstream; times are milliseconds on the daemon's clock. */
-export class Avoidance {
+export class Exclusion {
     #activeUntil = 0;
 
     /** Excludes the upstream from `now` for the duration of the cause, unless it is already excluded for longer. */
-    avoid(cause: Cause, now: number): void {
+    start(cause: Cause, now: number): void {
         this.#activeUntil = Math.max(this.#activeUntil, now + EXCLUSION_MS[cause]);
     }
 
--- a/src/policy/placement/expectedtime.test.ts
+++ b/src/policy/placement/expectedtime.test.ts
@@ -8,14 +8,14 @@
 const candidate = (name: string, overrides: Partial<Candidate> = {}): Candidate => ({
     upstream: name as UpstreamName,
     slots: 10,
-    near: true,
+    sameHall: true,
     roundTripMs: 1,
     outstanding: 0,
     report: { running: 2, waiting: 0, limit: 10, serviceMs: 10, baseMs: 10 },
-    reportAt: 0,
+    reportedAt: 0,
     outstandingAtReport: 0,
     penaltyMs: 0,
-    penaltyAt: 0,
+    lastFailureAt: 0,
     ...overrides,
 });
 
@@ -34,7 +34,7 @@
 });
 
 test("placement: an upstream that fails fast is avoided until its penalty decays", () => {
-    const failing = candidate("a", { penaltyMs: 50, penaltyAt: 0, roundTripMs: 0 });
+    const failing = candidate("a", { penaltyMs: 50, lastFailureAt: 0, roundTripMs: 0 });
     assert.equal(choose([failing, candidate("b")], 10), "b");
     assert.equal(choose([failing, candidate("b")], 10_000), "a");
 });
@@ -52,15 +52,15 @@
     const report = { running: 1, waiting: 0, limit: 6, serviceMs: 400, baseMs: 400 };
     const unknown = Array.from(
         { length: 95 },
-        (_, at) => candidate(`u${at}`, { report: undefined, near: at % 5 === 0 }),
+        (_, at) => candidate(`u${at}`, { report: undefined, sameHall: at % 5 === 0 }),
     );
     const known = unknown.map((item, at) => at === 0 || at === 5 ? { ...item, report } : item);
     const placement = new ExpectedTime({ leaveHallCost: 1.5, ownWeight: 3, loadFadeMs: 50 });
     const random = seededRandom(1);
     const chosen = Array.from({ length: 200 }, () => placement.choose(known, 10_000, random)!);
-    assert.deepEqual(chosen.filter(item => !item.near), []);
+    assert.deepEqual(chosen.filter(item => !item.sameHall), []);
     assert.ok(chosen.some(item => item.report === undefined), "upstreams without a report get requests too");
-    const busy = known.map(item => item.near ? { ...item, outstanding: 12 } : item);
+    const busy = known.map(item => item.sameHall ? { ...item, outstanding: 12 } : item);
     const whenBusy = Array.from({ length: 50 }, () => placement.choose(busy, 10_000, random)!);
-    assert.ok(whenBusy.filter(item => !item.near).length > 40, "requests leave a busy hall");
+    assert.ok(whenBusy.filter(item => !item.sameHall).length > 40, "requests leave a busy hall");
 });
--- a/src/policy/placement/expectedtime.ts
+++ b/src/policy/placement/expectedtime.ts
@@ -106,14 +106,14 @@
      * report.
      */
     expectedMs(candidate: Candidate, now: number, usualMs = DEFAULT_SERVICE_MS): number {
-        const ageMs = now - candidate.reportAt;
+        const ageMs = now - candidate.reportedAt;
         const limit = Math.max(1, this.#limit(candidate, ageMs));
         const load = this.#load(candidate, ageMs);
         const baseMs = candidate.report?.baseMs ?? usualMs;
         const serviceMs = this.#serviceMs(candidate, ageMs) ?? baseMs;
         const queueRounds = Math.max(0, load + 1 - limit) / limit;
         const utilizationCost = UTILIZATION_COST * Math.min(1, load / limit);
-        const leaveHallMs = candidate.near ? 0 : this.#options.leaveHallCost * baseMs;
+        const leaveHallMs = candidate.sameHall ? 0 : this.#options.leaveHallCost * baseMs;
         const pathMs = candidate.roundTripMs + leaveHallMs;
         return pathMs + serviceMs * (1 + queueRounds + utilizationCost) + this.#penaltyMs(candidate, now);
     }
@@ -121,7 +121,7 @@
     /** Samples candidates; if leaving the hall has a cost, about half of the sample is taken from the own hall. */
     #sampleCandidates(candidates: readonly Candidate[], random: RandomSource): Candidate[] {
         const { choices, leaveHallCost } = this.#options;
-        const sameHall = leaveHallCost === 0 ? [] : candidates.filter(candidate => candidate.near);
+        const sameHall = leaveHallCost === 0 ? [] : candidates.filter(candidate => candidate.sameHall);
         const sampled = sample(sameHall, Math.ceil(choices / 2), random);
         const rest = sampled.length === 0 ? candidates : candidates.filter(candidate => !sampled.includes(candidate));
         return [...sampled, ...sample(rest, choices - sampled.length, random)];
@@ -129,7 +129,9 @@
 
     /** The penalty decays because an upstream that receives no requests cannot show that it works again. */
     #penaltyMs(candidate: Candidate, now: number): number {
-        return candidate.penaltyMs === 0 ? 0 : candidate.penaltyMs * decay(now - candidate.penaltyAt, PENALTY_DECAY_MS);
+        return candidate.penaltyMs === 0
+            ? 0
+            : candidate.penaltyMs * decay(now - candidate.lastFailureAt, PENALTY_DECAY_MS);
     }
 
     #limit(candidate: Candidate, ageMs: number): number {
--- a/src/policy/placement/failurepenalty.ts
+++ b/src/policy/placement/failurepenalty.ts
@@ -24,16 +24,16 @@
         return this.#ms;
     }
 
-    get at(): number {
+    get lastFailureAt(): number {
         return this.#lastFailureAt;
     }
 
-    failed(now: number): void {
+    recordFailure(now: number): void {
         this.#lastFailureAt = now;
         this.#ms = Math.min(MAX_PENALTY_MS, this.#ms + PENALTY_PER_FAILURE_MS);
     }
 
-    succeeded(): void {
+    recordSuccess(): void {
         this.#ms = this.#ms < MIN_PENALTY_MS ? 0 : this.#ms * RETAINED_SHARE;
     }
 }
--- a/src/policy/placement/fullness.ts
+++ b/src/policy/placement/fullbackoff.ts
@@ -14,12 +14,12 @@
 const MAX_BACKOFF_MS = 3200;
 
 /** Holds the backoff of one upstream; times are milliseconds on the daemon's clock. */
-export class Fullness {
+export class FullBackoff {
     #nextBackoffMs = INITIAL_BACKOFF_MS;
     #activeUntil = -Infinity;
 
     /** Records that the upstream refused a request. Further refusals while the backoff is active do not count. */
-    turnedAway(now: number): void {
+    recordRefusal(now: number): void {
         if (!this.isActive(now)) {
             this.#activeUntil = now + this.#nextBackoffMs;
             this.#nextBackoffMs = Math.min(MAX_BACKOFF_MS, this.#nextBackoffMs * 2);
@@ -27,7 +27,7 @@
     }
 
     /** Records that the upstream served a request, which resets the next backoff. */
-    served(): void {
+    recordServed(): void {
         this.#nextBackoffMs = INITIAL_BACKOFF_MS;
     }
 
--- a/src/policy/placement/rateshare.ts
+++ b/src/policy/placement/rateshare.ts
@@ -31,7 +31,7 @@
      * Sets the stated rate limit; undefined while the upstream states none. A changed limit starts again with the full
      * rate.
      */
-    follow(perSecond: number | undefined, now: number): void {
+    setLimit(perSecond: number | undefined, now: number): void {
         if (perSecond === this.#perSecond) {
             return;
         }
@@ -41,12 +41,12 @@
     }
 
     /** Returns false while this ingress has used its share. */
-    isOpen(now: number): boolean {
+    maySend(now: number): boolean {
         return now >= this.#nextSendAt;
     }
 
     /** Returns true if this ingress has sent nothing for so long that it would not notice that the limit was lifted. */
-    isDue(now: number): boolean {
+    isProbeDue(now: number): boolean {
         return this.#perSecond !== undefined && now >= this.#nextSendAt + PROBE_AFTER_MS;
     }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    recordAnswer(): void {
+    recordResponse(): void {
         this.#intervalMs = Math.max(this.#minIntervalMs, this.#intervalMs * RECOVERY_FACTOR);
     }
 
--- a/src/policy/placement/selecttargets.test.ts
+++ b/src/policy/placement/selecttargets.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Availability } from "./availability.js";
-import { Avoidance } from "./avoidance.js";
-import { Fullness } from "./fullness.js";
+import { Exclusion } from "./exclusion.js";
+import { FullBackoff } from "./fullbackoff.js";
 import type { Selectable } from "./selectable.js";
 import { selectTargets } from "./selecttargets.js";
 
@@ -27,7 +27,7 @@
 });
 
 test("full backoff: doubles with each refusal up to a maximum, and resets when the upstream serves a request", () => {
-    const fullness = new Fullness();
+    const fullness = new FullBackoff();
     const activeUntil = (from: number): number => {
         let now = from;
         while (fullness.isActive(now)) {
@@ -36,23 +36,23 @@
         return now;
     };
     assert.equal(fullness.isActive(0), false);
-    fullness.turnedAway(1000);
-    fullness.turnedAway(1100);
+    fullness.recordRefusal(1000);
+    fullness.recordRefusal(1100);
     assert.equal(activeUntil(1000), 1200);
-    fullness.turnedAway(1200);
+    fullness.recordRefusal(1200);
     assert.equal(activeUntil(1200), 1600);
-    [2000, 4000, 8000, 16_000].forEach(now => fullness.turnedAway(now));
+    [2000, 4000, 8000, 16_000].forEach(now => fullness.recordRefusal(now));
     assert.equal(activeUntil(16_000), 19_200);
-    fullness.served();
-    fullness.turnedAway(20_000);
+    fullness.recordServed();
+    fullness.recordRefusal(20_000);
     assert.equal(activeUntil(20_000), 20_200);
 });
 
 test("exclusion: each cause has its own duration, and the latest end counts", () => {
-    const avoidance = new Avoidance();
+    const avoidance = new Exclusion();
     assert.equal(avoidance.isActive(0), false);
-    avoidance.avoid("leaving", 0);
-    avoidance.avoid("absent", 0);
+    avoidance.start("leaving", 0);
+    avoidance.start("absent", 0);
     assert.equal(avoidance.isActive(1999), true);
     assert.equal(avoidance.isActive(2000), false);
 });
--- a/src/policy/placement/selecttargets.ts
+++ b/src/policy/placement/selecttargets.ts
@@ -9,7 +9,7 @@
  * Draining, leaving and evacuated upstreams are never used.
  */
 import type { Availability } from "./availability.js";
-import { availableOf } from "./availableof.js";
+import { availableTargets } from "./availabletargets.js";
 import type { Selectable } from "./selectable.js";
 
 /** Upstreams that refuse most requests but still accept some. */
@@ -21,7 +21,7 @@
     attempted: ReadonlySet<Target>,
     now: number,
 ): Target[] {
-    const unattempted = availableOf(all, attempted, now);
+    const unattempted = availableTargets(all, attempted, now);
     if (unattempted.length > 0) {
         return unattempted;
     }
@@ -29,6 +29,6 @@
     if (suspected.length > 0) {
         return suspected;
     }
-    const available = availableOf(all, new Set(), now);
+    const available = availableTargets(all, new Set(), now);
     return available.length > 0 ? available : all.filter(target => lastResort.has(target.availability(now)));
 }
--- a/src/policy/placement/isworthreporting.ts
+++ b/src/policy/placement/shouldreportload.ts
@@ -13,7 +13,7 @@
 const MIN_SERVICE_MS = 0.1;
 
 /** Returns true if there was no report yet, or if the service time has changed enough since `lastReport`. */
-export function isWorthReporting(report: LoadReport, lastReport: LoadReport | undefined): boolean {
+export function shouldReportLoad(report: LoadReport, lastReport: LoadReport | undefined): boolean {
     if (lastReport === undefined) {
         return true;
     }
--- a/src/policy/placement/atleast.ts
+++ b/src/policy/placement/withminservicetime.ts
@@ -10,6 +10,6 @@
 /**
  * Returns the report with `serviceMs` raised to `elapsedMs`, or the same object if `serviceMs` is at least that long.
  */
-export function atLeast(report: LoadReport, elapsedMs: number): LoadReport {
+export function withMinServiceTime(report: LoadReport, elapsedMs: number): LoadReport {
     return elapsedMs > report.serviceMs ? { ...report, serviceMs: elapsedMs } : report;
 }
--- a/src/policy/quarantine/crashhistory.test.ts
+++ b/src/policy/quarantine/crashhistory.test.ts
@@ -18,24 +18,24 @@
 
 test("crash history: suspect from the second crash, quarantined from the third, and each crash counts once", () => {
     const history = new CrashHistory();
-    assert.equal(history.standing(crashing, 0), "free");
+    assert.equal(history.statusOf(crashing, 0), "free");
     history.merge([crashRecord("1"), crashRecord("1")], 0);
-    assert.equal(history.standing(crashing, 0), "free");
+    assert.equal(history.statusOf(crashing, 0), "free");
     history.merge([crashRecord("2")], 0);
-    assert.equal(history.standing(crashing, 0), "suspect");
+    assert.equal(history.statusOf(crashing, 0), "suspect");
     history.merge([crashRecord("3")], 0);
-    assert.equal(history.standing(crashing, 0), "quarantined");
-    assert.equal(history.quarantinedForMs(crashing, 1000), crashLimits.holdMs - 1000);
-    assert.equal(history.standing("other" as RequestKey, 0), "free");
+    assert.equal(history.statusOf(crashing, 0), "quarantined");
+    assert.equal(history.quarantinedForMs(crashing, 1000), crashLimits.quarantineMs - 1000);
+    assert.equal(history.statusOf("other" as RequestKey, 0), "free");
 });
 
 test("crash history: a request may run again after its quarantine, and one more crash quarantines it again", () => {
     const history = new CrashHistory();
     history.merge(["1", "2", "3"].map(id => crashRecord(id)), 0);
-    const later = crashLimits.holdMs;
-    assert.equal(history.standing(crashing, later), "suspect");
+    const later = crashLimits.quarantineMs;
+    assert.equal(history.statusOf(crashing, later), "suspect");
     history.merge([crashRecord("4")], later);
-    assert.equal(history.standing(crashing, later + 1), "quarantined");
+    assert.equal(history.statusOf(crashing, later + 1), "quarantined");
     history.merge([], later + crashLimits.retentionMs);
     assert.equal(history.isEmpty, true, "evicted after the retention period");
 });
@@ -44,18 +44,18 @@
     const history = new CrashHistory();
     history.merge(["1", "2", "3"].map(id => crashRecord(id)), 0);
     assert.equal(history.clear(crashing), true);
-    assert.equal(history.standing(crashing, 0), "free");
+    assert.equal(history.statusOf(crashing, 0), "free");
     assert.equal(history.clear(crashing), false);
     history.merge(["1", "4", "5"].map(id => crashRecord(id)), 0);
-    assert.equal(history.standing(crashing, 0), "suspect");
+    assert.equal(history.statusOf(crashing, 0), "suspect");
 });
 
 test("crash history: a crash that is reported again later, as by the store, does not extend the quarantine", () => {
     const history = new CrashHistory();
     const received = ["1", "2", "3"].map(id => crashRecord(id));
     history.merge(received, 0);
-    history.merge(received, crashLimits.holdMs / 2);
-    assert.equal(history.quarantinedForMs(crashing, crashLimits.holdMs / 2), crashLimits.holdMs / 2);
+    history.merge(received, crashLimits.quarantineMs / 2);
+    assert.equal(history.quarantinedForMs(crashing, crashLimits.quarantineMs / 2), crashLimits.quarantineMs / 2);
     history.merge(received, crashLimits.retentionMs);
     assert.equal(history.isEmpty, true, "the retention period is not extended either");
 });
@@ -66,24 +66,24 @@
     for (let at = 0; at < crashLimits.maxRequests * 2; at++) {
         history.merge([crashRecord("x", `r${at}` as RequestKey)], 1 + at);
     }
-    assert.equal(history.changedAfter(0, 0).length, crashLimits.maxRequests);
-    assert.equal(history.standing(crashing, 1000), "suspect");
-    const many = Array.from({ length: crashLimits.maxCrashes * 2 }, (_, at) => crashRecord(`c${at}`));
+    assert.equal(history.recordsChangedAfter(0, 0).length, crashLimits.maxRequests);
+    assert.equal(history.statusOf(crashing, 1000), "suspect");
+    const many = Array.from({ length: crashLimits.maxCrashesPerRequest * 2 }, (_, at) => crashRecord(`c${at}`));
     history.merge(many, 2000);
-    assert.equal(history.find(crashing, 2000)!.crashes.length, crashLimits.maxCrashes);
+    assert.equal(history.recordOf(crashing, 2000)!.crashes.length, crashLimits.maxCrashesPerRequest);
 });
 
 test("crash history: returns the records changed since a count; the suspect digest covers suspects only", () => {
     const history = new CrashHistory();
     history.merge([crashRecord("1"), crashRecord("1", "other" as RequestKey)], 0);
-    const changesBefore = history.changes;
-    assert.deepEqual(history.changedAfter(changesBefore, 0), []);
-    assert.equal(history.suspectMark, undefined);
+    const changesBefore = history.changeCount;
+    assert.deepEqual(history.recordsChangedAfter(changesBefore, 0), []);
+    assert.equal(history.suspectDigest, undefined);
     history.merge([crashRecord("1"), crashRecord("2")], 0);
-    assert.deepEqual(history.changedAfter(changesBefore, 0).map(({ request }) => request), [crashing]);
-    assert.notEqual(history.suspectMark, undefined);
+    assert.deepEqual(history.recordsChangedAfter(changesBefore, 0).map(({ request }) => request), [crashing]);
+    assert.notEqual(history.suspectDigest, undefined);
     history.clear(crashing);
-    assert.equal(history.suspectMark, undefined);
+    assert.equal(history.suspectDigest, undefined);
 });
 
 const recordLists = fc.array(
@@ -108,9 +108,9 @@
                     a.at - b.at
                 );
                 two.merge([...shuffled, ...shuffled].map(({ record }) => record), 0);
-                assert.equal(one.mark, two.mark);
+                assert.equal(one.digest, two.digest);
                 ["a", "b", "c"].forEach(request =>
-                    assert.equal(one.standing(request as RequestKey, 0), two.standing(request as RequestKey, 0))
+                    assert.equal(one.statusOf(request as RequestKey, 0), two.statusOf(request as RequestKey, 0))
                 );
             },
         ),
@@ -124,9 +124,9 @@
             const [one, two] = [new CrashHistory(), new CrashHistory()];
             one.merge(received, 0);
             two.merge(receivedElsewhere, 0);
-            two.merge(one.changedAfter(0, 0), 0);
-            one.merge(two.changedAfter(0, 0), 0);
-            assert.equal(one.mark, two.mark);
+            two.merge(one.recordsChangedAfter(0, 0), 0);
+            one.merge(two.recordsChangedAfter(0, 0), 0);
+            assert.equal(one.digest, two.digest);
         }),
         { seed: 34, numRuns: 500 },
     );
--- a/src/policy/quarantine/crashhistory.ts
+++ b/src/policy/quarantine/crashhistory.ts
@@ -18,7 +18,7 @@
 import { crashLimits } from "./crashlimits.js";
 import type { CrashRecord } from "./crashrecord.js";
 import { hashText } from "./hashtext.js";
-import type { Standing } from "./standing.js";
+import type { QuarantineStatus } from "./quarantinestatus.js";
 
 /**
  * What is known of one request. `changeNumber` is the history's count of changes after the last change of this entry.
@@ -38,7 +38,7 @@
 
 /** Drops all but the lowest ids, so that all daemons keep the same ones. */
 const keepLowestIds = (ids: Set<CrashId>): void => {
-    [...ids].sort().slice(crashLimits.maxCrashes).forEach(id => ids.delete(id));
+    [...ids].sort().slice(crashLimits.maxCrashesPerRequest).forEach(id => ids.delete(id));
 };
 
 const digestOf = (request: RequestKey, { crashes, cleared }: Entry): number => {
@@ -60,31 +60,31 @@
     }
 
     /** Digest of the history, equal for equal content; undefined if the history is empty. */
-    get mark(): number | undefined {
+    get digest(): number | undefined {
         return this.isEmpty ? undefined : this.#currentDigests().all;
     }
 
     /** Digest of suspect and quarantined requests, equal for equal content; undefined if there are none. */
-    get suspectMark(): number | undefined {
+    get suspectDigest(): number | undefined {
         const { suspect } = this.#currentDigests();
         return suspect === 0 ? undefined : suspect;
     }
 
     /** Number of changes so far. */
-    get changes(): number {
+    get changeCount(): number {
         return this.#changeCount;
     }
 
     /** Merges records into the history and returns the requests whose records contained something new. */
     merge(records: readonly CrashRecord[], now: number): RequestKey[] {
         const changed = records.filter(record => record.ageMs < crashLimits.retentionMs && this.#mergeOne(record, now));
-        this.forgetOld(now);
+        this.evictExpired(now);
         this.#evictExcess();
         return changed.map(({ request }) => request);
     }
 
     /** Evicts requests whose retention period after the last crash has expired. */
-    forgetOld(now: number): void {
+    evictExpired(now: number): void {
         for (const [request, { lastCrashAt }] of this.#entries) {
             if (now - lastCrashAt >= crashLimits.retentionMs) {
                 this.#delete(request);
@@ -111,14 +111,14 @@
      */
     quarantinedForMs(request: RequestKey, now: number): number | undefined {
         const entry = this.#entries.get(request);
-        if (entry === undefined || countUncleared(entry) < crashLimits.quarantineAt) {
+        if (entry === undefined || countUncleared(entry) < crashLimits.quarantineThreshold) {
             return undefined;
         }
-        const remainingMs = entry.lastCrashAt + crashLimits.holdMs - now;
+        const remainingMs = entry.lastCrashAt + crashLimits.quarantineMs - now;
         return remainingMs > 0 ? remainingMs : undefined;
     }
 
-    standing(request: RequestKey, now: number): Standing {
+    statusOf(request: RequestKey, now: number): QuarantineStatus {
         const entry = this.#entries.get(request);
         if (entry === undefined || countUncleared(entry) < crashLimits.suspectThreshold) {
             return "free";
@@ -131,7 +131,7 @@
         return [...this.#entries.keys()].filter(request => this.quarantinedForMs(request, now) !== undefined).length;
     }
 
-    find(request: RequestKey, now: number): CrashRecord | undefined {
+    recordOf(request: RequestKey, now: number): CrashRecord | undefined {
         const entry = this.#entries.get(request);
         if (entry === undefined) {
             return undefined;
@@ -141,9 +141,9 @@
     }
 
     /** Returns the records that changed after the first `changeCount` changes; for 0, all records. */
-    changedAfter(changeCount: number, now: number): CrashRecord[] {
+    recordsChangedAfter(changeCount: number, now: number): CrashRecord[] {
         const changed = [...this.#entries].filter(([, { changeNumber }]) => changeNumber > changeCount);
-        return changed.map(([request]) => this.find(request, now)!);
+        return changed.map(([request]) => this.recordOf(request, now)!);
     }
 
     #mergeOne({ request, crashes, cleared, ageMs }: CrashRecord, now: number): boolean {
--- a/src/policy/quarantine/crashlimits.ts
+++ b/src/policy/quarantine/crashlimits.ts
@@ -5,7 +5,7 @@
      * in progress at one crash now and then, but at three without being served successfully in between only if
      * upstreams crash repeatedly for another reason. The users' operators allow three crashes.
      */
-    quarantineAt: 3,
+    quarantineThreshold: 3,
     /**
      * Number of uncleared crashes from which winglock itself does not retry a request; the next would be one too many.
      */
@@ -15,7 +15,7 @@
      * have fixed the upstreams; one more crash quarantines it again. The time is longer than callers keep retrying, and
      * shorter than the wait for a release.
      */
-    holdMs: 600_000,
+    quarantineMs: 600_000,
     /** How long a request is kept after its last crash: several times as long as a quarantine. */
     retentionMs: 3_600_000,
     /**
@@ -24,5 +24,5 @@
      */
     maxRequests: 256,
     /** Maximum number of crashes that are kept for a request: five times as many as quarantine it. */
-    maxCrashes: 16,
+    maxCrashesPerRequest: 16,
 } as const;
--- a/src/policy/quarantine/standing.ts
+++ b/src/policy/quarantine/quarantinestatus.ts
@@ -5,4 +5,4 @@
  * - `suspect`: the request may have caused crashes, and winglock itself does not retry it.
  * - `quarantined`: the request is not run.
  */
-export type Standing = "free" | "suspect" | "quarantined";
+export type QuarantineStatus = "free" | "suspect" | "quarantined";
--- a/src/policy/quarantine/recordsofcrash.ts
+++ b/src/policy/quarantine/tocrashrecords.ts
@@ -4,6 +4,6 @@
 import type { CrashRecord } from "./crashrecord.js";
 
 /** Returns a record for each request, of a crash that has just happened. */
-export function recordsOfCrash(crash: CrashId, requests: readonly RequestKey[]): CrashRecord[] {
+export function toCrashRecords(crash: CrashId, requests: readonly RequestKey[]): CrashRecord[] {
     return requests.map(request => ({ request, crashes: [crash], cleared: [], ageMs: 0 }));
 }
--- a/src/policy/rate/sendrate.ts
+++ b/src/policy/rate/sendrate.ts
@@ -8,13 +8,13 @@
 import type { Priority } from "../../config/priority.js";
 import type { ColdGuard } from "../cold/coldguard.js";
 import { PriorityRates } from "./priorityrates.js";
-import type { RequestLimit } from "./requestlimit.js";
+import type { StatedRateLimiter } from "./statedratelimiter.js";
 
 /** Combines the rate limits of one upstream, as its gate knows them. */
 export class SendRate {
     readonly #priorityRates = new PriorityRates();
 
-    constructor(private readonly coldGuard: ColdGuard, private readonly statedLimit: RequestLimit) {}
+    constructor(private readonly coldGuard: ColdGuard, private readonly statedLimit: StatedRateLimiter) {}
 
     /** True while the upstream states a limit; its service times are not typical then. */
     get isLimited(): boolean {
--- a/src/policy/rate/requestlimit.test.ts
+++ b/src/policy/rate/statedratelimiter.test.ts
@@ -1,8 +1,8 @@
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { RequestLimit } from "./requestlimit.js";
 import type { StatedLimit } from "./statedlimit.js";
+import { StatedRateLimiter } from "./statedratelimiter.js";
 
 const NONE: StatedLimit = { type: "none" };
 /** Describes a response to a request that was sent at `sentAt`. */
@@ -13,73 +13,73 @@
 const stated = (perSecond: number): StatedLimit => ({ type: "perSecond", perSecond });
 
 test("stated limit: applies from the first response that states it until a later one does not", () => {
-    const limit = new RequestLimit();
-    limit.recordAnswer(NONE, requestSentAt(0), 10);
+    const limit = new StatedRateLimiter();
+    limit.recordResponse(NONE, requestSentAt(0), 10);
     assert.equal(limit.perSecond, undefined);
-    limit.recordAnswer(stated(7.8), requestSentAt(20), 40);
+    limit.recordResponse(stated(7.8), requestSentAt(20), 40);
     assert.equal(limit.perSecond, 7.8);
-    limit.recordAnswer(stated(3), requestSentAt(50), 60);
+    limit.recordResponse(stated(3), requestSentAt(50), 60);
     assert.equal(limit.perSecond, 3);
-    limit.recordAnswer(NONE, requestSentAt(70), 80);
+    limit.recordResponse(NONE, requestSentAt(70), 80);
     assert.equal(limit.perSecond, undefined);
 });
 
 test("stated limit: a response that was in flight when the limit was stated does not end it", () => {
-    const limit = new RequestLimit();
-    limit.recordAnswer(stated(7.8), requestSentAt(20), 40);
-    limit.recordAnswer(NONE, requestSentAt(30), 50);
-    limit.recordAnswer(NONE, requestSentAt(40), 51);
+    const limit = new StatedRateLimiter();
+    limit.recordResponse(stated(7.8), requestSentAt(20), 40);
+    limit.recordResponse(NONE, requestSentAt(30), 50);
+    limit.recordResponse(NONE, requestSentAt(40), 51);
     assert.equal(limit.perSecond, 7.8);
 });
 
 test("stated limit: the lower one of two responses in flight at the same time applies", () => {
-    const limit = new RequestLimit();
-    limit.recordAnswer(stated(3), requestSentAt(10), 20);
-    limit.recordAnswer(stated(9), requestSentAt(15), 25);
+    const limit = new StatedRateLimiter();
+    limit.recordResponse(stated(3), requestSentAt(10), 20);
+    limit.recordResponse(stated(9), requestSentAt(15), 25);
     assert.equal(limit.perSecond, 3);
-    limit.recordAnswer(stated(9), requestSentAt(30), 40);
+    limit.recordResponse(stated(9), requestSentAt(30), 40);
     assert.equal(limit.perSecond, 9);
 });
 
 test("stated limit: an unreadable value changes nothing", () => {
-    const limit = new RequestLimit();
-    limit.recordAnswer(stated(3), requestSentAt(10), 20);
-    limit.recordAnswer({ type: "unreadable", text: "abc" }, requestSentAt(30), 40);
+    const limit = new StatedRateLimiter();
+    limit.recordResponse(stated(3), requestSentAt(10), 20);
+    limit.recordResponse({ type: "unreadable", text: "abc" }, requestSentAt(30), 40);
     assert.equal(limit.perSecond, 3);
 });
 
 test("stated limit: a health response without it ends it only if health responses state it too", () => {
-    const healthProbeSentAt = (sentAt: number): Parameters<RequestLimit["recordAnswer"]>[1] => ({
+    const healthProbeSentAt = (sentAt: number): Parameters<StatedRateLimiter["recordResponse"]>[1] => ({
         sentAt,
         isHealth: true,
     });
-    const limit = new RequestLimit();
-    limit.recordAnswer(stated(3), requestSentAt(10), 20);
-    limit.recordAnswer(NONE, healthProbeSentAt(30), 40);
+    const limit = new StatedRateLimiter();
+    limit.recordResponse(stated(3), requestSentAt(10), 20);
+    limit.recordResponse(NONE, healthProbeSentAt(30), 40);
     assert.equal(limit.perSecond, 3);
-    limit.recordAnswer(stated(3), healthProbeSentAt(50), 60);
-    limit.recordAnswer(NONE, healthProbeSentAt(70), 80);
+    limit.recordResponse(stated(3), healthProbeSentAt(50), 60);
+    limit.recordResponse(NONE, healthProbeSentAt(70), 80);
     assert.equal(limit.perSecond, undefined);
 });
 
 test("stated limit: a restarted gate applies the limit that senders know until the upstream itself responds", () => {
-    const limit = new RequestLimit();
-    limit.recordTold(7.8, 0);
+    const limit = new StatedRateLimiter();
+    limit.recordPropagated(7.8, 0);
     assert.equal(limit.perSecond, 7.8);
     assert.ok(limit.sendableAt(1, 0) > 100, "no burst: requests sent before the start are not known");
-    limit.recordAnswer(NONE, requestSentAt(-5), 10);
+    limit.recordResponse(NONE, requestSentAt(-5), 10);
     assert.equal(limit.perSecond, undefined);
-    limit.recordTold(7.8, 20);
+    limit.recordPropagated(7.8, 20);
     assert.equal(limit.perSecond, undefined);
 });
 
 test("stated limit: health probes use no capacity that requests need", () => {
-    const limit = new RequestLimit();
-    assert.equal(limit.mayAskHealth(0), true);
-    limit.recordAnswer(stated(2), requestSentAt(0), 10);
+    const limit = new StatedRateLimiter();
+    assert.equal(limit.mayProbeHealth(0), true);
+    limit.recordResponse(stated(2), requestSentAt(0), 10);
     limit.recordSent(1000);
-    assert.equal(limit.mayAskHealth(2000), false);
-    assert.equal(limit.mayAskHealth(5000), true);
+    assert.equal(limit.mayProbeHealth(2000), false);
+    assert.equal(limit.mayProbeHealth(5000), true);
 });
 
 const WINDOW_MS = 4000;
@@ -107,21 +107,21 @@
  */
 const simulateSends = ({ arrivalIntervalMs, responseMs, perSecond, statedAt, gateStarts }: Scenario): number[] => {
     const sent: number[] = [];
-    let limit = new RequestLimit();
+    let limit = new StatedRateLimiter();
     let isKnownToSenders = false;
     let inFlight: { readonly sentAt: number; readonly endsAt: number; }[] = [];
     for (let now = 0; now < 16_000; now += 1) {
         if (gateStarts.includes(now)) {
-            limit = new RequestLimit();
+            limit = new StatedRateLimiter();
             inFlight = [];
         }
         inFlight.filter(({ endsAt }) => endsAt === now).forEach(({ sentAt }) => {
             isKnownToSenders ||= now >= statedAt;
-            limit.recordAnswer(now >= statedAt ? stated(perSecond) : NONE, requestSentAt(sentAt), now);
+            limit.recordResponse(now >= statedAt ? stated(perSecond) : NONE, requestSentAt(sentAt), now);
         });
         if (now % arrivalIntervalMs === 0) {
             if (isKnownToSenders) {
-                limit.recordTold(perSecond, now);
+                limit.recordPropagated(perSecond, now);
             }
             if (limit.sendableAt(1, now) <= now) {
                 limit.recordSent(now);
@@ -152,11 +152,11 @@
 });
 
 test("stated limit: a change of the limit keeps the rate, and restating it grants no burst", () => {
-    const limit = new RequestLimit();
+    const limit = new StatedRateLimiter();
     let sent = 0;
     for (let now = 0; now < 4000; now += 1) {
         if (now % 100 === 0) {
-            limit.recordAnswer(stated(now % 200 === 0 ? 4 : 8), requestSentAt(now), now);
+            limit.recordResponse(stated(now % 200 === 0 ? 4 : 8), requestSentAt(now), now);
         }
         if (limit.sendableAt(1, now) <= now) {
             limit.recordSent(now);
--- a/src/policy/rate/requestlimit.ts
+++ b/src/policy/rate/statedratelimiter.ts
@@ -23,7 +23,7 @@
 type ResponseInfo = { readonly sentAt: number; readonly isHealth: boolean; };
 
 /** Holds the rate limit that one upstream states, as its gate knows it. */
-export class RequestLimit {
+export class StatedRateLimiter {
     #perSecond: number | undefined;
     #statedAt = -Infinity;
     #sentAt = -Infinity;
@@ -39,7 +39,7 @@
     }
 
     /** Records the limit that a response states, or that it states none. */
-    recordAnswer(stated: StatedLimit, { sentAt, isHealth }: ResponseInfo, now: number): void {
+    recordResponse(stated: StatedLimit, { sentAt, isHealth }: ResponseInfo, now: number): void {
         const isStated = stated.type === "perSecond";
         this.#isStatedOnHealth ||= isHealth && isStated;
         const isConclusive = !isHealth || this.#isStatedOnHealth;
@@ -59,7 +59,7 @@
     }
 
     /** Records the limit that the sender of a request knows; ignored once the upstream itself has responded here. */
-    recordTold(perSecond: number, now: number): void {
+    recordPropagated(perSecond: number, now: number): void {
         if (!this.#hasReceivedResponse) {
             this.#setPerSecond(Math.min(perSecond, this.#perSecond ?? Infinity), now);
         }
@@ -77,7 +77,7 @@
     }
 
     /** Returns false while a probe of the health endpoint would use up capacity that requests need. */
-    mayAskHealth(now: number): boolean {
+    mayProbeHealth(now: number): boolean {
         return this.#limiter === undefined
             || now - this.#sentAt >= HEALTH_PROBE_IDLE_MS && this.#limiter.sendableAt(1, now) <= now;
     }
--- a/src/policy/retry/attempthistory.ts
+++ b/src/policy/retry/attempthistory.ts
@@ -5,12 +5,12 @@
  * sent to.
  */
 import type { AttemptResult } from "./attemptresult.js";
-import { maxMoves } from "./maxmoves.js";
+import { maxRedirects } from "./maxredirects.js";
 import { mayHaveArrived } from "./mayhavearrived.js";
 import { reasons } from "./reasons.js";
 
 export class AttemptHistory<Target> {
-    readonly tried = new Set<Target>();
+    readonly attempted = new Set<Target>();
     #attempts = 0;
     #redirects = 0;
     #mayHaveRun = false;
@@ -23,12 +23,12 @@
     }
 
     /** The number of redirects; a redirect does not count as a retry. */
-    get moves(): number {
+    get redirects(): number {
         return this.#redirects;
     }
 
     /** The number of attempts that count towards the rule's maximum: all but redirects. */
-    get counted(): number {
+    get countedAttempts(): number {
         return this.#attempts - this.#redirects;
     }
 
@@ -43,28 +43,28 @@
     }
 
     /** True when the next attempt is a repeat for which no budget has been spent yet. */
-    get owes(): boolean {
+    get needsBudget(): boolean {
         return this.#arrivals > this.#paidArrivals;
     }
 
     /** False after the maximum of redirects: the next gate has to serve the request or refuse it. */
-    get mayMove(): boolean {
-        return this.#redirects < maxMoves;
+    get mayRedirect(): boolean {
+        return this.#redirects < maxRedirects;
     }
 
     /** Records the start of an attempt. */
     begin(target: Target): void {
         this.#attempts += 1;
-        this.tried.add(target);
+        this.attempted.add(target);
     }
 
     /** Records that budget has been spent on the next arrival. */
-    pay(): void {
+    recordBudgetSpent(): void {
         this.#paidArrivals += 1;
     }
 
     /** Records a hedge. Its budget has been spent, and it counts as arrived whatever its result is. */
-    hedge(): void {
+    recordHedge(): void {
         this.#arrivals += 1;
         this.#paidArrivals += 1;
     }
--- a/src/policy/retry/attemptresult.ts
+++ b/src/policy/retry/attemptresult.ts
@@ -7,7 +7,7 @@
 /** The upstream ran the request and reported in its response that the request failed. */
 type Failed<UpstreamResponse> = {
     readonly outcome: "failed";
-    readonly answer: UpstreamResponse;
+    readonly response: UpstreamResponse;
     readonly status: number;
     /** True when a hop nearer to the failure has already retried. */
     readonly retriedBelow: boolean;
--- a/src/policy/retry/callprofile.test.ts
+++ b/src/policy/retry/callprofile.test.ts
@@ -9,14 +9,14 @@
 
 test("call profile: averages the calls of recent runs and drops services that are no longer called", () => {
     const profile = new CallProfile();
-    assert.equal(profile.perRun.size, 0);
+    assert.equal(profile.callsPerRun.size, 0);
     profile.observe(new Map([[results, 2]]));
-    assert.equal(profile.perRun.get(results), 2);
+    assert.equal(profile.callsPerRun.get(results), 2);
     for (let run = 0; run < 100; run++) {
         profile.observe(new Map([[entries, 1]]));
     }
-    assert.deepEqual([...profile.perRun.keys()], [entries]);
-    assert.equal(profile.perRun.get(entries), 1);
+    assert.deepEqual([...profile.callsPerRun.keys()], [entries]);
+    assert.equal(profile.callsPerRun.get(entries), 1);
 });
 
 test("call profile: a repeated run starts only if the calls of all repeated runs in progress can be afforded", () => {
--- a/src/policy/retry/callprofile.ts
+++ b/src/policy/retry/callprofile.ts
@@ -16,7 +16,7 @@
     readonly #callsPerRun = new Map<ServiceName, number>();
 
     /** The average number of calls in a run, for each service that recent runs have called. */
-    get perRun(): ReadonlyMap<ServiceName, number> {
+    get callsPerRun(): ReadonlyMap<ServiceName, number> {
         return this.#callsPerRun;
     }
 
--- a/src/policy/retry/tellproblem.ts
+++ b/src/policy/retry/decideproblem.ts
@@ -10,7 +10,7 @@
 import { reasons } from "./reasons.js";
 
 /** Returns the problem for the outcome and the reason of the last attempt. */
-export function tellProblem(outcome: Outcome, reason: Reason): ProblemType {
+export function decideProblem(outcome: Outcome, reason: Reason): ProblemType {
     const { problem } = reasons[reason];
     return outcome === "not-run" || problem === "deadline" ? problem : "answer-lost";
 }
--- a/src/policy/retry/decideretry.test.ts
+++ b/src/policy/retry/decideretry.test.ts
@@ -11,7 +11,7 @@
 /** The upstream itself refused the request, so it is proven not to have run. */
 const shed: Input["result"] = { outcome: "not-run", reason: "shed" };
 const mayHaveRun: Input["result"] = { outcome: "unknown", reason: "peer-broke" };
-const failed: Input["result"] = { outcome: "failed", answer: undefined, status: 500, retriedBelow: false };
+const failed: Input["result"] = { outcome: "failed", response: undefined, status: 500, retriedBelow: false };
 const notRun = (reason: Reason): Input["result"] => ({ outcome: "not-run", reason });
 
 const RATIO = 0.1;
@@ -31,10 +31,10 @@
             kind: "once",
             attempts: 1,
             maxAttempts: 3,
-            moves: 0,
+            redirects: 0,
             remainingMs: 100,
             bodyKept: true,
-            owes: false,
+            needsBudget: false,
             standing: "free",
             ...overrides,
         },
@@ -72,7 +72,7 @@
     const withoutBudget = budgetWithReserve(0);
     for (const reason of Object.keys(reasons) as Reason[]) {
         const result: Input["result"] = { outcome: "not-run", reason, arrived: true };
-        const { again, why } = decide({ result, owes: true, kind: "repeatable", moves: 1 }, withoutBudget);
+        const { again, why } = decide({ result, needsBudget: true, kind: "repeatable", redirects: 1 }, withoutBudget);
         const expected = reasons[reason].isFinal === true ? "quarantined" : "budget-spent";
         assert.deepEqual({ again, why }, { again: false, why: expected }, reason);
     }
@@ -89,28 +89,28 @@
     const repeatable = { kind: "repeatable" } as const;
     assert.equal(decide({ ...repeatable, result: mayHaveRun, standing: "suspect" }).why, "quarantined");
     assert.equal(decide({ ...repeatable, result: failed, standing: "suspect" }).why, "quarantined");
-    assert.equal(decide({ ...repeatable, result: notRun("busy"), moves: 1, standing: "suspect" }).why, "moves");
+    assert.equal(decide({ ...repeatable, result: notRun("busy"), redirects: 1, standing: "suspect" }).why, "moves");
     assert.equal(
-        decide({ ...repeatable, result: notRun("busy"), moves: 1, standing: "quarantined" }).why,
+        decide({ ...repeatable, result: notRun("busy"), redirects: 1, standing: "quarantined" }).why,
         "quarantined",
     );
 });
 
 test("retry: the first two redirects are free, further ones need budget like retries", () => {
     const withoutBudget = budgetWithReserve(0);
-    assert.deepEqual(decide({ result: notRun("busy"), attempts: 3, moves: 1 }, withoutBudget), {
+    assert.deepEqual(decide({ result: notRun("busy"), attempts: 3, redirects: 1 }, withoutBudget), {
         again: true,
         why: "moves",
     });
-    assert.deepEqual(decide({ result: notRun("busy"), attempts: 3, moves: 2 }, withoutBudget), {
+    assert.deepEqual(decide({ result: notRun("busy"), attempts: 3, redirects: 2 }, withoutBudget), {
         again: true,
         why: "moves",
     });
-    assert.deepEqual(decide({ result: notRun("busy"), moves: 3 }, withoutBudget), {
+    assert.deepEqual(decide({ result: notRun("busy"), redirects: 3 }, withoutBudget), {
         again: false,
         why: "budget-spent",
     });
-    assert.deepEqual(decide({ result: notRun("leaving"), moves: 3 }, withoutBudget), { again: true, why: "free" });
+    assert.deepEqual(decide({ result: notRun("leaving"), redirects: 3 }, withoutBudget), { again: true, why: "free" });
 });
 
 test("retry: the decision names its reason", () => {
--- a/src/policy/retry/decideretry.ts
+++ b/src/policy/retry/decideretry.ts
@@ -17,9 +17,9 @@
  * The table in reasons.ts states which refusals are for load; daemonallowance.ts limits the budget.
  */
 import type { Kind } from "../../config/kind.js";
-import type { Standing } from "../quarantine/standing.js";
+import type { QuarantineStatus } from "../quarantine/quarantinestatus.js";
 import type { AttemptResult } from "./attemptresult.js";
-import { maxMoves } from "./maxmoves.js";
+import { maxRedirects } from "./maxredirects.js";
 import { reasons } from "./reasons.js";
 import type { Retries } from "./retries.js";
 import type { RetryDecision } from "./retrydecision.js";
@@ -33,14 +33,14 @@
     /** The number of attempts that the rule allows, without redirects. */
     readonly maxAttempts: number;
     /** The number of redirects, that of the last attempt included. */
-    readonly moves: number;
+    readonly redirects: number;
     /** The rest of the request's time limit, in milliseconds. */
     readonly remainingMs: number;
     readonly bodyKept: boolean;
     /** True if the next attempt is a repeat for which no budget has been spent yet. */
-    readonly owes: boolean;
+    readonly needsBudget: boolean;
     /** Whether the request is suspected of crashing upstreams, or quarantined for it. */
-    readonly standing: Standing;
+    readonly standing: QuarantineStatus;
 };
 
 /**
@@ -53,7 +53,17 @@
     { budget, allowance }: Pick<Retries, "budget" | "allowance">,
     now: number,
 ): RetryDecision {
-    const { result, kind, attempts, maxAttempts, moves, remainingMs, bodyKept, owes, standing } = input;
+    const {
+        result,
+        kind,
+        attempts,
+        maxAttempts,
+        redirects: moves,
+        remainingMs,
+        bodyKept,
+        needsBudget: owes,
+        standing,
+    } = input;
     const decideByBudget = (): RetryDecision =>
         budget.spend(allowance, now) ? { again: true, why: "budget" } : { again: false, why: "budget-spent" };
     const facts = result.outcome === "failed" ? undefined : reasons[result.reason];
@@ -72,7 +82,7 @@
     if (result.outcome === "failed" && result.retriedBelow) {
         return { again: false, why: "retried-below" };
     }
-    if (facts?.causesRedirect === true && moves <= maxMoves) {
+    if (facts?.causesRedirect === true && moves <= maxRedirects) {
         return owes ? decideByBudget() : { again: true, why: "moves" };
     }
     if (attempts >= maxAttempts) {
--- a/src/policy/retry/defaultattempts.ts
+++ b/src/policy/retry/defaultmaxattempts.ts
@@ -1,2 +1,2 @@
 /** The maximum number of attempts of a request whose rule sets none, not counting redirects. */
-export const defaultAttempts = 3;
+export const defaultMaxAttempts = 3;
--- a/src/policy/retry/maxmoves.ts
+++ b/src/policy/retry/maxredirects.ts
@@ -1,2 +1,2 @@
 /** The maximum number of free redirects of a request; each one costs a round trip between hosts. */
-export const maxMoves = 2;
+export const maxRedirects = 2;
--- a/src/policy/retry/pickresult.test.ts
+++ b/src/policy/retry/pickresult.test.ts
@@ -10,7 +10,7 @@
         case "served":
             return { outcome };
         case "failed":
-            return { outcome, answer: undefined, status: 500, retriedBelow: false };
+            return { outcome, response: undefined, status: 500, retriedBelow: false };
         case "not-run":
         case "unknown":
             return { outcome, reason: "busy" };
--- a/src/policy/retry/reasonfacts.ts
+++ b/src/policy/retry/reasonfacts.ts
@@ -22,5 +22,5 @@
     readonly costsBudget: boolean;
     /** The problem that is sent to the caller if no attempt follows and the request is proven not to have run. */
     readonly problem: ProblemType;
-    readonly upstream: UpstreamEffect;
+    readonly upstreamEffect: UpstreamEffect;
 };
--- a/src/policy/retry/reasonword.ts
+++ b/src/policy/retry/reasonlabel.ts
@@ -5,7 +5,7 @@
  * Returns the reason, `status-` and the status of a response that reports a failure, or an empty text if the request
  * was served.
  */
-export function reasonWord(result: AttemptResult<unknown>): string {
+export function reasonLabel(result: AttemptResult<unknown>): string {
     switch (result.outcome) {
         case "served":
             return "";
--- a/src/policy/retry/reasons.ts
+++ b/src/policy/retry/reasons.ts
@@ -12,7 +12,7 @@
     causesRedirect: false,
     costsBudget: true,
     problem: "overloaded",
-    upstream: "none",
+    upstreamEffect: "none",
 };
 const redirectedForLoad: ReasonFacts = { ...refusedForLoad, causesRedirect: true };
 const targetUnavailable: ReasonFacts = { ...redirectedForLoad, costsBudget: false };
@@ -22,16 +22,16 @@
     ...refusedForLoad,
     costsBudget: false,
     problem: "unreachable",
-    upstream: "suspected",
+    upstreamEffect: "suspected",
 };
 
 /** Has a row for every reason; the compiler rejects a new reason without one. */
 export const reasons: Readonly<Record<Reason, ReasonFacts>> = {
-    "leaving": { ...targetUnavailable, problem: "no-upstream", upstream: "leaving" },
+    "leaving": { ...targetUnavailable, problem: "no-upstream", upstreamEffect: "leaving" },
     "slow": redirectedForLoad,
     "busy": redirectedForLoad,
-    "cold": { ...redirectedForLoad, upstream: "cold" },
-    "limited": { ...redirectedForLoad, upstream: "limited" },
+    "cold": { ...redirectedForLoad, upstreamEffect: "cold" },
+    "limited": { ...redirectedForLoad, upstreamEffect: "limited" },
     "handed-back": redirectedForLoad,
     "calls-spent": redirectedForLoad,
     "quarantined": { ...refusedForLoad, isFinal: true, problem: "quarantined" },
@@ -45,10 +45,10 @@
     "ledger-expired": deadlinePassed,
     "ledger-full": refusedForLoad,
     "incarnation": { ...targetUnavailable, problem: "unreachable" },
-    "no-such-upstream": { ...targetUnavailable, problem: "no-upstream", upstream: "absent" },
+    "no-such-upstream": { ...targetUnavailable, problem: "no-upstream", upstreamEffect: "absent" },
     "stale-rule": redirectedForLoad,
     "bad-call": refusedForLoad,
-    "shed": { ...refusedForLoad, upstream: "full" },
+    "shed": { ...refusedForLoad, upstreamEffect: "full" },
     "misdirected": refusedForLoad,
     "foreign-answer": mayHaveRun,
     "upstream-broke": mayHaveRun,
--- a/src/policy/retry/serviceretries.ts
+++ b/src/policy/retry/retriesbyservice.ts
@@ -13,7 +13,7 @@
 type ServiceState = Pick<Retries, "budget" | "hedging">;
 
 /** Creates the state of a service when it is first requested. */
-export class ServiceRetries {
+export class RetriesByService {
     readonly #stateByService = new Map<ServiceName, ServiceState>();
     #maxDaemonCount = 1;
 
@@ -25,12 +25,12 @@
      * The largest number counts, since daemons that are no longer known may only be unreachable from here and still
      * send requests.
      */
-    recordDaemons(count: number): void {
+    recordDaemonCount(count: number): void {
         this.#maxDaemonCount = Math.max(this.#maxDaemonCount, count);
     }
 
     /** Returns the state of a service with its allowance at `now`, in milliseconds on the daemon's clock. */
-    of({ name, retryRatio: serviceRatio }: Pick<Service, "name" | "retryRatio">, now: number): Retries {
+    get({ name, retryRatio: serviceRatio }: Pick<Service, "name" | "retryRatio">, now: number): Retries {
         const { bound, burst, startedAt } = this.bounds;
         const input = { bound, burst, serviceRatio, daemonCount: this.#maxDaemonCount, uptimeMs: now - startedAt };
         return { ...this.#stateOf(name), allowance: daemonAllowance(input) };
--- a/src/policy/retry/retrybudget.test.ts
+++ b/src/policy/retry/retrybudget.test.ts
@@ -47,6 +47,6 @@
     for (let call = 0; call < 5; call++) {
         budget.recordRepeat(1);
     }
-    assert.equal(budget.left(allowance, 1), -2);
+    assert.equal(budget.remaining(allowance, 1), -2);
     assert.equal(spendAll(budget, 1), 0);
 });
--- a/src/policy/retry/retrybudget.ts
+++ b/src/policy/retry/retrybudget.ts
@@ -30,13 +30,13 @@
     }
 
     /** Returns how many repeats can be afforded, which is negative if calls of repeated runs exceeded the allowance. */
-    left({ ratio, reserve }: Allowance, now: number): number {
+    remaining({ ratio, reserve }: Allowance, now: number): number {
         return ratio * this.#requests.atLeast(now) + reserve - this.#repeats.atMost(now);
     }
 
     /** Spends one repeat; returns false, and spends nothing, if it can't be afforded. */
     spend(allowance: Allowance, now: number): boolean {
-        if (this.left(allowance, now) < 1) {
+        if (this.remaining(allowance, now) < 1) {
             return false;
         }
         this.recordRepeat(now);
--- a/src/policy/retry/retrymodel.test.ts
+++ b/src/policy/retry/retrymodel.test.ts
@@ -10,7 +10,7 @@
 import type { ServiceName } from "../../ids/servicename.js";
 import { canAffordCalls } from "./canaffordcalls.js";
 import type { Retries } from "./retries.js";
-import { ServiceRetries } from "./serviceretries.js";
+import { RetriesByService } from "./retriesbyservice.js";
 
 const RUNS = Number(process.env["WINGLOCK_MODEL_RUNS"] ?? 80);
 const SEED = 20261202;
@@ -88,7 +88,7 @@
 class Model {
     readonly outer = new Traffic();
     readonly inner = new Traffic();
-    readonly #daemons: ServiceRetries[];
+    readonly #daemons: RetriesByService[];
     readonly #upAtStep: number[];
     readonly #random: () => number;
     #step = 0;
@@ -117,11 +117,11 @@
         return this.#step * STEP_MS;
     }
 
-    #start(startedAt: number): ServiceRetries {
+    #start(startedAt: number): RetriesByService {
         const since = this.fault === "start-with-reserve" ? -Infinity : startedAt;
-        const retries = new ServiceRetries({ bound: BOUND, burst: 1000, startedAt: since });
+        const retries = new RetriesByService({ bound: BOUND, burst: 1000, startedAt: since });
         if (this.fault !== "undivided-slack") {
-            retries.recordDaemons(this.scenario.daemonCount);
+            retries.recordDaemonCount(this.scenario.daemonCount);
         }
         return retries;
     }
@@ -138,7 +138,7 @@
     }
 
     #retries(daemon: number, name: ServiceName): Retries {
-        return this.#daemons[daemon]!.of({ name, retryRatio: 1 }, this.#now);
+        return this.#daemons[daemon]!.get({ name, retryRatio: 1 }, this.#now);
     }
 
     #randomDaemon(): number {
@@ -197,7 +197,7 @@
         const callCounts = new Map(callsPerRun === 0 ? [] : [[INNER, callsPerRun]]);
         return canAffordCalls(callCounts, 0, service => {
             const { budget, allowance } = this.#retries(daemon, service);
-            return budget.left(allowance, this.#now);
+            return budget.remaining(allowance, this.#now);
         });
     }
 }
