--- a/src/policy/routing/evendraws.test.ts
+++ b/src/policy/routing/splitsampler.test.ts
@@ -3,8 +3,8 @@
 import { seededRandom } from "../../../standin/seededrandom.js";
 import { parse } from "../../config/parse.js";
 import { Rule } from "../../config/rule.js";
-import { EvenDraws } from "./evendraws.js";
 import { selectService } from "./selectservice.js";
+import { SplitSampler } from "./splitsampler.js";
 
 const DAEMON_COUNT = 69;
 const WINDOW_REQUESTS = 200;
@@ -24,7 +24,7 @@
 const maxShareError = (weights: readonly number[], seed: number): number => {
     const random = seededRandom(seed);
     const rule = ruleWith(weights);
-    const daemons = Array.from({ length: DAEMON_COUNT }, () => new EvenDraws(random));
+    const daemons = Array.from({ length: DAEMON_COUNT }, () => new SplitSampler(random));
     const total = weights.reduce((sum, weight) => sum + weight, 0);
     let maxError = 0;
     for (let window = 0; window < 50; window++) {
@@ -51,7 +51,7 @@
 
 test("split sampler: at one daemon, the split of 20 requests differs from the weights by at most one request", () => {
     const rule = ruleWith([1, 1]);
-    const sampler = new EvenDraws(seededRandom(7));
+    const sampler = new SplitSampler(seededRandom(7));
     for (let window = 0; window < 20; window++) {
         const services = Array.from({ length: 20 }, () => selectService(rule, sampler.next(rule.name)));
         const firstCount = services.filter(service => service === "s0").length;
@@ -61,7 +61,7 @@
 
 test("split sampler: a service with weight 0 gets no requests", () => {
     const rule = ruleWith([1, 0]);
-    const sampler = new EvenDraws(seededRandom(7));
+    const sampler = new SplitSampler(seededRandom(7));
     for (let index = 0; index < 1000; index++) {
         assert.equal(selectService(rule, sampler.next(rule.name)), "s0");
     }
--- a/src/policy/routing/evendraws.ts
+++ b/src/policy/routing/splitsampler.ts
@@ -16,7 +16,7 @@
 const MAX_RULES = 1024;
 
 /** Holds a separate sequence for each rule. */
-export class EvenDraws {
+export class SplitSampler {
     readonly #lastByRule = new Map<RuleName, number>();
 
     constructor(private readonly random: RandomSource) {}
--- a/src/policy/transfer/isworthmoving.ts
+++ b/src/policy/transfer/isworthhandingback.ts
@@ -10,6 +10,6 @@
 const MIN_WAIT_MS = 6;
 
 /** Returns true if the wait that the gate's own report shows is long enough to hand requests back. */
-export function isWorthMoving({ waiting, limit, serviceMs, baseMs }: LoadReport): boolean {
+export function isWorthHandingBack({ waiting, limit, serviceMs, baseMs }: LoadReport): boolean {
     return waiting > 0 && waiting * serviceMs / limit >= Math.max(MIN_WAIT_MS, baseMs);
 }
--- a/src/policy/transfer/needpersibling.ts
+++ b/src/policy/transfer/requestspersibling.ts
@@ -8,6 +8,6 @@
 const MAX_PER_SIBLING = 16;
 
 /** Returns the number of requests to ask each sibling to take; 0 if there are no siblings. */
-export function needPerSibling(queued: number, siblingCount: number): number {
+export function requestsPerSibling(queued: number, siblingCount: number): number {
     return siblingCount === 0 ? 0 : Math.min(MAX_PER_SIBLING, Math.ceil(queued / siblingCount));
 }
--- a/src/policy/transfer/decideoffer.ts
+++ b/src/policy/transfer/slotstooffer.ts
@@ -9,6 +9,6 @@
 const OFFERED_SHARE = 0.5;
 
 /** Returns the number of slots to offer to a sibling that wants to hand back `requested` requests. */
-export function decideOffer(requested: number, freeSlots: number): number {
+export function slotsToOffer(requested: number, freeSlots: number): number {
     return Math.min(requested, Math.floor(freeSlots * OFFERED_SHARE));
 }
--- a/src/transfer/worktransfer.ts
+++ b/src/transfer/worktransfer.ts
@@ -12,9 +12,9 @@
 import type { UpstreamName } from "../ids/upstreamname.js";
 import { sample } from "../policy/placement/sample.js";
 import type { RandomSource } from "../policy/randomsource.js";
-import { decideOffer } from "../policy/transfer/decideoffer.js";
-import { isWorthMoving } from "../policy/transfer/isworthmoving.js";
-import { needPerSibling } from "../policy/transfer/needpersibling.js";
+import { isWorthHandingBack } from "../policy/transfer/isworthhandingback.js";
+import { requestsPerSibling } from "../policy/transfer/requestspersibling.js";
+import { slotsToOffer } from "../policy/transfer/slotstooffer.js";
 import type { Clock } from "../time/clock.js";
 
 /** How often gates with waiting requests are looked at, in milliseconds: less than a move costs. */
@@ -71,7 +71,7 @@
 
     #offer(gate: Gate, need: Extract<Message, { type: "need"; }>): void {
         const offers: string[] = [];
-        const most = decideOffer(need.count, gate.free);
+        const most = slotsToOffer(need.count, gate.freeSlots);
         while (offers.length < most) {
             const id = randomUUID();
             if (!gate.offer(id)) {
@@ -89,7 +89,7 @@
 
     #anyWaiting(): boolean {
         for (const gate of this.parts.gates()) {
-            if (gate.waiting > 0) {
+            if (gate.queuedCount > 0) {
                 return true;
             }
         }
@@ -100,7 +100,7 @@
         this.#timer = undefined;
         const now = this.parts.clock();
         for (const gate of this.parts.gates()) {
-            if (gate.waiting > 0 && now - (this.#askedAt.get(gate) ?? -Infinity) >= ASK_EVERY_MS) {
+            if (gate.queuedCount > 0 && now - (this.#askedAt.get(gate) ?? -Infinity) >= ASK_EVERY_MS) {
                 this.#ask(gate, now);
             }
         }
@@ -108,7 +108,7 @@
     }
 
     #ask(gate: Gate, now: number): void {
-        if (!isWorthMoving(gate.report())) {
+        if (!isWorthHandingBack(gate.report())) {
             return;
         }
         this.#askedAt.set(gate, now);
@@ -118,7 +118,7 @@
             other.service === service && other.name !== upstream && other.gate !== self && !other.draining
         );
         const asked = sample(siblings, MAX_ASKED, random);
-        const count = needPerSibling(gate.waiting, asked.length);
+        const count = requestsPerSibling(gate.queuedCount, asked.length);
         for (const sibling of asked) {
             send(sibling.gate, { type: "need", from: self, service, upstream, count });
         }
--- a/src/wire/crashrecordschema.ts
+++ b/src/wire/crashrecordschema.ts
@@ -5,7 +5,7 @@
 import { crashLimits } from "../policy/quarantine/crashlimits.js";
 import type { CrashRecord } from "../policy/quarantine/crashrecord.js";
 
-const crashes = z.array(CrashId).max(crashLimits.maxCrashes);
+const crashes = z.array(CrashId).max(crashLimits.maxCrashesPerRequest);
 
 /** As in policy/quarantine/crashrecord.ts, which knows nothing of schemas. */
 export const crashRecordSchema: z.ZodType<CrashRecord> = z.object({
--- a/src/wire/readnote.ts
+++ b/src/wire/readresponsemetadata.ts
@@ -1,8 +1,8 @@
 /** Reads a gate's note. */
-import { AnswerNote } from "./answernote.js";
 import { noteCodec } from "./notecodec.js";
+import { AnswerNote } from "./responsemetadata.js";
 
 /** Returns undefined for what is no note. */
-export function readNote(list: unknown): AnswerNote | undefined {
+export function readResponseMetadata(list: unknown): AnswerNote | undefined {
     return AnswerNote.safeParse(noteCodec.read(list)).data;
 }
--- a/src/wire/answernote.ts
+++ b/src/wire/responsemetadata.ts
@@ -4,7 +4,7 @@
 import { UpstreamName } from "../ids/upstreamname.js";
 import { loadReportSchema } from "./loadreportschema.js";
 
-const AnswerNote = z.object({
+const ResponseMetadata = z.object({
     incarnation: Incarnation,
     /** The gate's clock when the note was written. */
     gateTime: z.number(),
@@ -34,7 +34,7 @@
     /** The daemon answers probes of connections; said with the first answer on each. */
     probes: z.boolean().optional(),
 });
-type AnswerNote = z.infer<typeof AnswerNote>;
+type ResponseMetadata = z.infer<typeof ResponseMetadata>;
 
 /** What goes with an answer from gate to ingress; times in milliseconds. */
-export { AnswerNote };
+export { ResponseMetadata as AnswerNote };
--- a/src/wire/wire.test.ts
+++ b/src/wire/wire.test.ts
@@ -1,12 +1,12 @@
 import { pack } from "msgpackr";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { AnswerNote } from "./answernote.js";
 import type { CallHead } from "./callhead.js";
 import { headCodec } from "./headcodec.js";
 import { noteCodec } from "./notecodec.js";
 import { readHead } from "./readhead.js";
-import { readNote } from "./readnote.js";
+import { readResponseMetadata } from "./readresponsemetadata.js";
+import type { AnswerNote } from "./responsemetadata.js";
 
 const head = {
     id: "abcdefghijkl.12",
@@ -44,12 +44,12 @@
 
 test("wire: a note comes back as it was", () => {
     const report = { ...note.report!, serviceMs: 120.2 };
-    assert.deepEqual(readNote(noteCodec.write(note)), { ...note, gateTime: 1234.5, report });
+    assert.deepEqual(readResponseMetadata(noteCodec.write(note)), { ...note, gateTime: 1234.5, report });
     const refusal = { ...note, report: undefined, outcome: "not-run", reason: "slow", retryAfterMs: 20 } as AnswerNote;
     const { report: _none, ...plain } = refusal;
     const shed = { ...note, report, reason: "shed", arrived: true } as AnswerNote;
-    assert.deepEqual(readNote(noteCodec.write(shed)), { ...shed, gateTime: 1234.5 });
-    assert.deepEqual(readNote(noteCodec.write(refusal)), { ...plain, gateTime: 1234.5 });
+    assert.deepEqual(readResponseMetadata(noteCodec.write(shed)), { ...shed, gateTime: 1234.5 });
+    assert.deepEqual(readResponseMetadata(noteCodec.write(refusal)), { ...plain, gateTime: 1234.5 });
 });
 
 test("wire: a head is short, since its bytes are paid for on each call", () => {
@@ -60,6 +60,6 @@
 test("wire: what is no record is turned down", () => {
     for (const value of [undefined, null, "", "{}", {}, [], [1, 2, 3], ["a", "b"], [["a"]], ["a", "b", 7, 9]]) {
         assert.equal(readHead(value), undefined);
-        assert.equal(readNote(value), undefined);
+        assert.equal(readResponseMetadata(value), undefined);
     }
 });
