--- a/src/policy/admission/learnedlimit.ts
+++ b/src/policy/admission/learnedlimit.ts
@@ -27,7 +27,7 @@
  * knee at three fifths. A level is probed until `minResponses` responses are known of it.
  */
 const PROBES = [{ share: 0.75, minResponses: 16 }, { share: 0.58, minResponses: 8 }] as const;
-/** Remembered responses from above the limit; while there are fewer, the next higher level is probed. */
+/** Minimum number of remembered responses above the limit; with fewer, the next higher level is probed. */
 const MIN_RESPONSES_ABOVE = 16;
 /** Responses in a phase for each open slot. Requests that started before it have finished after two thirds of it. */
 const PHASE_RESPONSES_PER_SLOT = 1.5;
--- a/src/policy/admission/levelregression.ts
+++ b/src/policy/admission/levelregression.ts
@@ -14,8 +14,8 @@
 const MIN_VARIATION = 1e-9;
 
 /**
- * `slowdown` is the ratio of work times above the level to those up to it; `fStatistic` is the square of its standard
- * errors from 1.
+ * `slowdown` is the ratio of work times above the level to those up to it; `fStatistic` is the squared number of
+ * standard errors of the difference.
  */
 type Split = { readonly slowdown: number; readonly fStatistic: number; };
 
--- a/src/policy/admission/levelsize.ts
+++ b/src/policy/admission/levelsize.ts
@@ -1,4 +1,4 @@
-/** Groups numbers of concurrent requests into levels, whose number is bounded. */
+/** Groups numbers of concurrent requests into a bounded number of levels. */
 
 /** Bounds the memory of each running request; more levels would not locate the knee better. */
 const MAX_LEVELS = 64;
--- a/src/policy/admission/waitestimate.ts
+++ b/src/policy/admission/waitestimate.ts
@@ -34,7 +34,7 @@
         return Math.max(0, this.sendRate.sendableAt(position, now) - now);
     }
 
-    /** Returns the milliseconds until the rate limit, as far as more urgent requests leave it, allows this priority. */
+    /** Returns the milliseconds until this priority may send, given what more urgent ones leave of a rate limit. */
     priorityWaitMs(priority: Priority, now: number): number {
         return Math.max(0, this.sendRate.sendableForPriorityAt(priority, now) - now);
     }
--- a/src/policy/cold/coldguard.test.ts
+++ b/src/policy/cold/coldguard.test.ts
@@ -100,7 +100,7 @@
     assert.equal(between(6000, 8000), 250);
 });
 
-test("cold: an upstream that does not report it is assumed cold for the start time, then warm", () => {
+test("cold: an upstream that reports no cold time is assumed cold for the start time, then warm", () => {
     const guard = new ColdGuard(0, createLimits(10));
     guard.recordAnswer(undefined, 100, 110);
     assert.equal(guard.isCold(2999), true);
--- a/src/policy/cold/coldguard.ts
+++ b/src/policy/cold/coldguard.ts
@@ -24,7 +24,7 @@
     #limits: ColdLimits | undefined;
     #limiter: RateLimiter | undefined;
 
-    /** `knownSince` is the time since which the gate knows the upstream. */
+    /** `knownSince` is when the gate first learned of the upstream. */
     constructor(private readonly knownSince: number, limits?: ColdLimits) {
         this.setLimits(limits);
     }
@@ -80,7 +80,7 @@
         return this.#limiter?.sendableAt(count, now) ?? now;
     }
 
-    /** Returns true if the upstream should be probed, which is so before the requests that may be sent run out. */
+    /** Returns true if the upstream should be probed; this is so before the last request that may be sent. */
     shouldAsk(now: number): boolean {
         return !this.isCold(now) && now - this.#probedAt >= MIN_PROBE_INTERVAL_MS
             && this.#limiter?.isMoreThanHalfUsed(now) === true;
--- a/src/policy/rate/ratelimiter.ts
+++ b/src/policy/rate/ratelimiter.ts
@@ -31,7 +31,7 @@
         this.#advance(now);
     }
 
-    /** Discards the requests sent before a time up to which the rate did not apply. */
+    /** Discards the requests sent before `time`, because the rate did not apply to them. */
     discardBefore(time: number): void {
         this.#sentTimes = this.#sentTimes.filter(sentAt => sentAt >= time);
         this.#theoreticalSendAt = -Infinity;
--- a/src/policy/rate/sendrate.ts
+++ b/src/policy/rate/sendrate.ts
@@ -44,7 +44,7 @@
         return this.sendableAt(1, now) <= now;
     }
 
-    /** Returns when the stated limit, as far as more urgent requests leave it, allows a request of the priority. */
+    /** Returns when a request of the priority may be sent, given what more urgent ones leave of the stated limit. */
     sendableForPriorityAt(priority: Priority, now: number): number {
         const { perSecond } = this.statedLimit;
         return perSecond === undefined ? now : this.#priorityRates.nextSendAt(priority, perSecond, now);
