--- a/src/policy/cold/coldlimits.ts
+++ b/src/policy/cold/coldlimits.ts
@@ -4,7 +4,7 @@
 export type ColdLimits = {
     /** The requests a second that a cold upstream can serve. */
     readonly perSecond: number;
-    /** A cold upstream may be sent `perSecond` times this, plus `slack`, in any second. Far more requests make it fail. */
+    /** A cold upstream may be sent `perSecond` times this, plus `slack`, in any second. Far more make it fail. */
     readonly overage: number;
     readonly slack: number;
     /** How long an upstream that reports no cold time is assumed to be cold after its start, in milliseconds. */
