--- a/src/ingress/attempt.ts
+++ b/src/ingress/attempt.ts
@@ -123,7 +123,7 @@
         if (response.status >= httpStatus.internalServerError) {
             target.recordFailure(now);
             const { status, note } = response;
-            return { outcome: "failed", response: response, status, retriedBelow: note?.retriedBelow === true };
+            return { outcome: "failed", response, status, retriedBelow: note?.retriedBelow === true };
         }
         ingress.retries(plan.service).hedging.observe(now - sentAt, response.note?.calls === true);
         return await this.#deliver(response);
--- a/src/ingress/planner.ts
+++ b/src/ingress/planner.ts
@@ -68,7 +68,7 @@
 
     /** Returns the rule that matches, and the sample that selected the part of its split. */
     #match(target: RequestTarget): { readonly sample: number; readonly matched: MatchedRule | undefined; } {
-        const { findRule: findRule } = this.parts;
+        const { findRule } = this.parts;
         const matched = findRule(target, 0);
         if (matched?.rule.split === undefined) {
             return { sample: 0, matched };
--- a/src/ingress/requesthandler.ts
+++ b/src/ingress/requesthandler.ts
@@ -119,13 +119,13 @@
 
     /** Returns the result of a request that is quarantined and gets no attempt, or undefined for any other. */
     #quarantineRefusal(): NoResponse | undefined {
-        const { crashGuard: crashGuard } = this.parts;
+        const { crashGuard } = this.parts;
         const retryAfterMs = crashGuard.isEmpty ? undefined : crashGuard.quarantinedForMs(this.#requestKey());
         return retryAfterMs === undefined ? undefined : { outcome: "not-run", reason: "quarantined", retryAfterMs };
     }
 
     #standing(): QuarantineStatus {
-        const { crashGuard: crashGuard } = this.parts;
+        const { crashGuard } = this.parts;
         return crashGuard.isEmpty ? "free" : crashGuard.standing(this.#requestKey());
     }
 
