--- a/src/crashes/crashguard.ts
+++ b/src/crashes/crashguard.ts
@@ -20,7 +20,7 @@
 const logger = log("gate");
 
 /** `hasServed`: an upstream here has served the request well in its present life. `giveUp` calls off what runs of it here. */
-type GuardParts = {
+type GuardDependencies = {
     readonly clock: Clock;
     readonly hasServed: (request: RequestKey) => boolean;
     readonly giveUp: (request: RequestKey) => void;
@@ -46,7 +46,7 @@
     readonly #ownCrashes = new RecentSet<CrashId>(MAX_OWN);
     readonly #listeners: Listener[] = [];
 
-    constructor(private readonly parts: GuardParts) {}
+    constructor(private readonly deps: GuardDependencies) {}
 
     /** Calls the listener when something is new; with a crash that was seen here, if it was that. */
     onNews(listener: Listener): void {
@@ -60,13 +60,13 @@
 
     /** The same at all daemons that know the same; undefined where nothing is known. */
     get mark(): number | undefined {
-        this.#history.evictExpired(this.parts.clock());
+        this.#history.evictExpired(this.deps.clock());
         return this.#history.digest;
     }
 
     /** The same of suspect and quarantined requests alone: what others must know at once. */
     get suspectMark(): number | undefined {
-        this.#history.evictExpired(this.parts.clock());
+        this.#history.evictExpired(this.deps.clock());
         return this.#history.suspectDigest;
     }
 
@@ -77,21 +77,21 @@
 
     /** What has changed after so many changes; all that is known after none. */
     recordsAfter(changes: number): CrashRecord[] {
-        return this.#history.recordsChangedAfter(changes, this.parts.clock());
+        return this.#history.recordsChangedAfter(changes, this.deps.clock());
     }
 
     /** How many requests are quarantined. */
     get quarantined(): number {
-        return this.#history.countQuarantined(this.parts.clock());
+        return this.#history.countQuarantined(this.deps.clock());
     }
 
     /** For how long the request is quarantined yet, in milliseconds; undefined for one that is not. */
     quarantinedForMs(request: RequestKey | undefined): number | undefined {
-        return request === undefined ? undefined : this.#history.quarantinedForMs(request, this.parts.clock());
+        return request === undefined ? undefined : this.#history.quarantinedForMs(request, this.deps.clock());
     }
 
     standing(request: RequestKey | undefined): QuarantineStatus {
-        return request === undefined ? "free" : this.#history.statusOf(request, this.parts.clock());
+        return request === undefined ? "free" : this.#history.statusOf(request, this.deps.clock());
     }
 
     /** Requests with crashes enough for a quarantine, cleared or not, of which one was seen here. */
@@ -128,7 +128,7 @@
     }
 
     #merge(records: readonly CrashRecord[], own: OwnCrash | undefined): void {
-        const changed = this.#history.merge(records, this.parts.clock());
+        const changed = this.#history.merge(records, this.deps.clock());
         changed.forEach(request => this.#judge(request));
         if (changed.length > 0) {
             this.#tell(own);
@@ -137,7 +137,7 @@
 
     /** What an upstream here has served well is cleared at once, also for the others. */
     #judge(request: RequestKey): void {
-        const { hasServed, giveUp } = this.parts;
+        const { hasServed, giveUp } = this.deps;
         if (hasServed(request)) {
             this.#clear(request);
         }
@@ -150,7 +150,7 @@
             return;
         }
         this.#logged.add(request);
-        const { crashes } = this.#history.recordOf(request, this.parts.clock())!;
+        const { crashes } = this.#history.recordOf(request, this.deps.clock())!;
         logger.change("A request is quarantined: upstreams have crashed under it.", {
             request,
             crashes,
--- a/src/crashes/crashpublisher.ts
+++ b/src/crashes/crashpublisher.ts
@@ -23,7 +23,7 @@
 const LEAST_MS = 1000;
 
 /** `write` keeps a record for so many milliseconds, and throws a StoreError. */
-type PublisherParts = {
+type PublisherDependencies = {
     readonly guard: CrashGuard;
     readonly clock: Clock;
     readonly write: (record: CrashRecord, keepMs: number) => Promise<void>;
@@ -36,14 +36,14 @@
     readonly #loop: StoreLoop;
     #renewedAt: number;
 
-    constructor(private readonly parts: PublisherParts) {
-        this.#renewedAt = parts.clock();
+    constructor(private readonly deps: PublisherDependencies) {
+        this.#renewedAt = deps.clock();
         this.#loop = new StoreLoop({
             step: () => this.#step(),
             failed: err => logger.warn("A quarantined request could not be kept in the store.", err),
-            pauseMs: () => this.#renewedAt + RENEW_EVERY_MS - parts.clock(),
+            pauseMs: () => this.#renewedAt + RENEW_EVERY_MS - deps.clock(),
         });
-        parts.guard.onNews(() => this.#loop.wake());
+        deps.guard.onNews(() => this.#loop.wake());
     }
 
     start(): void {
@@ -55,7 +55,7 @@
     }
 
     async #step(): Promise<void> {
-        const { guard, clock } = this.parts;
+        const { guard, clock } = this.deps;
         if (clock() - this.#renewedAt >= RENEW_EVERY_MS) {
             this.#renewedAt = clock();
             guard.firstWitnessed.forEach(({ request }) => this.#written.delete(request));
@@ -69,13 +69,13 @@
     }
 
     async #write(record: CrashRecord): Promise<void> {
-        const leftMs = this.parts.guard.quarantinedForMs(record.request) ?? crashLimits.quarantineMs;
-        await this.parts.write(record, Math.max(LEAST_MS, Math.ceil(leftMs)));
+        const leftMs = this.deps.guard.quarantinedForMs(record.request) ?? crashLimits.quarantineMs;
+        await this.deps.write(record, Math.max(LEAST_MS, Math.ceil(leftMs)));
         this.#written.set(record.request, stateOf(record));
     }
 
     #forgetOld(): void {
-        const known = new Set(this.parts.guard.witnessed.map(({ request }) => request));
+        const known = new Set(this.deps.guard.witnessed.map(({ request }) => request));
         [...this.#written.keys()].filter(request => !known.has(request)).forEach(key => this.#written.delete(key));
     }
 }
--- a/src/crashes/crashspread.ts
+++ b/src/crashes/crashspread.ts
@@ -33,7 +33,7 @@
 const ASKED_AT_START = 2;
 
 /** `exchange` tells a peer what has changed here, and resolves with what has changed there. */
-type SpreadParts = {
+type SpreadDependencies = {
     readonly self: Address;
     readonly life: Incarnation;
     readonly guard: CrashGuard;
@@ -60,17 +60,17 @@
     readonly #exchanged = new Map<Address, Exchanged>();
     #hasMet = false;
 
-    constructor(private readonly parts: SpreadParts) {
-        parts.guard.onNews(own => own && this.#announce(own.service, own.crash, own.requests));
+    constructor(private readonly deps: SpreadDependencies) {
+        deps.guard.onNews(own => own && this.#announce(own.service, own.crash, own.requests));
     }
 
     receive({ crash, requests }: Extract<Message, { type: "crash"; }>): void {
-        this.parts.guard.merge(toCrashRecords(crash, requests));
+        this.deps.guard.merge(toCrashRecords(crash, requests));
     }
 
     /** Exchanges with a peer whose mark differs, unless that was done and nothing has changed since: each keeps so much only. */
     compareMarks(from: Address, theirs: number | undefined): void {
-        const { mark, changes } = this.parts.guard;
+        const { mark, changes } = this.deps.guard;
         const last = this.#exchanged.get(from);
         const isDone = last !== undefined && theirs === last.theirs && changes === last.told;
         if (theirs !== mark && !isDone && !this.#exchanging.has(from)) {
@@ -80,13 +80,13 @@
 
     /** Answers a peer that has told what has changed there. */
     answer({ records, have }: CrashChanges): CrashChanges {
-        this.parts.guard.merge(records);
-        return this.#changesAfter(have?.life === this.parts.life ? have.at : 0);
+        this.deps.guard.merge(records);
+        return this.#changesAfter(have?.life === this.deps.life ? have.at : 0);
     }
 
     /** To be called when who is there has changed: the first time that there are others, some of them are asked. */
     meet(): void {
-        const { peers, self, relays } = this.parts;
+        const { peers, self, relays } = this.deps;
         const others = peers().filter(gate => gate !== self);
         const known = new Set(others);
         [...this.#exchanged.keys()].filter(peer => !known.has(peer)).forEach(peer => this.#exchanged.delete(peer));
@@ -97,14 +97,14 @@
     }
 
     #announce(service: ServiceName, crash: CrashId, requests: readonly RequestKey[]): void {
-        const { self, relays, siblings, random, send } = this.parts;
+        const { self, relays, siblings, random, send } = this.deps;
         const near = sample(siblings(service).filter(gate => gate !== self), MAX_SIBLINGS, random);
         const message: Message = { type: "crash", from: self, crash, requests: requests.slice(0, MAX_REQUESTS) };
         new Set([...relays(), ...near]).forEach(gate => send(gate, message));
     }
 
     #changesAfter(changes: number): CrashChanges {
-        const { guard, life } = this.parts;
+        const { guard, life } = this.deps;
         return { records: guard.recordsAfter(changes), upTo: { life, at: guard.changes }, mark: guard.mark };
     }
 
@@ -126,7 +126,7 @@
 
     /** A peer that has started anew since was told what has changed, and knows nothing else: the next exchange begins anew. */
     async #exchangeChanges(peer: Address): Promise<void> {
-        const { guard, exchange } = this.parts;
+        const { guard, exchange } = this.deps;
         const { have, told = 0 } = this.#exchanged.get(peer) ?? {};
         const changes = this.#changesAfter(told);
         const answer = await exchange(peer, { ...changes, have });
--- a/src/daemon/daemonpeerservice.ts
+++ b/src/daemon/daemonpeerservice.ts
@@ -20,7 +20,7 @@
 import { gateStatus } from "./gatestatus.js";
 
 /** The state from which peers are answered. */
-type ServiceParts = {
+type ServiceDependencies = {
     readonly identity: GateIdentity;
     readonly ledger: Ledger;
     readonly configuration: CurrentConfiguration;
@@ -34,19 +34,19 @@
 
 /** Answers from the daemon's own state. */
 export class DaemonPeerService extends PeerService {
-    constructor(private readonly parts: ServiceParts) {
+    constructor(private readonly deps: ServiceDependencies) {
         super();
     }
 
     hello(): ReturnType<PeerService["hello"]> {
-        const { identity, clock } = this.parts;
+        const { identity, clock } = this.deps;
         const { incarnation, gateTime, revision } = identity.note(clock());
         return { incarnation, gateTime, revision };
     }
 
     /** A request of another life of this daemon may have run there: nothing can be proven. */
     revoke(input: RevokeInput): RevokeResult {
-        const { identity, ledger, clock } = this.parts;
+        const { identity, ledger, clock } = this.deps;
         if (input.incarnation !== identity.incarnation) {
             return "unknown";
         }
@@ -54,7 +54,7 @@
     }
 
     update(have: number): Update | undefined {
-        return this.parts.configuration.updateFor(have);
+        return this.deps.configuration.updateFor(have);
     }
 
     member(): Member {
@@ -66,18 +66,18 @@
     }
 
     crashes(changes: CrashChanges): CrashChanges {
-        return this.parts.crashes.answer(changes);
+        return this.deps.crashes.answer(changes);
     }
 
     status(): GateStatus[] {
-        const { gates, configuration, clock, membership, watchesStore } = this.parts;
+        const { gates, configuration, clock, membership, watchesStore } = this.deps;
         const now = clock();
         const daemon = { watchesStore: watchesStore(), members: membership?.members.length ?? 0 };
         return [...gates.all].map(gate => gateStatus(gate, configuration, daemon, now));
     }
 
     get #membership(): Membership {
-        const { membership } = this.parts;
+        const { membership } = this.deps;
         if (membership === undefined) {
             throw new MembershipError("no upstreams announce themselves here: there are no records");
         }
--- a/src/daemon/datagramrouter.ts
+++ b/src/daemon/datagramrouter.ts
@@ -12,7 +12,7 @@
 import type { GateSet } from "./gateset.js";
 
 /** The tasks, and how to answer. */
-type RouterParts = {
+type RouterDependencies = {
     readonly self: Address;
     readonly clock: Clock;
     readonly identity: GateIdentity;
@@ -29,10 +29,10 @@
 
 /** Knows every type of message. */
 export class DatagramRouter {
-    constructor(private readonly parts: RouterParts) {}
+    constructor(private readonly deps: RouterDependencies) {}
 
     receive(message: Message): void {
-        const { clock, upstreams, heartbeats, failureDetector, transfer } = this.parts;
+        const { clock, upstreams, heartbeats, failureDetector, transfer } = this.deps;
         switch (message.type) {
             case "beat":
                 return heartbeats.receive(message);
@@ -49,9 +49,9 @@
             case "hello":
             case "member":
             case "going":
-                return this.parts.gossip?.receive(message);
+                return this.deps.gossip?.receive(message);
             case "crash":
-                return this.parts.crashes.receive(message);
+                return this.deps.crashes.receive(message);
             case "need":
                 return transfer.receiveNeed(message);
             case "offer":
@@ -60,7 +60,7 @@
     }
 
     #answer(to: Address, sentAt: number): void {
-        const { self, clock, identity, gates, send } = this.parts;
+        const { self, clock, identity, gates, send } = this.deps;
         const { incarnation, gateTime, revision } = identity.note(clock());
         const loads = [...gates.all].map(gate => ({ upstream: gate.upstream.name, report: gate.report() }));
         send(to, { type: "pong", from: self, sentAt, incarnation, gateTime, revision, loads });
--- a/src/daemon/hops.ts
+++ b/src/daemon/hops.ts
@@ -13,7 +13,7 @@
 import type { GateSet } from "./gateset.js";
 
 /** What a way is made of. */
-type HopsParts = {
+type HopsDependencies = {
     readonly self: Address;
     readonly hall: HallName;
     readonly gates: GateSet;
@@ -27,11 +27,11 @@
 export class Hops {
     readonly #remote = new Map<Address, RemoteHop>();
 
-    constructor(private readonly parts: HopsParts) {}
+    constructor(private readonly deps: HopsDependencies) {}
 
     /** The way to an upstream's gate: none of the network when the gate is this daemon's own. */
     open(upstream: Upstream): { readonly hop: Hop; readonly near: boolean; readonly local: boolean; } {
-        const { self, hall, gates, identity, ledger, options, peer } = this.parts;
+        const { self, hall, gates, identity, ledger, options, peer } = this.deps;
         if (upstream.gate === self) {
             const gate = (): Gate | undefined => gates.find(upstream.name);
             return { hop: new LocalHop(gate, identity, ledger, options.clock), near: true, local: true };
--- a/src/daemon/loadsharing.ts
+++ b/src/daemon/loadsharing.ts
@@ -6,7 +6,7 @@
 import type { Settings } from "./settings.js";
 
 /** What these tasks need of the rest of the daemon. */
-type LoadSharingParts = ConstructorParameters<typeof WorkTransfer>[0] & {
+type LoadSharingDependencies = ConstructorParameters<typeof WorkTransfer>[0] & {
     readonly upstreams: UpstreamTable;
     readonly policy: Settings["policy"];
 };
@@ -17,10 +17,10 @@
     readonly reporter: LoadReporter;
     readonly transfer: WorkTransfer;
 
-    constructor(private readonly parts: LoadSharingParts) {
-        this.failureDetector = new FailureDetector(parts);
-        this.reporter = new LoadReporter(parts);
-        this.transfer = new WorkTransfer(parts);
+    constructor(private readonly deps: LoadSharingDependencies) {
+        this.failureDetector = new FailureDetector(deps);
+        this.reporter = new LoadReporter(deps);
+        this.transfer = new WorkTransfer(deps);
     }
 
     start(): void {
@@ -34,7 +34,7 @@
 
     /** To be called when something has changed at a gate. The frugal profile sends nothing that no one has asked for. */
     checkGates(): void {
-        const { profile, relief } = this.parts.policy;
+        const { profile, relief } = this.deps.policy;
         if (profile === "frugal") {
             return;
         }
--- a/src/distribution/hallheartbeats.ts
+++ b/src/distribution/hallheartbeats.ts
@@ -49,7 +49,7 @@
 const RELAYS = 2;
 
 /** The tasks that heartbeats go between. */
-type HeartbeatParts = {
+type HeartbeatDependencies = {
     readonly self: Address;
     readonly hall: HallName;
     readonly host: HostName;
@@ -86,20 +86,20 @@
     readonly #records = new ChangeThrottle(TELL_RECORDS_EVERY_MS, 0);
     readonly #suspects = new ChangeThrottle<number | undefined>(TELL_SUSPECTS_EVERY_MS, undefined);
 
-    constructor(private readonly parts: HeartbeatParts) {
-        this.#sender = new HeartbeatSender(() => this.#audience(), to => parts.send(to, this.#beat()));
-        parts.configuration.onChange(() => this.#sender.sendSoon());
-        parts.evacuations.onChange(() => this.#sender.sendSoon());
+    constructor(private readonly deps: HeartbeatDependencies) {
+        this.#sender = new HeartbeatSender(() => this.#audience(), to => deps.send(to, this.#beat()));
+        deps.configuration.onChange(() => this.#sender.sendSoon());
+        deps.evacuations.onChange(() => this.#sender.sendSoon());
     }
 
     /** True while it is this daemon's turn to watch the store. */
     get watching(): boolean {
-        return this.parts.watch.scope === "all";
+        return this.deps.watch.scope === "all";
     }
 
     /** True while it reads from the store which halls are evacuated. */
     get watchesEvacuations(): boolean {
-        return this.parts.watch.scope !== "nothing";
+        return this.deps.watch.scope !== "nothing";
     }
 
     start(): void {
@@ -113,27 +113,27 @@
 
     /** Applies who is where; to be called when that has changed. */
     followPlaces(): void {
-        const { election, hall, places } = this.parts;
+        const { election, hall, places } = this.deps;
         election.setMembers(rank(hallMembers(places(), hall), hall));
     }
 
     /** Applies a heartbeat that was received. */
     receive(beat: Extract<Message, { type: "beat"; }>): void {
-        const { clock, configuration, election, puller, host, evacuations } = this.parts;
+        const { clock, configuration, election, puller, host, evacuations } = this.deps;
         const now = clock();
         evacuations.recordWord(beat.evacuated);
         election.recordHeartbeat(beat.from, beat.watching, now);
         configuration.confirm(beat.revision, now - beat.ageMs);
         void puller.pull(beat.revision, beat.from).then(() => configuration.confirm(beat.revision, now - beat.ageMs));
         if (beat.watching && !this.watching) {
-            this.parts.onHostLeaving(beat.leaving.includes(host));
+            this.deps.onHostLeaving(beat.leaving.includes(host));
         }
         this.#followRecords(beat, now);
-        this.parts.onCrashMark(beat.from, beat.crashes);
+        this.deps.onCrashMark(beat.from, beat.crashes);
     }
 
     #followRecords({ from, records }: Extract<Message, { type: "beat"; }>, now: number): void {
-        const { election, watch, self } = this.parts;
+        const { election, watch, self } = this.deps;
         const source = election.sourceOf(self, now) ?? from;
         if (records !== undefined && source === from && !this.#isWatching(now)) {
             watch.follow(from, records);
@@ -141,18 +141,18 @@
     }
 
     #isWatching(now: number): boolean {
-        const { watch } = this.parts;
+        const { watch } = this.deps;
         return this.watching && watch.isReached(now);
     }
 
     #elect(): void {
-        const { clock, election, watch } = this.parts;
+        const { clock, election, watch } = this.deps;
         const now = clock();
         this.#watch(election.scopeOf(now, watch.isReached(now)));
     }
 
     #watch(scope: WatchScope): void {
-        const { watch } = this.parts;
+        const { watch } = this.deps;
         if (watch.scope === scope) {
             return;
         }
@@ -163,11 +163,11 @@
         else {
             this.#beats.start();
         }
-        this.parts.onWatch();
+        this.deps.onWatch();
     }
 
     #tick(): void {
-        const { clock, election, self } = this.parts;
+        const { clock, election, self } = this.deps;
         const now = clock();
         election.recordHeartbeat(self, this.#isWatching(now), now);
         this.#tellRecords(now);
@@ -177,7 +177,7 @@
 
     /** Each watcher tells its part of the hall at once; the rest get to know with their next heartbeat. */
     #tellRecords(now: number): void {
-        const { hall, places, watch } = this.parts;
+        const { hall, places, watch } = this.deps;
         if (this.#records.pass(watch.records?.at ?? 0, now)) {
             this.#sender.sendSoon(this.#halves(hallMembers(places(), hall), now).own);
         }
@@ -185,13 +185,13 @@
 
     /** To all at once: an upstream that may crash in the meantime is dearer than a heartbeat. */
     #tellSuspects(now: number): void {
-        if (this.#suspects.pass(this.parts.suspectMark(), now)) {
+        if (this.#suspects.pass(this.deps.suspectMark(), now)) {
             this.#sender.sendSoon();
         }
     }
 
     async #askHosts(): Promise<void> {
-        const { leavingHosts, host, onHostLeaving } = this.parts;
+        const { leavingHosts, host, onHostLeaving } = this.deps;
         if (!this.watching) {
             return;
         }
@@ -205,7 +205,7 @@
 
     /** The own half of the hall first: where the budget cuts a round short, the other watcher has told the other one. */
     #audience(): Address[] {
-        const { hall, random, places, clock } = this.parts;
+        const { hall, random, places, clock } = this.deps;
         const all = places();
         const elsewhere = otherHalls(all, hall, RELAYS).flatMap(relays => sample(relays, 1, random));
         const { own, rest } = this.#halves(hallMembers(all, hall), clock());
@@ -214,14 +214,14 @@
 
     /** Those of the hall that this daemon tells, and those that another watcher does; without this daemon. */
     #halves(inHall: readonly Address[], now: number): { readonly own: Address[]; readonly rest: Address[]; } {
-        const { election, self } = this.parts;
+        const { election, self } = this.deps;
         const others = inHall.filter(gate => gate !== self);
         const isOwn = (gate: Address): boolean => election.sourceOf(gate, now) === self;
         return { own: others.filter(isOwn), rest: others.filter(gate => !isOwn(gate)) };
     }
 
     #beat(): Message {
-        const { self, configuration, clock, watch, leavingHosts, crashMark, evacuations } = this.parts;
+        const { self, configuration, clock, watch, leavingHosts, crashMark, evacuations } = this.deps;
         const now = clock();
         const crashes = crashMark();
         const evacuated = evacuations.word;
--- a/src/failuredetection/failuredetector.ts
+++ b/src/failuredetection/failuredetector.ts
@@ -1,7 +1,7 @@
 /**
  * Asks gates that owe answers and are silent, and suspects those that stay so.
  *
- * Owns the timer and the pings; when to ask and when to suspect is decided by policy/failure/silence.ts.
+ * Owns the timer and the pings; when to ask and when to suspect is decided by policy/failure/livenesscheck.ts.
  */
 import type { Message } from "../datagram/message.js";
 import type { Address } from "../ids/address.js";
@@ -17,7 +17,7 @@
 const INTRODUCE_EVERY_MS = 100;
 
 /** What the pinger needs of its daemon. */
-type PingerParts = {
+type PingerDependencies = {
     readonly self: Address;
     readonly clock: Clock;
     readonly upstreams: UpstreamTable;
@@ -33,7 +33,7 @@
     readonly #ticker = new Ticker(TICK_MS, () => this.#tick());
     #introducedAt = 0;
 
-    constructor(private readonly parts: PingerParts) {}
+    constructor(private readonly deps: PingerDependencies) {}
 
     start(): void {
         this.#ticker.start();
@@ -45,17 +45,17 @@
 
     /** Records the answer to a ping. */
     receivePong(pong: Extract<Message, { type: "pong"; }>): void {
-        const now = this.parts.clock();
+        const now = this.deps.clock();
         this.#answersPings.add(pong.from);
-        for (const view of this.parts.upstreams.atGate(pong.from)) {
+        for (const view of this.deps.upstreams.atGate(pong.from)) {
             view.recordAlive(now);
             view.recordReport(pong.loads.find(load => load.upstream === view.upstream)?.report, now);
         }
     }
 
     #tick(): void {
-        const now = this.parts.clock();
-        for (const view of this.parts.upstreams.monitored) {
+        const now = this.deps.clock();
+        for (const view of this.deps.upstreams.monitored) {
             this.#check(view, now);
         }
     }
@@ -68,7 +68,7 @@
             isSuspected: view.suspicion.isSuspected,
         };
         if (view.local || view.livenessCheck.isIdle(known)) {
-            this.parts.upstreams.stopMonitoring(view);
+            this.deps.upstreams.stopMonitoring(view);
             return;
         }
         const action = view.livenessCheck.decide(known, now);
@@ -81,14 +81,14 @@
     }
 
     #ping(view: UpstreamView, now: number): void {
-        if (this.parts.send(view.settings.gate, { type: "ping", from: this.parts.self, sentAt: now })) {
+        if (this.deps.send(view.settings.gate, { type: "ping", from: this.deps.self, sentAt: now })) {
             view.livenessCheck.recordPing(now);
         }
     }
 
     /** Attempts at a silent gate are given up only for something better: when all are silent, it is the hosts that are. */
     #hasAlternative(view: UpstreamView, now: number): boolean {
-        const all = this.parts.upstreams.ofService(view.settings.service);
+        const all = this.deps.upstreams.ofService(view.settings.service);
         return availableTargets(all, new Set([view]), now).length > 0;
     }
 
--- a/src/gate/coldprobe.ts
+++ b/src/gate/coldprobe.ts
@@ -7,7 +7,7 @@
 const logger = log("gate");
 
 /** Dependencies that the gate provides. */
-type ColdProbeParts = {
+type ColdProbeDependencies = {
     readonly upstream: string;
     readonly clock: Clock;
     /** Returns the limits for cold upstreams of the service; undefined if it has none. */
@@ -23,18 +23,18 @@
     readonly guard: ColdGuard;
     #pending: Promise<void> | undefined;
 
-    constructor(private readonly parts: ColdProbeParts) {
-        this.guard = new ColdGuard(parts.clock(), parts.limits());
+    constructor(private readonly deps: ColdProbeDependencies) {
+        this.guard = new ColdGuard(deps.clock(), deps.limits());
     }
 
     /** True while the upstream is cold, by its own report. */
     get isCold(): boolean {
-        return this.guard.isCold(this.parts.clock());
+        return this.guard.isCold(this.deps.clock());
     }
 
     /** Applies the limits that are now configured for the service. */
     updateLimits(): void {
-        this.guard.setLimits(this.parts.limits());
+        this.guard.setLimits(this.deps.limits());
     }
 
     /**
@@ -43,9 +43,9 @@
      */
     record(coldMs: number | undefined, probedAt: number): void {
         const wasCold = this.isCold;
-        this.guard.recordProbeResponse(coldMs, probedAt, this.parts.clock());
+        this.guard.recordProbeResponse(coldMs, probedAt, this.deps.clock());
         if (this.isCold !== wasCold) {
-            const { upstream } = this.parts;
+            const { upstream } = this.deps;
             logger.change(wasCold ? "The upstream is no longer cold." : "The upstream is cold.", { upstream, coldMs });
         }
     }
@@ -53,7 +53,7 @@
     /** Waits for a probe, if no more requests may be sent before the upstream has reported that it is not cold. */
     async waitUntilKnown(): Promise<void> {
         const probe = this.probeIfDue();
-        const now = this.parts.clock();
+        const now = this.deps.clock();
         if (!this.guard.canSend(now) && !this.guard.isCold(now)) {
             await probe;
         }
@@ -64,7 +64,7 @@
      * pending.
      */
     async probeIfDue(): Promise<void> {
-        const { clock, mayProbe } = this.parts;
+        const { clock, mayProbe } = this.deps;
         const now = clock();
         if (this.#pending === undefined && this.guard.shouldProbe(now) && mayProbe()) {
             this.guard.recordProbe(now);
@@ -75,10 +75,10 @@
 
     async #probe(): Promise<void> {
         try {
-            await this.parts.probe();
+            await this.deps.probe();
         }
         catch (err) {
-            const { upstream } = this.parts;
+            const { upstream } = this.deps;
             logger.warn("The upstream did not report whether it is cold.", err, { upstream });
         }
     }
--- a/src/gate/crashdetector.ts
+++ b/src/gate/crashdetector.ts
@@ -2,7 +2,7 @@
  * Detects that the upstream has crashed, and reports the requests that were in flight.
  *
  * Owns the probe that determines whether a run broke off because the upstream crashed. Which requests count as in
- * flight is decided by policy/failure/brokenruns.ts.
+ * flight is decided by policy/failure/interruptedruns.ts.
  */
 import { randomBytes } from "node:crypto";
 import { isConnectError } from "../http/connecterror.js";
@@ -27,7 +27,7 @@
 const MAX_LOGGED_REQUESTS = 32;
 
 /** Dependencies and callbacks that the gate provides. */
-type DetectorParts = {
+type DetectorDependencies = {
     readonly upstream: string;
     readonly clock: Clock;
     /** Takes one probe from the budget; returns false if the budget is used up. */
@@ -47,14 +47,14 @@
     /** True if a run has broken off since the last probe. */
     #isProbeNeeded = false;
 
-    constructor(private readonly parts: DetectorParts) {}
+    constructor(private readonly deps: DetectorDependencies) {}
 
     /** Records a run that broke off, or that was cancelled before it had a response. */
     recordBrokenRun(request: RequestKey | undefined, isCancelled: boolean): void {
         if (request === undefined) {
             return;
         }
-        this.#brokenRuns.record(request, isCancelled, this.parts.clock());
+        this.#brokenRuns.record(request, isCancelled, this.deps.clock());
         if (!isCancelled) {
             void this.#probeUntilSettled();
         }
@@ -68,12 +68,12 @@
 
     /** Records that nothing accepts connections at the upstream's address, or that another upstream has it. */
     recordUnreachable(): void {
-        const requests = this.#brokenRuns.takeInProgress(this.parts.clock());
+        const requests = this.#brokenRuns.takeInProgress(this.deps.clock());
         if (requests.length === 0) {
             return;
         }
         this.#crashId ??= randomBytes(CRASH_ID_BYTES).toString("base64url") as CrashId;
-        const { upstream, onCrash } = this.parts;
+        const { upstream, onCrash } = this.deps;
         logger.change("The upstream crashed with requests in flight.", {
             upstream,
             crash: this.#crashId,
@@ -102,7 +102,7 @@
     }
 
     async #waitForBudget(): Promise<void> {
-        while (!this.parts.mayProbe()) {
+        while (!this.deps.mayProbe()) {
             await sleep(BUDGET_POLL_MS);
         }
     }
@@ -112,9 +112,9 @@
      * next probe opens a new connection.
      */
     async #probe(): Promise<void> {
-        const sentAt = this.parts.clock();
+        const sentAt = this.deps.clock();
         try {
-            await this.parts.probe();
+            await this.deps.probe();
             this.recordResponse(sentAt);
         }
         catch (err) {
@@ -124,7 +124,7 @@
             }
             this.#isProbeNeeded = true;
             logger.warn("Could not determine whether the upstream has crashed.", err, {
-                upstream: this.parts.upstream,
+                upstream: this.deps.upstream,
             });
         }
     }
--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -23,8 +23,8 @@
 import type { CloseReason } from "./closereason.js";
 import type { ColdProbe } from "./coldprobe.js";
 import { GateChecks } from "./gatechecks.js";
+import type { GateDependencies } from "./gatedependencies.js";
 import { GateLog } from "./gatelog.js";
-import type { GateParts } from "./gateparts.js";
 import { GateRefusals } from "./gaterefusals.js";
 import { GateRequest } from "./gaterequest.js";
 import { RequestRunner } from "./requestrunner.js";
@@ -44,10 +44,10 @@
     readonly #queue: SlotQueue;
     readonly #runner: RequestRunner;
 
-    constructor(readonly upstream: Upstream, private readonly parts: GateParts) {
-        const { clock, ledger, dialect } = parts;
+    constructor(readonly upstream: Upstream, private readonly deps: GateDependencies) {
+        const { clock, ledger, dialect } = deps;
         const levels = new LevelClock(upstream.slots, clock());
-        this.#endpoint = new UpstreamEndpoint(upstream, parts, {
+        this.#endpoint = new UpstreamEndpoint(upstream, deps, {
             onPace: report => this.#checks.recordPace(report),
             onLimitLowered: () => this.#queue.reevaluate(),
             onLeaving: reason => this.close(reason),
@@ -58,16 +58,16 @@
         const pace = new Pace();
         const ruleTimes = new RuleTimes();
         this.#checks = new GateChecks({
-            ...parts,
+            ...deps,
             pace,
-            workMs: rule => ruleTimes.meanWorkMs(rule),
+            workMs: rule => ruleTimes.meanMs(rule),
             upstream: upstream.name,
-            mayAsk: () => healthProbe.mayProbeLoad && parts.mayAsk(),
+            mayAsk: () => healthProbe.mayProbeLoad && deps.mayAsk(),
             probe: () => healthProbe.probe(PACE_PROBE_TIMEOUT_MS),
             repeatsInFlight: () => this.#runner.repeatCount,
         });
         this.#admission = new Admission(
-            createLimit(parts.limit, upstream.slots, () => parts.usualShare(upstream.service)),
+            createLimit(deps.limit, upstream.slots, () => deps.usualShare(upstream.service)),
             ruleTimes,
             levels,
             pace,
@@ -75,7 +75,7 @@
         );
         this.#refusals = new GateRefusals(
             fields => this.note(fields),
-            reason => parts.onHeldBack(upstream.service, reason),
+            reason => deps.onHeldBack(upstream.service, reason),
         );
         this.#queue = new SlotQueue({
             clock,
@@ -86,7 +86,7 @@
             probeCold: () => coldProbe.probeIfDue(),
         });
         this.#runner = new RequestRunner(upstream, {
-            ...parts,
+            ...deps,
             endpoint: this.#endpoint,
             levels,
             checks: this.#checks,
@@ -127,7 +127,7 @@
 
     /** Number of slots that can be offered to requests queued at sibling upstreams. */
     get freeSlots(): number {
-        return this.#admission.freeSlots(this.parts.clock());
+        return this.#admission.freeSlots(this.deps.clock());
     }
 
     get queuedCount(): number {
@@ -136,7 +136,7 @@
 
     /** Returns the load report that peers receive. */
     report(): LoadReport {
-        const now = this.parts.clock();
+        const now = this.deps.clock();
         const report = { ...this.#admission.report(now), pace: this.#checks.pace };
         return withMinServiceTime(report, this.#runner.meanAgeMs(now));
     }
@@ -187,7 +187,7 @@
 
     /** Serves a request; throws a HopError if it is refused or fails. */
     async serve(call: GateCall): Promise<GateResponse> {
-        const { identity, clock, dialect } = this.parts;
+        const { identity, clock, dialect } = this.deps;
         const request = new GateRequest(call, identity, clock(), requestKeyOf(call, dialect));
         try {
             this.#endpoint.signals.recordPeerLimit(call.head.limitPerSecond);
@@ -209,7 +209,7 @@
 
     /** Reserves a slot for a sibling's request; returns false if the gate is closed or no slot is free. */
     offer(id: string): boolean {
-        return !this.isClosed && this.#queue.offers.create(id, this.parts.clock());
+        return !this.isClosed && this.#queue.offers.create(id, this.deps.clock());
     }
 
     /** Releases the slot of an offer that was not used. */
@@ -227,7 +227,7 @@
     /** Creates the note that accompanies a response or a refusal. */
     note(fields: Partial<AnswerNote> = {}): AnswerNote {
         return {
-            ...this.parts.identity.note(this.parts.clock()),
+            ...this.deps.identity.note(this.deps.clock()),
             report: fields.report ?? this.report(),
             limitPerSecond: this.limitPerSecond,
             ending: this.#checks.isClosedFor("ending") || undefined,
@@ -244,6 +244,6 @@
         if (reason !== undefined) {
             throw this.#refusals.create(reason);
         }
-        this.parts.onChange();
+        this.deps.onChange();
     }
 }
--- a/src/gate/gatechecks.ts
+++ b/src/gate/gatechecks.ts
@@ -13,14 +13,14 @@
 import { canAffordCalls } from "../policy/retry/canaffordcalls.js";
 import type { Reason } from "../policy/retry/reason.js";
 import type { CloseReason } from "./closereason.js";
-import type { GateParts } from "./gateparts.js";
+import type { GateDependencies } from "./gatedependencies.js";
 import type { GateRequest } from "./gaterequest.js";
 import { PaceProbe } from "./paceprobe.js";
 
 const logger = log("gate");
 
 /** Dependencies that the gate provides. */
-type CheckParts = Pick<GateParts, "clock" | "ledger" | "mayAsk" | "repeatsLeft"> & {
+type CheckDependencies = Pick<GateDependencies, "clock" | "ledger" | "mayAsk" | "repeatsLeft"> & {
     readonly upstream: string;
     readonly pace: Pace;
     /** Returns how long requests of a rule take at the upstream's usual pace, in milliseconds. */
@@ -38,8 +38,8 @@
     readonly #fullness = new FullBackoff();
     readonly #closeReasons = new Set<CloseReason>();
 
-    constructor(private readonly parts: CheckParts) {
-        this.#paceProbe = new PaceProbe(parts);
+    constructor(private readonly deps: CheckDependencies) {
+        this.#paceProbe = new PaceProbe(deps);
     }
 
     /** True while the gate takes no new requests. */
@@ -64,7 +64,7 @@
     /** Stops taking new requests for a reason; queued and running requests finish. */
     close(reason: CloseReason): void {
         if (!this.#closeReasons.has(reason)) {
-            logger.change("The gate takes no new requests.", { upstream: this.parts.upstream, reason });
+            logger.change("The gate takes no new requests.", { upstream: this.deps.upstream, reason });
         }
         this.#closeReasons.add(reason);
     }
@@ -96,7 +96,7 @@
     /** Records that the upstream did not serve a request, and why. */
     recordFailure(reason: Reason): void {
         if (reason === "shed") {
-            this.#fullness.recordRefusal(this.parts.clock());
+            this.#fullness.recordRefusal(this.deps.clock());
         }
         if (reason === "leaving" || reason === "misdirected") {
             this.close("upstream");
@@ -116,7 +116,7 @@
      * arrival, and its retry costs retry budget.
      */
     #immediateRefusal({ choices, call: { head: { arrival } } }: GateRequest): Reason | undefined {
-        const { repeatsInFlight, repeatsLeft, clock } = this.parts;
+        const { repeatsInFlight, repeatsLeft, clock } = this.deps;
         if (this.isClosed) {
             return "leaving";
         }
@@ -130,7 +130,7 @@
     }
 
     async #paceRefusal({ choices, rule, call: { cancel } }: GateRequest): Promise<Reason | undefined> {
-        if (await this.#paceProbe.shouldRedirect({ choices, workMs: this.parts.workMs(rule) })) {
+        if (await this.#paceProbe.shouldRedirect({ choices, workMs: this.deps.workMs(rule) })) {
             return "slow";
         }
         if (this.isClosed) {
@@ -143,7 +143,7 @@
         if (!once) {
             return undefined;
         }
-        const admitted = this.parts.ledger.admit(head.id, ledgerDeadline, arrivedAt);
+        const admitted = this.deps.ledger.admit(head.id, ledgerDeadline, arrivedAt);
         return admitted === "admitted" ? undefined : `ledger-${admitted}`;
     }
 }
--- a/src/gate/gateparts.ts
+++ b/src/gate/gatedependencies.ts
@@ -14,7 +14,7 @@
 import type { GateIdentity } from "./gateidentity.js";
 
 /** Dependencies of a gate; all gates of a daemon share them. */
-export type GateParts = {
+export type GateDependencies = {
     readonly clock: Clock;
     readonly ledger: Ledger;
     readonly contexts: CallContexts;
--- a/src/gate/healthprobe.ts
+++ b/src/gate/healthprobe.ts
@@ -11,7 +11,7 @@
 import type { UpstreamClient } from "./upstreamclient.js";
 
 /** Dependencies that the gate provides. */
-type ProbeParts = {
+type ProbeDependencies = {
     readonly service: ServiceName;
     readonly clock: Clock;
     readonly dialect: Dialect;
@@ -27,16 +27,16 @@
 
 /** Probes the health endpoint of one upstream. */
 export class HealthProbe {
-    constructor(private readonly parts: ProbeParts) {}
+    constructor(private readonly deps: ProbeDependencies) {}
 
     /** False while the upstream states a rate limit: its responses to requests report its load then. */
     get mayProbeLoad(): boolean {
-        return this.parts.rateLimit.perSecond === undefined;
+        return this.deps.rateLimit.perSecond === undefined;
     }
 
     /** Sends a probe and applies the response; rejects if none arrives in time. */
     async probe(timeoutMs: number): Promise<void> {
-        const { clock, client, rateLimit, dialect, onColdReport, healthPath, service } = this.parts;
+        const { clock, client, rateLimit, dialect, onColdReport, healthPath, service } = this.deps;
         const sentAt = clock();
         rateLimit.recordSent(sentAt);
         const { headers } = await client.probeHealth(healthPath(service), timeoutMs);
@@ -45,7 +45,7 @@
 
     /** Sends a probe, unless that would displace a request: then it resolves without a response. */
     async probeIfAllowed(timeoutMs: number): Promise<void> {
-        if (this.parts.rateLimit.mayProbeHealth(this.parts.clock())) {
+        if (this.deps.rateLimit.mayProbeHealth(this.deps.clock())) {
             await this.probe(timeoutMs);
         }
     }
--- a/src/gate/paceprobe.ts
+++ b/src/gate/paceprobe.ts
@@ -7,7 +7,7 @@
 const logger = log("gate");
 
 /** Dependencies that the gate provides. */
-type PaceProbeParts = {
+type PaceProbeDependencies = {
     readonly clock: Clock;
     readonly pace: Pace;
     /** Takes one probe from the budget; returns false if the budget is used up. */
@@ -21,8 +21,8 @@
     readonly #pace: Pace;
     #pending: Promise<boolean> | undefined;
 
-    constructor(private readonly parts: PaceProbeParts) {
-        this.#pace = parts.pace;
+    constructor(private readonly deps: PaceProbeDependencies) {
+        this.#pace = deps.pace;
     }
 
     /** The pace that was reported last; undefined if the upstream never reports one. */
@@ -31,12 +31,12 @@
     }
 
     record(pace: number): void {
-        this.#pace.observe(pace, this.parts.clock());
+        this.#pace.observe(pace, this.deps.clock());
     }
 
     /** Returns true if a fresh report shows that the upstream is slow and the request should go elsewhere. */
     async shouldRedirect(request: Parameters<typeof checkPace>[1]): Promise<boolean> {
-        const decision = checkPace(this.#pace, request, this.parts.clock());
+        const decision = checkPace(this.#pace, request, this.deps.clock());
         if (decision !== "ask") {
             return decision === "slow";
         }
@@ -50,7 +50,7 @@
 
     /** Resolves with whether the upstream reports to be slow; with false if the probe budget is used up. */
     async #probeIfAllowed(): Promise<boolean> {
-        if (this.#pending === undefined && !this.parts.mayAsk()) {
+        if (this.#pending === undefined && !this.deps.mayAsk()) {
             return false;
         }
         this.#pending ??= this.#probe();
@@ -62,9 +62,9 @@
      * that a stall of this process does not make the response stale.
      */
     async #probe(): Promise<boolean> {
-        const sentAt = this.parts.clock();
+        const sentAt = this.deps.clock();
         try {
-            await this.parts.probe();
+            await this.deps.probe();
             return this.#pace.isSlowSince(sentAt);
         }
         catch (err) {
--- a/src/gate/requestrunner.ts
+++ b/src/gate/requestrunner.ts
@@ -17,8 +17,8 @@
 import { ActiveRuns } from "./activeruns.js";
 import { CrashDetector } from "./crashdetector.js";
 import type { GateChecks } from "./gatechecks.js";
+import type { GateDependencies } from "./gatedependencies.js";
 import type { GateLog } from "./gatelog.js";
-import type { GateParts } from "./gateparts.js";
 import type { GateRefusals } from "./gaterefusals.js";
 import type { GateRequest } from "./gaterequest.js";
 import type { SlotQueue } from "./slotqueue.js";
@@ -38,7 +38,7 @@
 const MAX_SERVED_KEYS = 2048;
 
 /** Dependencies that the gate provides. */
-type RunnerParts = GateParts & {
+type RunnerDependencies = GateDependencies & {
     readonly endpoint: UpstreamEndpoint;
     readonly levels: LevelClock;
     readonly checks: GateChecks;
@@ -59,7 +59,7 @@
      */
     readonly #servedKeys = new RecentSet<RequestKey>(MAX_SERVED_KEYS);
 
-    constructor(private readonly upstream: Upstream, private readonly parts: RunnerParts) {
+    constructor(private readonly upstream: Upstream, private readonly deps: RunnerDependencies) {
         this.#crashDetector = this.#createCrashDetector();
     }
 
@@ -94,13 +94,13 @@
 
     /** Returns the refusal of a quarantined request; undefined for any other request. */
     quarantineRefusal({ key }: GateRequest): HopError | undefined {
-        const retryAfterMs = this.parts.quarantinedForMs(key);
-        return retryAfterMs === undefined ? undefined : this.parts.refusals.create("quarantined", { retryAfterMs });
+        const retryAfterMs = this.deps.quarantinedForMs(key);
+        return retryAfterMs === undefined ? undefined : this.deps.refusals.create("quarantined", { retryAfterMs });
     }
 
     /** Runs a request that has a slot; throws a HopError if it does not get a response. */
     async run(request: GateRequest): Promise<GateResponse> {
-        const { clock, checks, queue, refusals } = this.parts;
+        const { clock, checks, queue, refusals } = this.deps;
         const refusal = this.quarantineRefusal(request);
         if (refusal !== undefined) {
             queue.releaseUnused(request);
@@ -118,9 +118,9 @@
             this.#recordArrival(request);
             checks.recordResponse();
             const tookMs = clock() - request.arrivedAt;
-            const report = this.parts.report();
-            this.parts.log.logResponse(request, response.status, startedAt - request.arrivedAt, tookMs, report);
-            return { ...response, note: this.parts.createNote({ tookMs, calls, retriedBelow, unframed, report }) };
+            const report = this.deps.report();
+            this.deps.log.logResponse(request, response.status, startedAt - request.arrivedAt, tookMs, report);
+            return { ...response, note: this.deps.createNote({ tookMs, calls, retriedBelow, unframed, report }) };
         }
         catch (err) {
             const arrived = !(err instanceof UpstreamError && err.reason === "unreachable");
@@ -133,7 +133,7 @@
 
     /** `pace` is the upstream's pace when the run starts. */
     #createRun(request: GateRequest, pace: number | undefined): UpstreamRun {
-        const { checks, queue, onChange } = this.parts;
+        const { checks, queue, onChange } = this.deps;
         const onEnd = (
             serviceMs: number | undefined,
             work: Float64Array,
@@ -146,11 +146,11 @@
         };
         const onServed = (key: RequestKey): void => {
             this.#servedKeys.add(key);
-            this.parts.onServed(key);
+            this.deps.onServed(key);
         };
         const run = new UpstreamRun(request, {
-            ...this.parts,
-            client: this.parts.endpoint.client,
+            ...this.deps,
+            client: this.deps.endpoint.client,
             crashDetector: this.#crashDetector,
             onEnd,
             onServed,
@@ -160,7 +160,7 @@
 
     /** The end of an upstream that has announced that it is leaving is not a crash. */
     #createCrashDetector(): CrashDetector {
-        const { clock, onCrash, endpoint, checks, mayProbeCrash: mayProbe } = this.parts;
+        const { clock, onCrash, endpoint, checks, mayProbeCrash: mayProbe } = this.deps;
         const { name: upstream, service } = this.upstream;
         return new CrashDetector({
             upstream,
@@ -176,7 +176,7 @@
     }
 
     #recordArrival({ call: { head } }: GateRequest): void {
-        this.parts.onArrival(this.upstream.service, head.arrival);
+        this.deps.onArrival(this.upstream.service, head.arrival);
     }
 
     /** `hasArrived`: the upstream has received the request. */
@@ -187,7 +187,7 @@
                 upstream: this.upstream.name,
             });
         }
-        this.parts.checks.recordFailure(reason);
-        return this.parts.refusals.create(reason, { arrived: hasArrived });
+        this.deps.checks.recordFailure(reason);
+        return this.deps.refusals.create(reason, { arrived: hasArrived });
     }
 }
--- a/src/gate/slotqueue.ts
+++ b/src/gate/slotqueue.ts
@@ -16,7 +16,7 @@
 import { Offers } from "./offers.js";
 
 /** Dependencies that the gate provides. */
-type QueueParts = {
+type QueueDependencies = {
     readonly clock: Clock;
     readonly ledger: Ledger;
     readonly admission: Admission<GateRequest>;
@@ -47,13 +47,13 @@
     /** Set while a queued request has a slot but the upstream may not be sent more yet. */
     #rateTimer: NodeJS.Timeout | undefined;
 
-    constructor(private readonly parts: QueueParts) {
-        this.offers = new Offers(parts.admission);
+    constructor(private readonly deps: QueueDependencies) {
+        this.offers = new Offers(deps.admission);
     }
 
     /** Resolves when the request may run; rejects with a HopError if it is refused. */
     async enter(request: GateRequest): Promise<void> {
-        const { admission, clock, refusals } = this.parts;
+        const { admission, clock, refusals } = this.deps;
         const verdict = admission.admit(request, clock(), this.offers.take(request.call.head.offer));
         if (verdict.type === "run") {
             return;
@@ -71,7 +71,7 @@
      * Returns false and frees the slot if the request's deadline has passed, or if it was revoked while it was queued.
      */
     start(request: GateRequest): boolean {
-        const { clock, ledger } = this.parts;
+        const { clock, ledger } = this.deps;
         const now = clock();
         if (now < request.deadline && (!request.once || ledger.start(request.call.head.id, now))) {
             return true;
@@ -91,14 +91,14 @@
      * time of the upstream.
      */
     release(serviceMs: number | undefined, ended?: FinishedRequest): void {
-        const { admission, clock } = this.parts;
+        const { admission, clock } = this.deps;
         admission.recordFinished(serviceMs, ended, clock());
         this.startNext();
     }
 
     /** Starts the queued requests that may run now, and refuses those whose deadline has passed. */
     startNext(): void {
-        const { admission, clock, refusals } = this.parts;
+        const { admission, clock, refusals } = this.deps;
         const { run, expired: late } = admission.dequeue(clock());
         for (const request of late) {
             this.revoke(request);
@@ -115,7 +115,7 @@
      * their number.
      */
     handBack(goTo: UpstreamName, offers: readonly string[]): number {
-        const { admission, refusals } = this.parts;
+        const { admission, refusals } = this.deps;
         const ids = [...offers];
         const handedBack = admission.handBack(ids.length, request => request.canHandBack);
         for (const request of handedBack) {
@@ -127,7 +127,7 @@
 
     /** Hands back the queued requests for which `shouldRedirect` returns true, to be served elsewhere. */
     redirect(shouldRedirect: (request: GateRequest) => boolean): void {
-        const { admission, refusals } = this.parts;
+        const { admission, refusals } = this.deps;
         for (const request of admission.handBack(Infinity, shouldRedirect)) {
             this.revoke(request);
             request.refuse(refusals.create("leaving"));
@@ -138,7 +138,7 @@
      * Refuses the queued requests that can no longer be served in time, after the upstream has lowered its rate limit.
      */
     reevaluate(): void {
-        const { admission, clock, refusals } = this.parts;
+        const { admission, clock, refusals } = this.deps;
         for (const { item, refusal: { reason, retryAfterMs } } of admission.reevaluate(clock())) {
             this.revoke(item);
             item.refuse(refusals.create(reason, { retryAfterMs }));
@@ -148,12 +148,12 @@
     /** Leaves a tombstone in the ledger, so that a refused `once` request cannot run later. */
     revoke(request: GateRequest): void {
         if (request.once) {
-            this.parts.ledger.revoke(request.call.head.id, request.ledgerDeadline, this.parts.clock());
+            this.deps.ledger.revoke(request.call.head.id, request.ledgerDeadline, this.deps.clock());
         }
     }
 
     async #waitForSlot(request: GateRequest): Promise<void> {
-        const { admission, clock } = this.parts;
+        const { admission, clock } = this.deps;
         const { afterMs, reason } = waitLimit(request.maxWaitMs, request.deadline - clock());
         const timer = setTimeout(() => {
             const retryAfterMs = reason === "wait-too-long" ? admission.retryAfterMs(request, clock()) : undefined;
@@ -179,7 +179,7 @@
      * already.
      */
     #scheduleRateCheck(): void {
-        const { admission, clock, probeCold } = this.parts;
+        const { admission, clock, probeCold } = this.deps;
         const opensAt = admission.nextSendAt(clock());
         if (this.#rateTimer !== undefined || opensAt === undefined) {
             return;
@@ -200,7 +200,7 @@
      * upstream.
      */
     #schedulePaceProbe(): void {
-        const { admission, clock, refreshPace } = this.parts;
+        const { admission, clock, refreshPace } = this.deps;
         if (this.#paceTimer !== undefined || !admission.isWaitingForPace(clock())) {
             return;
         }
@@ -214,9 +214,9 @@
 
     /** Refuses a request that is still queued, and thus has not run. */
     #refuseQueued(request: GateRequest, reason: Reason, retryAfterMs?: number): void {
-        if (this.parts.admission.remove(request)) {
+        if (this.deps.admission.remove(request)) {
             this.revoke(request);
-            request.refuse(this.parts.refusals.create(reason, { retryAfterMs }));
+            request.refuse(this.deps.refusals.create(reason, { retryAfterMs }));
         }
     }
 }
--- a/src/gate/upstreamendpoint.ts
+++ b/src/gate/upstreamendpoint.ts
@@ -6,7 +6,7 @@
 import type { Upstream } from "../config/upstream.js";
 import { SendRate } from "../policy/rate/sendrate.js";
 import { ColdProbe } from "./coldprobe.js";
-import type { GateParts } from "./gateparts.js";
+import type { GateDependencies } from "./gatedependencies.js";
 import { HealthProbe } from "./healthprobe.js";
 import { UpstreamClient } from "./upstreamclient.js";
 import { UpstreamSignals } from "./upstreamsignals.js";
@@ -36,24 +36,24 @@
     readonly coldProbe: ColdProbe;
     readonly sendRate: SendRate;
 
-    constructor(upstream: Upstream, parts: GateParts, events: EndpointEvents) {
+    constructor(upstream: Upstream, deps: GateDependencies, events: EndpointEvents) {
         const { name, service } = upstream;
-        const { leavingIsPermanent: leavesForGood } = parts.dialect;
+        const { leavingIsPermanent: leavesForGood } = deps.dialect;
         this.signals = new UpstreamSignals({
-            ...parts,
+            ...deps,
             ...events,
             upstream: name,
             onLeaving: () => {
                 events.onLeaving(leavesForGood ? "ending" : "upstream");
                 if (leavesForGood) {
-                    parts.onEnding(name);
+                    deps.onEnding(name);
                 }
             },
         });
         this.client = new UpstreamClient(upstream, {
-            ...parts,
+            ...deps,
             onResponse: (headers, exchange) => {
-                const load = parts.dialect.load(headers);
+                const load = deps.dialect.load(headers);
                 if (load !== undefined) {
                     events.onPace(load.pace);
                 }
@@ -62,7 +62,7 @@
         });
         const { rateLimit } = this.signals;
         this.healthProbe = new HealthProbe({
-            ...parts,
+            ...deps,
             service,
             rateLimit,
             client: this.client,
@@ -70,9 +70,9 @@
         });
         this.coldProbe = new ColdProbe({
             upstream: name,
-            clock: parts.clock,
-            limits: () => parts.coldLimits(service),
-            mayProbe: () => this.healthProbe.mayProbeLoad && parts.mayProbeCold(),
+            clock: deps.clock,
+            limits: () => deps.coldLimits(service),
+            mayProbe: () => this.healthProbe.mayProbeLoad && deps.mayProbeCold(),
             probe: () => this.healthProbe.probe(COLD_PROBE_TIMEOUT_MS),
         });
         this.sendRate = new SendRate(this.coldProbe.guard, rateLimit);
--- a/src/gate/upstreamrun.ts
+++ b/src/gate/upstreamrun.ts
@@ -21,7 +21,7 @@
 import { UpstreamError } from "./upstreamerror.js";
 
 /** Dependencies and callbacks that the gate provides. */
-type RunParts = {
+type RunDependencies = {
     readonly clock: Clock;
     readonly ledger: Ledger;
     readonly contexts: CallContexts;
@@ -67,14 +67,14 @@
     #hasResponseHead = false;
     #abortTimer: NodeJS.Timeout | undefined;
 
-    constructor(private readonly request: GateRequest, private readonly parts: RunParts) {
-        this.#startedAt = parts.clock();
+    constructor(private readonly request: GateRequest, private readonly deps: RunDependencies) {
+        this.#startedAt = deps.clock();
         const { headers, head } = request.call;
         const { deadline } = request;
-        this.#workTime = new WorkTime(parts.levels, this.#startedAt);
-        this.#requestId = parts.dialect.idOf(headers, head.id);
+        this.#workTime = new WorkTime(deps.levels, this.#startedAt);
+        this.#requestId = deps.dialect.idOf(headers, head.id);
         const runDetails = { deadline, depth: head.depth, repeated: head.arrival !== "first", work: this.#workTime };
-        this.#context = parts.contexts.open(this.#requestId, runDetails);
+        this.#context = deps.contexts.open(this.#requestId, runDetails);
         this.#deadlineTimer = setTimeout(() => {
             this.#abortUnanswered();
             this.#cancel.abort();
@@ -107,7 +107,7 @@
      */
     abortIfUnanswered(afterMs: number): void {
         if (!this.#hasResponseHead && this.#abortTimer === undefined) {
-            const now = this.parts.clock();
+            const now = this.deps.clock();
             this.#abortTimer = setTimeout(() => this.#abortUnanswered(), Math.max(0, this.#startedAt + afterMs - now));
         }
     }
@@ -115,22 +115,22 @@
     #abortUnanswered(): void {
         if (!this.#hasResponseHead) {
             this.#cancel.abort();
-            this.parts.client.recordUnanswered(this.#startedAt);
+            this.deps.client.recordUnanswered(this.#startedAt);
         }
     }
 
     /** Sends the request. If it throws an UpstreamError, the run has ended. */
     async send(): Promise<RunResponse> {
-        const { request, parts } = this;
+        const { request, deps } = this;
         const callerCancel = request.upstreamCancel();
         const removeAbortListener = callerCancel?.onAbort(() => this.#cancel.abort());
         if (callerCancel?.aborted) {
             this.#cancel.abort();
         }
         try {
-            const response = await parts.client.send(request.call, this.#requestHeaders(), this.#cancel);
+            const response = await deps.client.send(request.call, this.#requestHeaders(), this.#cancel);
             this.#hasResponseHead = true;
-            parts.crashDetector.recordResponse(this.#startedAt);
+            deps.crashDetector.recordResponse(this.#startedAt);
             const isStreamed = request.call.head.answer === "streamed";
             if (isStreamed) {
                 this.#end(true);
@@ -146,7 +146,7 @@
         }
         catch (err) {
             if (request.once && err instanceof UpstreamError && reasons[err.reason].proves === "not-run") {
-                parts.ledger.markNotRun(request.call.head.id);
+                deps.ledger.markNotRun(request.call.head.id);
             }
             this.#recordFailure(err);
             removeAbortListener?.();
@@ -156,7 +156,7 @@
     }
 
     #recordFailure(err: unknown): void {
-        const { request: { key }, parts: { crashDetector } } = this;
+        const { request: { key }, deps: { crashDetector } } = this;
         const reason = err instanceof UpstreamError ? err.reason : undefined;
         if (reason === "upstream-broke") {
             crashDetector.recordBrokenRun(key, this.#cancel.aborted);
@@ -172,7 +172,7 @@
             this.#recordServed(body.readableEnded, status);
             this.#end(true);
         });
-        body.on("error", () => this.parts.crashDetector.recordBrokenRun(this.request.key, this.#cancel.aborted));
+        body.on("error", () => this.deps.crashDetector.recordBrokenRun(this.request.key, this.#cancel.aborted));
         if (!this.request.once) {
             return body;
         }
@@ -187,7 +187,7 @@
 
     /** Reports the request as served if its response is complete and no server error. */
     #recordServed(isComplete: boolean, status: number): void {
-        const { request: { key }, parts: { onServed } } = this;
+        const { request: { key }, deps: { onServed } } = this;
         if (isComplete && key !== undefined && status < httpStatus.internalServerError) {
             onServed(key);
         }
@@ -195,7 +195,7 @@
 
     #requestHeaders(): HttpHeaders {
         const { call, deadline } = this.request;
-        const { dialect } = this.parts;
+        const { dialect } = this.deps;
         return {
             ...call.headers,
             [dialect.context]: this.#context.token,
@@ -212,9 +212,9 @@
         this.#isActive = false;
         clearTimeout(this.#deadlineTimer);
         clearTimeout(this.#abortTimer);
-        this.parts.contexts.close(this.#context);
-        this.parts.ledger.finish(this.request.call.head.id);
-        const now = this.parts.clock();
-        this.parts.onEnd(wasServed ? this.ageMs(now) : undefined, this.#workTime.read(now), this.#context.calls);
+        this.deps.contexts.close(this.#context);
+        this.deps.ledger.finish(this.request.call.head.id);
+        const now = this.deps.clock();
+        this.deps.onEnd(wasServed ? this.ageMs(now) : undefined, this.#workTime.read(now), this.#context.calls);
     }
 }
--- a/src/gate/upstreamsignals.ts
+++ b/src/gate/upstreamsignals.ts
@@ -12,7 +12,7 @@
 const logger = log("gate");
 
 /** Dependencies and callbacks that the gate provides. */
-type SignalParts = {
+type SignalDependencies = {
     readonly upstream: string;
     readonly clock: Clock;
     readonly dialect: Dialect;
@@ -30,11 +30,11 @@
     /** The last value that could not be parsed, so that it is logged only once. */
     #lastUnreadable: string | undefined;
 
-    constructor(private readonly parts: SignalParts) {}
+    constructor(private readonly deps: SignalDependencies) {}
 
     /** Records a response that the upstream itself has sent. */
     recordResponse(headers: HttpHeaders, exchange: Parameters<StatedRateLimiter["recordResponse"]>[1]): void {
-        const { clock, dialect, onLeaving, onNotLeaving } = this.parts;
+        const { clock, dialect, onLeaving, onNotLeaving } = this.deps;
         const stated = dialect.limit(headers);
         this.#lastUnreadable = stated.type === "unreadable" ? this.#warnOnce(stated.text) : undefined;
         this.#updateLimit(() => this.rateLimit.recordResponse(stated, exchange, clock()));
@@ -49,12 +49,12 @@
     /** Records the rate limit that the sender of a request knows of, if it knows of one. */
     recordPeerLimit(perSecond: number | undefined): void {
         if (perSecond !== undefined) {
-            this.#updateLimit(() => this.rateLimit.recordPropagated(perSecond, this.parts.clock()));
+            this.#updateLimit(() => this.rateLimit.recordPropagated(perSecond, this.deps.clock()));
         }
     }
 
     #warnOnce(text: string): string {
-        const { upstream, dialect } = this.parts;
+        const { upstream, dialect } = this.deps;
         if (text !== this.#lastUnreadable) {
             const field = dialect.requestLimit;
             const message = "The upstream's stated rate limit can't be read; the same value is not logged again.";
@@ -73,9 +73,9 @@
         const message = perSecond === undefined
             ? "The upstream no longer states a rate limit."
             : "The upstream states a rate limit.";
-        logger.change(message, { upstream: this.parts.upstream, perSecond, before });
+        logger.change(message, { upstream: this.deps.upstream, perSecond, before });
         if (perSecond !== undefined && perSecond < (before ?? Infinity)) {
-            this.parts.onLimitLowered();
+            this.deps.onLimitLowered();
         }
     }
 }
--- a/src/health/probebudget.ts
+++ b/src/health/probebudget.ts
@@ -18,7 +18,7 @@
 /**
  * Rate and burst of the probes that determine whether an upstream is cold. Only after such a probe is a warm upstream
  * sent more than a cold one may get, so it can be sent at most this many times its burst in a second
- * (policy/rate/evenrate.ts).
+ * (policy/rate/ratelimiter.ts).
  */
 const COLD_PROBES = { perSecond: 40, burst: 10 } as const;
 
--- a/src/ingress/attempt.ts
+++ b/src/ingress/attempt.ts
@@ -16,15 +16,15 @@
 import type { Reason } from "../policy/retry/reason.js";
 import { reasons } from "../policy/retry/reasons.js";
 import type { CallHead } from "../wire/callhead.js";
-import type { IngressParts } from "./ingressparts.js";
+import type { IngressDependencies } from "./ingressdependencies.js";
 import type { OutgoingRequest } from "./outgoingrequest.js";
 import type { Plan } from "./plan.js";
 import type { RequestLog } from "./requestlog.js";
 import type { UpstreamView } from "./upstreamview.js";
 
 /** What the request handler provides to an attempt. */
-type AttemptParts = {
-    readonly ingress: IngressParts;
+type AttemptDependencies = {
+    readonly ingress: IngressDependencies;
     readonly plan: Plan;
     /** The number of other upstreams that the request could still go to. */
     readonly choices: number;
@@ -51,9 +51,9 @@
     constructor(
         private readonly target: UpstreamView,
         { offer, arrival }: { readonly offer: string | undefined; readonly arrival: Arrival; },
-        private readonly parts: AttemptParts,
+        private readonly deps: AttemptDependencies,
     ) {
-        const { ingress, plan, choices, nearChoices } = parts;
+        const { ingress, plan, choices, nearChoices } = deps;
         const { rule, service, startedAt, depth } = plan;
         const { maxWaitMs: serviceMaxWaitMs } = service;
         const now = ingress.clock();
@@ -84,7 +84,7 @@
 
     async run(): Promise<Result> {
         const { target } = this;
-        const { ingress, plan, requestCancel } = this.parts;
+        const { ingress, plan, requestCancel } = this.deps;
         const unsubscribe = requestCancel.onAbort(() => this.#cancel.abort());
         const cancellable = plan.kind === "repeatable" ? this.#cancel : undefined;
         target.attemptStarted(ingress.clock(), cancellable);
@@ -102,12 +102,12 @@
 
     async #send(): Promise<Result> {
         const { target } = this;
-        const { ingress, plan, outgoing, requestCancel } = this.parts;
+        const { ingress, plan, outgoing, requestCancel } = this.deps;
         if (requestCancel.aborted) {
             throw new HopError("not-run", "deadline");
         }
         const sentAt = ingress.clock();
-        this.parts.log.attemptSent(target, this.#head, sentAt);
+        this.deps.log.attemptSent(target, this.#head, sentAt);
         const { method, path, headers, body } = outgoing;
         const response = await target.hop.send({
             head: this.#head,
@@ -130,7 +130,7 @@
     }
 
     async #deliver(response: GateResponse): Promise<Result> {
-        const { claim, deliver } = this.parts;
+        const { claim, deliver } = this.deps;
         if (!claim()) {
             abandonBody(response.body);
             return { outcome: "unknown", reason: "overtaken" };
@@ -143,9 +143,9 @@
     /** Returns the result for an error, and records its effect in the upstream's view. */
     async #resultOfError(err: unknown): Promise<Result> {
         const { target } = this;
-        const now = this.parts.ingress.clock();
+        const now = this.deps.ingress.clock();
         if (!(err instanceof HopError)) {
-            this.parts.log.responseBroken(err, target);
+            this.deps.log.responseBroken(err, target);
             target.recordFailure(now);
             return { outcome: "unknown", reason: this.#deadlineOr("broken-answer") };
         }
@@ -166,7 +166,7 @@
      * that it is known whether it has run; a repeatable one can be sent again either way.
      */
     async #resultWithoutResponse(): Promise<Result> {
-        const { ingress, plan, requestCancel } = this.parts;
+        const { ingress, plan, requestCancel } = this.deps;
         const reason = this.#deadlineOr("peer-broke");
         if (!requestCancel.aborted && !this.#cancel.aborted) {
             this.target.suspect(ingress.clock());
@@ -180,6 +180,6 @@
 
     /** Returns `deadline` if the request's deadline has passed, otherwise the reason given. */
     #deadlineOr(reason: Reason): Reason {
-        return this.parts.isDeadlinePassed() ? "deadline" : reason;
+        return this.deps.isDeadlinePassed() ? "deadline" : reason;
     }
 }
--- a/src/ingress/ingress.ts
+++ b/src/ingress/ingress.ts
@@ -16,7 +16,7 @@
 import { CallerResponse } from "./callerresponse.js";
 import { closeServer } from "./closeserver.js";
 import { headBytes } from "./headbytes.js";
-import type { IngressParts } from "./ingressparts.js";
+import type { IngressDependencies } from "./ingressdependencies.js";
 import type { OutgoingRequest } from "./outgoingrequest.js";
 import { pathOf } from "./pathof.js";
 import type { Plan } from "./plan.js";
@@ -41,7 +41,7 @@
 };
 
 /** What the listener uses besides the parts of the request handlers. */
-type ListenerParts = {
+type ListenerDependencies = {
     readonly planner: Planner;
     /** The service on this host, sent to upstreams as the caller's service; undefined if there is none. */
     readonly callerService: ServiceName | undefined;
@@ -61,8 +61,8 @@
 
     constructor(
         private readonly limits: IngressLimits,
-        private readonly listenerParts: ListenerParts,
-        private readonly parts: IngressParts,
+        private readonly listenerParts: ListenerDependencies,
+        private readonly deps: IngressDependencies,
     ) {
         this.#server = createServer({
             maxHeaderSize: limits.headerBytes,
@@ -104,8 +104,8 @@
     }
 
     async #handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
-        const startedAt = this.parts.clock();
-        const callerResponse = new CallerResponse(res, this.parts.dialect, req.method === "HEAD");
+        const startedAt = this.deps.clock();
+        const callerResponse = new CallerResponse(res, this.deps.dialect, req.method === "HEAD");
         this.#inFlight += 1;
         res.shouldKeepAlive = res.shouldKeepAlive && !this.#isStopping;
         try {
@@ -141,7 +141,7 @@
         if (headBytes(req) > (this.#callerLimits.headerBytes ?? this.limits.headerBytes)) {
             return { type: "refusal", problem: "head-too-large", detail: "header" };
         }
-        const id = this.parts.dialect.idOf(req.headers, this.parts.newRequestId());
+        const id = this.deps.dialect.idOf(req.headers, this.deps.newRequestId());
         const requestLog = new RequestLog(id);
         const plan = this.listenerParts.planner.plan(req, path, startedAt, requestLog);
         if (plan.type === "refusal") {
@@ -153,7 +153,7 @@
             return await this.#servePlanned({ id, path, plan, log: requestLog }, req, res, callerResponse);
         }
         finally {
-            parent?.work.callEnded(this.parts.clock());
+            parent?.work.callEnded(this.deps.clock());
         }
     }
 
@@ -168,7 +168,7 @@
             return body;
         }
         const outgoing = { id, method: req.method ?? "GET", headers: this.#headers(req), path, body };
-        const handler = new RequestHandler(callerResponse, plan, outgoing, this.parts);
+        const handler = new RequestHandler(callerResponse, plan, outgoing, this.deps);
         const outcome = await handler.run();
         this.#recordEnd(req, res, plan, requestLog, { outcome, attempts: handler.attempts });
         return undefined;
@@ -181,11 +181,11 @@
         requestLog: RequestLog,
         { outcome, attempts }: { readonly outcome: RequestOutcome; readonly attempts: number; },
     ): void {
-        const elapsedMs = this.parts.clock() - plan.startedAt;
+        const elapsedMs = this.deps.clock() - plan.startedAt;
         this.#reportFailureToParent(req, outcome, status);
         const { priority, tenant: team } = plan.rule;
-        this.parts.metrics.finished({ service: plan.service.name, priority, team }, outcome, elapsedMs);
-        requestLog.requestEnded(plan, { outcome, status, revision: this.parts.revision(), attempts, elapsedMs });
+        this.deps.metrics.finished({ service: plan.service.name, priority, team }, outcome, elapsedMs);
+        requestLog.requestEnded(plan, { outcome, status, revision: this.deps.revision(), attempts, elapsedMs });
     }
 
     async #readBody(req: IncomingMessage, res: ServerResponse): Promise<Body | RequestRefusal | undefined> {
@@ -208,7 +208,7 @@
         const headers = cleanHeaders(req.headers);
         const { callerService } = this.listenerParts;
         if (callerService !== undefined) {
-            headers[this.parts.dialect.callerService] = callerService;
+            headers[this.deps.dialect.callerService] = callerService;
         }
         return headers;
     }
--- a/src/ingress/ingressparts.ts
+++ b/src/ingress/ingressdependencies.ts
@@ -13,7 +13,7 @@
 import type { UpstreamTable } from "./upstreamtable.js";
 
 /** Passed to the ingress, its request handlers and their attempts. */
-export type IngressParts = {
+export type IngressDependencies = {
     readonly clock: Clock;
     readonly random: RandomSource;
     readonly placement: Placement;
--- a/src/ingress/planner.ts
+++ b/src/ingress/planner.ts
@@ -15,7 +15,7 @@
 import { timeLimitOf } from "./timelimitof.js";
 
 /** The parts of the daemon that the planner uses. */
-type PlannerParts = {
+type PlannerDependencies = {
     readonly dialect: Dialect;
     readonly contexts: CallContexts;
     readonly random: RandomSource;
@@ -31,13 +31,13 @@
 export class Planner {
     readonly #splitSamples: SplitSampler;
 
-    constructor(private readonly parts: PlannerParts) {
-        this.#splitSamples = new SplitSampler(parts.random);
+    constructor(private readonly deps: PlannerDependencies) {
+        this.#splitSamples = new SplitSampler(deps.random);
     }
 
     /** Returns the plan for a request, or the refusal to send; `startedAt` is in milliseconds on the daemon's clock. */
     plan(req: IncomingMessage, path: string, startedAt: number, log: RequestLog): Plan | RequestRefusal {
-        const { revision } = this.parts;
+        const { revision } = this.deps;
         if (revision() === 0) {
             log.noConfiguration();
             return { type: "refusal", problem: "not-ready", detail: "", retryAfterMs: unplacedRetryAfterMs };
@@ -68,7 +68,7 @@
 
     /** Returns the rule that matches, and the sample that selected the part of its split. */
     #match(target: RequestTarget): { readonly sample: number; readonly matched: MatchedRule | undefined; } {
-        const { findRule } = this.parts;
+        const { findRule } = this.deps;
         const matched = findRule(target, 0);
         if (matched?.rule.split === undefined) {
             return { sample: 0, matched };
@@ -79,13 +79,13 @@
 
     /** Returns the request during which a local upstream makes this call, or undefined if it is not such a call. */
     parentOf(req: IncomingMessage): Parent | undefined {
-        const { dialect, contexts } = this.parts;
+        const { dialect, contexts } = this.deps;
         const token = req.headers[dialect.context] as string | undefined;
         return contexts.findByToken(token) ?? contexts.findByRequest(dialect.parentOf(req.headers));
     }
 
     #deadline(req: IncomingMessage, { rule }: MatchedRule, parent: Parent | undefined, startedAt: number): number {
-        const { callerTimeLimit } = this.parts.dialect;
+        const { callerTimeLimit } = this.deps.dialect;
         const header = callerTimeLimit === undefined ? undefined : req.headers[callerTimeLimit];
         const callerLimitMs = timeLimitOf(header);
         const parentDeadline = parent?.deadline;
--- a/src/ingress/requesthandler.ts
+++ b/src/ingress/requesthandler.ts
@@ -18,7 +18,7 @@
 import { reasonLabel } from "../policy/retry/reasonlabel.js";
 import { Attempt } from "./attempt.js";
 import type { CallerResponse } from "./callerresponse.js";
-import type { IngressParts } from "./ingressparts.js";
+import type { IngressDependencies } from "./ingressdependencies.js";
 import type { OutgoingRequest } from "./outgoingrequest.js";
 import type { Plan } from "./plan.js";
 import { RequestLog } from "./requestlog.js";
@@ -51,17 +51,17 @@
         private readonly response: CallerResponse,
         private plan: Plan,
         private readonly outgoing: OutgoingRequest,
-        private readonly parts: IngressParts,
+        private readonly deps: IngressDependencies,
     ) {
         this.#log = new RequestLog(outgoing.id);
         this.#retries = new RequestRetries({
-            ingress: parts,
+            ingress: deps,
             plan: () => this.plan,
             bodyKept: outgoing.body.kept,
             standing: () => this.#standing(),
             log: this.#log,
         });
-        this.#targets = new TargetSelector(parts, this.#retries.history.attempted);
+        this.#targets = new TargetSelector(deps, this.#retries.history.attempted);
     }
 
     /** The number of attempts, including those that reached no upstream. */
@@ -119,20 +119,20 @@
 
     /** Returns the result of a request that is quarantined and gets no attempt, or undefined for any other. */
     #quarantineRefusal(): NoResponse | undefined {
-        const { crashGuard } = this.parts;
+        const { crashGuard } = this.deps;
         const retryAfterMs = crashGuard.isEmpty ? undefined : crashGuard.quarantinedForMs(this.#requestKey());
         return retryAfterMs === undefined ? undefined : { outcome: "not-run", reason: "quarantined", retryAfterMs };
     }
 
     #standing(): QuarantineStatus {
-        const { crashGuard } = this.parts;
+        const { crashGuard } = this.deps;
         return crashGuard.isEmpty ? "free" : crashGuard.standing(this.#requestKey());
     }
 
     /** Computes the key once, and only while crashes are recorded, since a digest of the body costs time. */
     #requestKey(): RequestKey | undefined {
         const { method, path, headers, body } = this.outgoing;
-        this.#cachedKey ??= { key: requestKeyOf({ method, path, headers, body: body.content }, this.parts.dialect) };
+        this.#cachedKey ??= { key: requestKeyOf({ method, path, headers, body: body.content }, this.deps.dialect) };
         return this.#cachedKey.key;
     }
 
@@ -156,7 +156,7 @@
         if (this.#claimed !== undefined || this.#requestCancel.aborted) {
             return undefined;
         }
-        overdue.recordOverdue(afterMs, this.parts.clock());
+        overdue.recordOverdue(afterMs, this.deps.clock());
         const target = this.#targets.choose(this.plan.service.name, undefined);
         if (target === undefined || this.#retries.history.attempted.has(target)) {
             return undefined;
@@ -171,7 +171,7 @@
         this.#retries.history.begin(target);
         const untried = this.#retries.history.mayRedirect ? this.#targets.untried(this.plan.service.name) : [];
         const attempt: Attempt = new Attempt(target, { offer, arrival }, {
-            ingress: this.parts,
+            ingress: this.deps,
             plan: this.plan,
             choices: untried.length,
             nearChoices: untried.filter(other => other.sameHall).length,
@@ -194,15 +194,15 @@
      * Prepares another attempt: discards the last response, and pulls the newer configuration of a gate that has one.
      */
     async #prepareRetry(result: UnservedResult, target: UpstreamView): Promise<void> {
-        this.parts.metrics.retried(this.plan.service.name, reasonLabel(result));
+        this.deps.metrics.retried(this.plan.service.name, reasonLabel(result));
         if (result.outcome === "failed") {
             dropBody(result.response.body);
             return;
         }
         if (result.reason === "stale-rule") {
             this.#retries.history.attempted.delete(target);
-            await this.parts.pullConfiguration(result.revision ?? 0, target.settings.gate);
-            this.plan = this.parts.replan(this.outgoing, this.plan);
+            await this.deps.pullConfiguration(result.revision ?? 0, target.settings.gate);
+            this.plan = this.deps.replan(this.outgoing, this.plan);
         }
     }
 
@@ -239,6 +239,6 @@
     }
 
     #remainingMs(): number {
-        return this.plan.deadline - this.parts.clock();
+        return this.plan.deadline - this.deps.clock();
     }
 }
--- a/src/ingress/requestretries.ts
+++ b/src/ingress/requestretries.ts
@@ -10,7 +10,7 @@
 import { defaultMaxAttempts } from "../policy/retry/defaultmaxattempts.js";
 import type { Retries } from "../policy/retry/retries.js";
 import type { RetryDecision } from "../policy/retry/retrydecision.js";
-import type { IngressParts } from "./ingressparts.js";
+import type { IngressDependencies } from "./ingressdependencies.js";
 import type { Plan } from "./plan.js";
 import type { RequestLog } from "./requestlog.js";
 import type { UnservedResult } from "./unservedresult.js";
@@ -19,8 +19,8 @@
 const TENTHS_PER_REPEAT = 10;
 
 /** What the request handler provides; the plan may change between attempts. */
-type RetryParts = {
-    readonly ingress: IngressParts;
+type RetryDependencies = {
+    readonly ingress: IngressDependencies;
     readonly plan: () => Plan;
     /** True if the body can be sent again. */
     readonly bodyKept: boolean;
@@ -32,11 +32,11 @@
 export class RequestRetries {
     readonly history = new AttemptHistory<UpstreamView>();
 
-    constructor(private readonly parts: RetryParts) {}
+    constructor(private readonly deps: RetryDependencies) {}
 
     /** Records the request in the retry budget of its service; a call from a repeat counts as a repeat. */
     recordArrival(): void {
-        const { ingress: { clock }, plan } = this.parts;
+        const { ingress: { clock }, plan } = this.deps;
         const { budget } = this.#retries();
         if (plan().arrival === "call") {
             budget.recordRepeat(clock());
@@ -48,7 +48,7 @@
 
     /** Decides whether another attempt follows one that did not serve the request, and logs the decision. */
     decide(result: UnservedResult): RetryDecision {
-        const { ingress: { clock }, plan, bodyKept } = this.parts;
+        const { ingress: { clock }, plan, bodyKept } = this.deps;
         const { kind, deadline } = plan();
         const now = clock();
         const decision = decideRetry(
@@ -61,7 +61,7 @@
                 remainingMs: deadline - now,
                 bodyKept,
                 needsBudget: this.history.needsBudget,
-                standing: this.parts.standing(),
+                standing: this.deps.standing(),
             },
             this.#retries(),
             now,
@@ -74,7 +74,7 @@
     }
 
     logDecision(result: UnservedResult, decision: RetryDecision): void {
-        const { ingress: { clock }, plan, log } = this.parts;
+        const { ingress: { clock }, plan, log } = this.deps;
         const { attempts, redirects: moves } = this.history;
         const now = clock();
         const budgetLeft = this.#budgetLeft(now);
@@ -88,7 +88,7 @@
 
     /** Returns the time after which a response is overdue, or undefined if the request must not be hedged. */
     hedgeAfterMs(): number | undefined {
-        const { ingress: { isHedgingEnabled: isEnabled }, plan, bodyKept, standing } = this.parts;
+        const { ingress: { isHedgingEnabled: isEnabled }, plan, bodyKept, standing } = this.deps;
         const { kind, rule } = plan();
         return decideHedge({
             isEnabled: isEnabled && standing() === "free",
@@ -103,7 +103,7 @@
 
     /** Pays for a hedge from the retry budget; returns false if the budget does not allow it. */
     spendForHedge(overdueMs: number, overdue: UpstreamView, target: UpstreamView): boolean {
-        const { ingress: { metrics, clock }, plan, log } = this.parts;
+        const { ingress: { metrics, clock }, plan, log } = this.deps;
         const { budget, allowance } = this.#retries();
         const now = clock();
         if (!budget.spendSurplus(allowance, now)) {
@@ -122,10 +122,10 @@
     }
 
     #retries(): Retries {
-        return this.parts.ingress.retries(this.parts.plan().service);
+        return this.deps.ingress.retries(this.deps.plan().service);
     }
 
     #maxAttempts(): number {
-        return this.parts.plan().rule.maxTries ?? defaultMaxAttempts;
+        return this.deps.plan().rule.maxTries ?? defaultMaxAttempts;
     }
 }
--- a/src/ingress/runhedged.ts
+++ b/src/ingress/runhedged.ts
@@ -14,14 +14,14 @@
 type Result = AttemptResult<GateResponse>;
 
 /** `afterMs`: the time in milliseconds after which a response is overdue; undefined if no hedge is allowed. */
-type HedgeParts = {
+type HedgeDependencies = {
     readonly afterMs: number | undefined;
     /** Creates the hedge; returns undefined if no upstream or budget is available, or if it is no longer needed. */
     readonly startHedge: () => Attempt | undefined;
 };
 
 /** Resolves with the result to act on; the response of the other attempt is discarded. */
-export async function runHedged(first: Attempt, { afterMs, startHedge }: HedgeParts): Promise<Result> {
+export async function runHedged(first: Attempt, { afterMs, startHedge }: HedgeDependencies): Promise<Result> {
     const firstRun = first.run();
     const hedge = afterMs !== undefined && await isOverdue(firstRun, afterMs) ? startHedge() : undefined;
     if (hedge === undefined) {
--- a/src/ingress/targetselector.ts
+++ b/src/ingress/targetselector.ts
@@ -5,19 +5,19 @@
 import type { ServiceName } from "../ids/servicename.js";
 import { availableTargets } from "../policy/placement/availabletargets.js";
 import { selectTargets } from "../policy/placement/selecttargets.js";
-import type { IngressParts } from "./ingressparts.js";
+import type { IngressDependencies } from "./ingressdependencies.js";
 import type { UpstreamView } from "./upstreamview.js";
 
 /** `tried` holds the upstreams that the request was sent to; it is read on each call. */
 export class TargetSelector {
-    constructor(private readonly parts: IngressParts, private readonly tried: ReadonlySet<UpstreamView>) {}
+    constructor(private readonly deps: IngressDependencies, private readonly tried: ReadonlySet<UpstreamView>) {}
 
     /**
      * Returns the upstream to send to, preferring the one that holds a slot for the request, or undefined if none is
      * eligible.
      */
     choose(service: ServiceName, slotHolder: string | undefined): UpstreamView | undefined {
-        const { placement, random, clock } = this.parts;
+        const { placement, random, clock } = this.deps;
         const views = this.#viewsOf(service);
         const now = clock();
         const holder = views.find(view => view.upstream === slotHolder);
@@ -31,10 +31,10 @@
 
     /** Returns the available upstreams that the request was not sent to yet. */
     untried(service: ServiceName): UpstreamView[] {
-        return availableTargets(this.#viewsOf(service), this.tried, this.parts.clock());
+        return availableTargets(this.#viewsOf(service), this.tried, this.deps.clock());
     }
 
     #viewsOf(service: ServiceName): readonly UpstreamView[] {
-        return this.parts.upstreams.ofService(service);
+        return this.deps.upstreams.ofService(service);
     }
 }
--- a/src/ingress/upstreamview.ts
+++ b/src/ingress/upstreamview.ts
@@ -26,7 +26,7 @@
 import type { UpstreamStatements } from "./upstreamstatements.js";
 
 /** What a view is made of. */
-type ViewParts = {
+type ViewDependencies = {
     readonly hop: Hop;
     /** True if the upstream is in this daemon's data hall. */
     readonly near: boolean;
@@ -57,20 +57,20 @@
     /** Attempts to cancel when the gate becomes unresponsive. */
     readonly #cancellable = new Set<Cancel>();
 
-    constructor(public settings: Upstream, private readonly parts: ViewParts) {
+    constructor(public settings: Upstream, private readonly deps: ViewDependencies) {
         this.#rateShare.setLimit(this.limitPerSecond, -Infinity);
     }
 
     get hop(): Hop {
-        return this.parts.hop;
+        return this.deps.hop;
     }
 
     get sameHall(): boolean {
-        return this.parts.near;
+        return this.deps.near;
     }
 
     get local(): boolean {
-        return this.parts.local;
+        return this.deps.local;
     }
 
     get upstream(): UpstreamName {
@@ -83,12 +83,12 @@
 
     /** The stated rate limit in requests per second, as known to this daemon; undefined if the upstream states none. */
     get limitPerSecond(): number | undefined {
-        return this.parts.statements.limitPerSecond(this.upstream);
+        return this.deps.statements.limitPerSecond(this.upstream);
     }
 
     /** True if the upstream has stated to this daemon that it leaves permanently. */
     get isLeavingPermanently(): boolean {
-        return this.parts.statements.isLeavingPermanently(this.upstream);
+        return this.deps.statements.isLeavingPermanently(this.upstream);
     }
 
     get roundTripMs(): number {
@@ -107,7 +107,7 @@
         if (this.settings.draining) {
             return "draining";
         }
-        if (this.parts.isEvacuated()) {
+        if (this.deps.isEvacuated()) {
             return "evacuated";
         }
         if (this.isLeavingPermanently || this.#avoidance.isActive(now)) {
@@ -136,7 +136,7 @@
         this.suspicion.recordProbe(now);
         this.livenessCheck.recordSent(now);
         this.#rateShare.recordSent(now);
-        this.parts.onSent(this);
+        this.deps.onSent(this);
         if (cancel !== undefined) {
             this.#cancellable.add(cancel);
         }
@@ -170,7 +170,7 @@
     recordRefusalNote(note: AnswerNote, now: number): void {
         this.recordAlive(now);
         this.recordReport(note.report, now);
-        this.parts.statements.recordRefusal(this.upstream, note);
+        this.deps.statements.recordRefusal(this.upstream, note);
         this.#rateShare.setLimit(this.limitPerSecond, now);
     }
 
@@ -179,7 +179,7 @@
         this.recordAlive(now);
         this.recordReport(note?.report, now);
         if (note !== undefined) {
-            this.parts.statements.recordResponse(this.upstream, note);
+            this.deps.statements.recordResponse(this.upstream, note);
         }
         this.#rateShare.setLimit(this.limitPerSecond, now);
         this.#rateShare.recordResponse();
--- a/src/link/linkcheck.ts
+++ b/src/link/linkcheck.ts
@@ -18,7 +18,7 @@
 const SETTLE_MS = 50;
 
 /** What the check needs of its pool; `open` rejects when the peer takes no connection. */
-type CheckParts = {
+type CheckDependencies = {
     readonly clock: Clock;
     readonly open: () => Promise<LinkConnection>;
     /** Takes back a connection that was opened for the check. */
@@ -30,11 +30,11 @@
     #answeredAt = -Infinity;
     #confirming: Promise<void> | undefined;
 
-    constructor(private readonly parts: CheckParts) {}
+    constructor(private readonly deps: CheckDependencies) {}
 
     /** Resolves with true when the connection is silent; it may have ended meanwhile. */
     async isSilent(connection: LinkConnection): Promise<boolean> {
-        const probedAt = this.parts.clock();
+        const probedAt = this.deps.clock();
         if (await connection.probe(PROBE_MS)) {
             return false;
         }
@@ -51,7 +51,7 @@
 
     /** Asks on a new connection; connections that are checked at the same time share one. */
     async #confirm(): Promise<void> {
-        const { clock, open, free } = this.parts;
+        const { clock, open, free } = this.deps;
         try {
             const fresh = await open();
             if (!await fresh.probe(CONFIRM_MS)) {
--- a/src/link/linksession.ts
+++ b/src/link/linksession.ts
@@ -26,7 +26,7 @@
 const logger = log("peer");
 
 /** What a session needs of its listener; `serve` never rejects. */
-type SessionParts = {
+type SessionDependencies = {
     readonly key: Buffer;
     readonly serve: (call: ServedCall, cancel: Cancel) => Promise<ServedAnswer>;
     /** The refusal of a call that can't be read. */
@@ -45,7 +45,7 @@
     #serving: Cancel | undefined;
     #body: FramedBody | undefined;
 
-    constructor(private readonly socket: Socket, private readonly parts: SessionParts) {
+    constructor(private readonly socket: Socket, private readonly deps: SessionDependencies) {
         socket.setNoDelay(true);
         socket.on("data", (chunk: Buffer) => this.read(chunk));
         socket.on("error", () => {
@@ -98,7 +98,7 @@
             return;
         }
         if (frame.type === frameType.probe) {
-            this.socket.write(writeFrame(frameType.alive, pack(noteCodec.write(this.parts.identity()))));
+            this.socket.write(writeFrame(frameType.alive, pack(noteCodec.write(this.deps.identity()))));
             return;
         }
         if (frame.type === frameType.call) {
@@ -122,7 +122,7 @@
     }
 
     #isKey(given: Buffer): boolean {
-        const { key } = this.parts;
+        const { key } = this.deps;
         return given.length === key.length && timingSafeEqual(given, key);
     }
 
@@ -143,7 +143,7 @@
             return unpackCall(payload);
         }
         catch (err) {
-            void this.#answer(this.parts.refuseBad(err), true);
+            void this.#answer(this.deps.refuseBad(err), true);
             return undefined;
         }
     }
@@ -151,7 +151,7 @@
     #serve(call: WireCall): void {
         const cancel = this.#serving = new Cancel();
         const body = call.body === "follows" ? this.#openBody() : call.body;
-        void this.parts.serve({ ...call, body }, cancel).then(answer =>
+        void this.deps.serve({ ...call, body }, cancel).then(answer =>
             this.#answer(answer, call.head.answer === "whole")
         );
     }
@@ -165,7 +165,7 @@
 
     async #answer({ body, ...answer }: ServedAnswer, whole: boolean): Promise<void> {
         const gathered = whole && body instanceof Readable ? await gatherBody(body) : body;
-        const last = this.parts.isClosing();
+        const last = this.deps.isClosing();
         if (this.socket.destroyed) {
             return;
         }
--- a/src/loadreports/loadreporter.ts
+++ b/src/loadreports/loadreporter.ts
@@ -1,7 +1,7 @@
 /**
  * Reports a change of load to those who sent requests here lately, since reports else ride on answers only.
  *
- * Owns the list of senders; which change is worth a report is decided by policy/placement/isworthreporting.ts.
+ * Owns the list of senders; which change is worth a report is decided by policy/placement/shouldreportload.ts.
  */
 import type { Message } from "../datagram/message.js";
 import type { Gate } from "../gate/gate.js";
@@ -18,7 +18,7 @@
 const MAX_SENDERS = 64;
 
 /** What the reporter needs of its daemon. */
-type ReporterParts = {
+type ReporterDependencies = {
     readonly self: Address;
     readonly clock: Clock;
     readonly gates: () => Iterable<Gate>;
@@ -31,16 +31,16 @@
     readonly #reported = new Map<Gate, LoadReport>();
     #lookedAt = 0;
 
-    constructor(private readonly parts: ReporterParts) {}
+    constructor(private readonly deps: ReporterDependencies) {}
 
     /** To be called when something has changed at a gate; looks at most every few milliseconds. */
     check(): void {
-        const now = this.parts.clock();
+        const now = this.deps.clock();
         if (now - this.#lookedAt < LOOK_EVERY_MS) {
             return;
         }
         this.#lookedAt = now;
-        for (const gate of this.parts.gates()) {
+        for (const gate of this.deps.gates()) {
             this.#compare(gate);
         }
     }
@@ -48,7 +48,7 @@
     /** Records that a peer sends requests here. */
     recordSender(sender: Address): void {
         this.#senders.delete(sender);
-        this.#senders.set(sender, this.parts.clock());
+        this.#senders.set(sender, this.deps.clock());
         if (this.#senders.size > MAX_SENDERS) {
             this.#senders.delete(this.#senders.keys().next().value!);
         }
@@ -70,10 +70,10 @@
 
     #report(gate: Gate, report: LoadReport): void {
         const loads = [{ upstream: gate.upstream.name, report }];
-        const now = this.parts.clock();
+        const now = this.deps.clock();
         for (const [sender, at] of this.#senders) {
             if (now - at < RECENT_MS) {
-                this.parts.send(sender, { type: "load", from: this.parts.self, loads });
+                this.deps.send(sender, { type: "load", from: this.deps.self, loads });
             }
         }
     }
--- a/src/membership/announcementserver.ts
+++ b/src/membership/announcementserver.ts
@@ -23,7 +23,7 @@
 const MAX_REFUSED = 64;
 
 /** Told what upstreams announce; an answer of 200 means that it is applied. */
-type AnnouncementParts = {
+type AnnouncementDependencies = {
     readonly onAnnounced: (name: UpstreamName, announcement: Announcement) => Promise<void>;
     /** `born` as it was told, to know a word of an earlier life by. */
     readonly onLeft: (name: UpstreamName, born: Born | undefined) => void;
@@ -50,7 +50,7 @@
     /** What was last turned down of whom, so that the log says so once. */
     readonly #refused = new Map<string, string>();
 
-    constructor(private readonly parts: AnnouncementParts) {
+    constructor(private readonly deps: AnnouncementDependencies) {
         this.#server = createServer((req, res) => void this.#handle(req, res));
     }
 
@@ -82,10 +82,10 @@
     async #take(method: string | undefined, name: UpstreamName, text: string): Promise<void> {
         switch (method) {
             case "POST":
-                await this.parts.onAnnounced(name, parse(Announcement, JSON.parse(text)));
+                await this.deps.onAnnounced(name, parse(Announcement, JSON.parse(text)));
                 return;
             case "DELETE":
-                this.parts.onLeft(name, parse(Departure, text === "" ? {} : JSON.parse(text)).born);
+                this.deps.onLeft(name, parse(Departure, text === "" ? {} : JSON.parse(text)).born);
                 return;
             default:
                 throw new SyntaxError(`method ${method} is not known`);
--- a/src/membership/findupstream.ts
+++ b/src/membership/findupstream.ts
@@ -28,7 +28,7 @@
 const BEFORE_ALL = -1;
 
 /** Where the upstream is, what it serves, and where it reports its health; `isWanted` is false once one has announced itself. */
-type FindParts = {
+type FindDependencies = {
     readonly address: Address;
     readonly service: ServiceName;
     readonly dialect: Dialect;
@@ -40,25 +40,25 @@
 type Found = { readonly name: UpstreamName; readonly announcement: Announcement; };
 
 /** Resolves with the upstream, or with undefined when it is not wanted any more, or none was found in time. */
-export async function findUpstream(parts: FindParts): Promise<Found | undefined> {
-    const until = parts.clock() + LOOK_FOR_MS;
+export async function findUpstream(deps: FindDependencies): Promise<Found | undefined> {
+    const until = deps.clock() + LOOK_FOR_MS;
     let lastError: unknown = "it is not ready";
-    while (parts.isWanted() && parts.clock() < until) {
-        const found = await askUpstream(parts, err => lastError = err);
+    while (deps.isWanted() && deps.clock() < until) {
+        const found = await askUpstream(deps, err => lastError = err);
         if (found !== undefined) {
             return found;
         }
         await sleep(LOOK_EVERY_MS);
     }
-    if (parts.isWanted()) {
-        logger.warn("No upstream was found beside this daemon.", lastError, { upstream: parts.address });
+    if (deps.isWanted()) {
+        logger.warn("No upstream was found beside this daemon.", lastError, { upstream: deps.address });
     }
     return undefined;
 }
 
 /** Asks once; undefined when no upstream answers that works and takes requests. */
 const askUpstream = async (
-    { address, service, dialect, path }: FindParts,
+    { address, service, dialect, path }: FindDependencies,
     onError: (err: unknown) => void,
 ): Promise<Found | undefined> => {
     try {
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -31,7 +31,7 @@
 type Hello = Extract<Message, { type: "hello"; }>;
 
 /** What gossip needs of its daemon; `askAll` gets the records that a peer has, `askOwn` its own. */
-type GossipParts = {
+type GossipDependencies = {
     readonly self: Address;
     readonly members: MemberList;
     readonly member: () => Member;
@@ -56,7 +56,7 @@
         new Ticker(HELLO_EVERY_MS, () => this.#greetSome()),
     ];
 
-    constructor(private readonly parts: GossipParts) {}
+    constructor(private readonly deps: GossipDependencies) {}
 
     start(): void {
         this.#tickers.forEach(ticker => ticker.start());
@@ -68,19 +68,19 @@
 
     /** Announces a change of this daemon's own record to those that tell the rest. */
     announceRecord(): void {
-        const { relays, send, self, member } = this.parts;
+        const { relays, send, self, member } = this.deps;
         const own = member();
         relays().forEach(peer => send(peer, { type: "member", from: self, member: own }));
     }
 
     /** Announces to those that tell the rest that this daemon stops. */
     announceStop(): void {
-        const { relays, send, self } = this.parts;
+        const { relays, send, self } = this.deps;
         relays().forEach(peer => send(peer, { type: "going", from: self }));
     }
 
     receive(message: Extract<Message, { type: "hello" | "member" | "going"; }>): void {
-        const { members, clock } = this.parts;
+        const { members, clock } = this.deps;
         const now = clock();
         switch (message.type) {
             case "member":
@@ -95,7 +95,7 @@
     }
 
     #receiveHello(hello: Hello, now: number): void {
-        const { members, revision, pull, evacuations } = this.parts;
+        const { members, revision, pull, evacuations } = this.deps;
         const { from, incarnation, version, evacuated } = hello;
         members.recordAlive(from, now);
         evacuations.recordWord(evacuated);
@@ -124,7 +124,7 @@
         }
         this.#asking.add(peer);
         try {
-            await (this.parts.members.size === 0 ? this.#learnAll(peer) : this.#learnOwn(peer));
+            await (this.deps.members.size === 0 ? this.#learnAll(peer) : this.#learnOwn(peer));
         }
         catch (err) {
             logger.warn("The peer did not return its record.", err, { peer });
@@ -135,12 +135,12 @@
     }
 
     async #learnOwn(peer: Address): Promise<void> {
-        const own = await this.parts.askOwn(peer);
-        this.parts.members.record(own, "itself", this.parts.clock());
+        const own = await this.deps.askOwn(peer);
+        this.deps.members.record(own, "itself", this.deps.clock());
     }
 
     async #learnAll(peer: Address): Promise<void> {
-        const { members, clock, askAll } = this.parts;
+        const { members, clock, askAll } = this.deps;
         const changes = await askAll(peer);
         const now = clock();
         members.inOne(() =>
@@ -149,7 +149,7 @@
     }
 
     #sweep(): void {
-        const { members, clock } = this.parts;
+        const { members, clock } = this.deps;
         const now = clock();
         members.removeGone(now).forEach(gate => {
             this.#answeredAt.delete(gate);
@@ -159,12 +159,12 @@
     }
 
     #greetSome(): void {
-        const { members, random } = this.parts;
+        const { members, random } = this.deps;
         sample(members.members, MAX_PEERS, random).forEach(member => this.#greet(member.gate));
     }
 
     #greet(to: Address): void {
-        const { self: from, member, revision, send, members, clock, evacuations } = this.parts;
+        const { self: from, member, revision, send, members, clock, evacuations } = this.deps;
         const { incarnation, version } = member();
         const knowsYou = members.find(to) !== undefined && !members.isDoubtful(to, clock());
         const evacuated = evacuations.word;
--- a/src/membership/learnedshares.ts
+++ b/src/membership/learnedshares.ts
@@ -21,7 +21,7 @@
 const HUNDREDTHS = 100;
 
 /** `learnedShare` says what the gate of an upstream here has learnt, of its slots; undefined while nothing. */
-type ShareParts = {
+type ShareDependencies = {
     readonly incarnation: Incarnation;
     readonly learnedShare: (name: UpstreamName) => number | undefined;
 };
@@ -33,11 +33,11 @@
     #toldAt = -Infinity;
     #earlier: readonly HostedUpstream[] = [];
 
-    constructor(private readonly parts: ShareParts) {}
+    constructor(private readonly deps: ShareDependencies) {}
 
     /** Records what the store has under this daemon's name; one of an earlier life tells what was learnt then. */
     recordOwn({ incarnation, upstreams }: Member): void {
-        if (incarnation !== this.parts.incarnation) {
+        if (incarnation !== this.deps.incarnation) {
             this.#earlier = upstreams;
         }
     }
@@ -46,7 +46,7 @@
     tell(upstreams: readonly HostedUpstream[], others: readonly HostedUpstream[]): void {
         const told = new Map<UpstreamName, number>();
         for (const { name, service } of upstreams) {
-            const share = this.parts.learnedShare(name) ?? this.usual(service, others);
+            const share = this.deps.learnedShare(name) ?? this.usual(service, others);
             if (share !== undefined) {
                 told.set(name, Math.round(share * HUNDREDTHS) / HUNDREDTHS);
             }
@@ -71,7 +71,7 @@
     /** True when something else has been learnt than records say of the service, now and then: one of its gates tells for all. */
     hasNews(upstreams: readonly HostedUpstream[], others: readonly HostedUpstream[], now: number): boolean {
         const isNew = ({ name, service }: HostedUpstream): boolean => {
-            const share = this.parts.learnedShare(name);
+            const share = this.deps.learnedShare(name);
             const known = this.#told.get(name) ?? this.usual(service, others) ?? 0;
             return share !== undefined && Math.abs(share - known) > WORTH_TELLING;
         };
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -37,7 +37,7 @@
 import { upstreamsOf } from "./upstreamsof.js";
 
 /** What membership needs of the rest of the daemon. */
-type MembershipParts = {
+type MembershipDependencies = {
     readonly self: Address;
     readonly incarnation: Incarnation;
     readonly settings: MembershipSettings;
@@ -71,14 +71,14 @@
     #version = 0;
     #isLeaving = false;
 
-    constructor(private readonly parts: MembershipParts) {
-        this.#shares = new LearnedShares(parts);
+    constructor(private readonly deps: MembershipDependencies) {
+        this.#shares = new LearnedShares(deps);
         this.#own = new OwnUpstreams({
-            ...parts,
+            ...deps,
             onChange: () => this.#changed(),
             onSweep: () => this.#tellNews(),
         });
-        this.#others = new MemberList(parts.self);
+        this.#others = new MemberList(deps.self);
         this.#others.onChange(() => this.#listener());
         this.#publisher = this.#makePublisher();
         this.#records = this.#makeRecords();
@@ -93,7 +93,7 @@
 
     /** This daemon's own record. */
     get member(): Member {
-        const { self: gate, incarnation, settings } = this.parts;
+        const { self: gate, incarnation, settings } = this.deps;
         const { host, hall, region } = settings;
         const upstreams = this.#isLeaving ? [] : this.#shares.mark(this.#own.all);
         return { gate, host, hall, region, incarnation, version: this.#version, upstreams };
@@ -111,7 +111,7 @@
 
     /** What a peer lacks whose copy of this list has come so far, or has none; this daemon's own record is always there. */
     changesSince(have: RecordsMark | undefined): RecordChanges {
-        const { incarnation: life } = this.parts;
+        const { incarnation: life } = this.deps;
         const { complete, members, gone } = this.#others.changesSince(have?.life === life ? have.at : undefined);
         return { mark: { life, at: this.#others.changes }, complete, members: [this.member, ...members], gone };
     }
@@ -169,7 +169,7 @@
     }
 
     #makePublisher(): RecordPublisher {
-        const { registry, clock } = this.parts;
+        const { registry, clock } = this.deps;
         return new RecordPublisher({
             registry,
             member: () => this.member,
@@ -180,7 +180,7 @@
     }
 
     #makeRecords(): RegistryWatcher {
-        const { self, registry, clock, onCrashRecords } = this.parts;
+        const { self, registry, clock, onCrashRecords } = this.deps;
         return new RegistryWatcher({
             self,
             onCrashRecords,
@@ -193,7 +193,7 @@
     }
 
     #makeWatch(): MembershipWatch {
-        const { incarnation, watcher, clock, peer } = this.parts;
+        const { incarnation, watcher, clock, peer } = this.deps;
         const members = this.#others;
         return new MembershipWatch({
             incarnation,
@@ -205,7 +205,7 @@
     }
 
     #makeGossip(): Gossip {
-        const { self, settings, configuration, evacuations, puller, peer, send, clock, random } = this.parts;
+        const { self, settings, configuration, evacuations, puller, peer, send, clock, random } = this.deps;
         return new Gossip({
             self,
             members: this.#others,
@@ -223,7 +223,7 @@
     }
 
     #tellNews(): void {
-        if (this.#shares.hasNews(this.#own.all, this.#others.hosted, this.parts.clock())) {
+        if (this.#shares.hasNews(this.#own.all, this.#others.hosted, this.deps.clock())) {
             this.#tell();
         }
     }
--- a/src/membership/membershipwatch.ts
+++ b/src/membership/membershipwatch.ts
@@ -16,7 +16,7 @@
 /** Two renewals of the own record, a watcher's (recordpublisher.ts), and half a second: by then the store does not answer. Milliseconds. */
 const REACHED_MS = 4500;
 
-type WatchParts = {
+type WatchDependencies = {
     readonly incarnation: Incarnation;
     readonly members: MemberList;
     readonly records: RegistryWatcher;
@@ -30,7 +30,7 @@
     #answeredAt = -Infinity;
     #hasFailed = false;
 
-    constructor(private readonly parts: WatchParts) {
+    constructor(private readonly deps: WatchDependencies) {
         super();
     }
 
@@ -40,8 +40,8 @@
 
     set(scope: WatchScope): void {
         this.#scope = scope;
-        this.parts.configuration.set(scope !== "nothing");
-        this.parts.records.set(scope === "all");
+        this.deps.configuration.set(scope !== "nothing");
+        this.deps.records.set(scope === "all");
     }
 
     isReached(now: number): boolean {
@@ -49,18 +49,18 @@
     }
 
     get records(): RecordsMark | undefined {
-        const { records, members, incarnation } = this.parts;
+        const { records, members, incarnation } = this.deps;
         return records.isFollowing ? { life: incarnation, at: members.changes } : undefined;
     }
 
     follow(watcher: Address, records: RecordsMark): void {
-        void this.parts.follower.follow(watcher, records);
+        void this.deps.follower.follow(watcher, records);
     }
 
     /** Watches anew: what waits may wait on a connection that carries nothing any more. */
     renew(): void {
-        this.parts.records.renew();
-        this.parts.configuration.renew();
+        this.deps.records.renew();
+        this.deps.configuration.renew();
     }
 
     /** Records that the store has answered; watches that were waiting when it failed may wait for ever. */
--- a/src/membership/ownupstreams.ts
+++ b/src/membership/ownupstreams.ts
@@ -25,7 +25,7 @@
 const SWEEP_EVERY_MS = 1000;
 
 /** `onChange` is called before an upstream has the answer to its announcement, `onSweep` after each look with nothing found. */
-type OwnParts = {
+type OwnDependencies = {
     readonly settings: MembershipSettings;
     readonly dialect: Dialect;
     readonly healthPath: (service: ServiceName) => string;
@@ -42,10 +42,10 @@
     readonly #sweep = new Ticker(SWEEP_EVERY_MS, () => this.#look());
     #isLeaving = false;
 
-    constructor(private readonly parts: OwnParts) {
+    constructor(private readonly deps: OwnDependencies) {
         this.#claims = new Claims(
             this.#local,
-            ({ address, service }) => occupantOf(address, parts.healthPath(service), parts.dialect),
+            ({ address, service }) => occupantOf(address, deps.healthPath(service), deps.dialect),
         );
         this.#announcements = new AnnouncementServer({
             onAnnounced: (name, announcement) => this.#record(name, announcement),
@@ -59,7 +59,7 @@
 
     /** Listens for announcements. */
     async listen(): Promise<void> {
-        const { announce } = this.parts.settings;
+        const { announce } = this.deps.settings;
         if (announce !== undefined) {
             await this.#announcements.listen(announce);
         }
@@ -68,7 +68,7 @@
 
     /** Resolves when an upstream is known, or none was found for a while: no record without one is published before. */
     async find(): Promise<void> {
-        const { settings, dialect, healthPath, clock } = this.parts;
+        const { settings, dialect, healthPath, clock } = this.deps;
         const { upstream: address, callerService: service } = settings;
         if (address === undefined || service === undefined) {
             return;
@@ -85,7 +85,7 @@
     recordEnding(name: UpstreamName): void {
         if (this.#local.recordEnding(name)) {
             logger.change("An upstream leaves, by its answers.", { upstream: name });
-            this.parts.onChange();
+            this.deps.onChange();
         }
     }
 
@@ -103,25 +103,25 @@
     async #record(name: UpstreamName, announcement: Announcement): Promise<void> {
         if (this.#local.removeEarlierLife(name, announcement.born)) {
             logger.change("An upstream has started again under its name.", { upstream: name });
-            this.parts.onChange();
+            this.deps.onChange();
         }
-        if (await this.#claims.record(name, announcement, this.parts.clock())) {
-            this.parts.onChange();
+        if (await this.#claims.record(name, announcement, this.deps.clock())) {
+            this.deps.onChange();
         }
     }
 
     #remove(name: UpstreamName, born: Born | undefined): void {
         if (this.#local.remove(name, born)) {
-            this.parts.onChange();
+            this.deps.onChange();
         }
     }
 
     #look(): void {
-        if (this.#local.removeSilent(this.parts.clock()).length > 0) {
-            this.parts.onChange();
+        if (this.#local.removeSilent(this.deps.clock()).length > 0) {
+            this.deps.onChange();
         }
         else if (!this.#isLeaving) {
-            this.parts.onSweep();
+            this.deps.onSweep();
         }
     }
 }
--- a/src/membership/recordfollower.ts
+++ b/src/membership/recordfollower.ts
@@ -15,7 +15,7 @@
 const logger = log("roster");
 
 /** `ask` gets what a watcher's list has beyond a mark, or all of it. */
-type FollowerParts = {
+type FollowerDependencies = {
     readonly members: MemberList;
     readonly ask: (watcher: Address, have: RecordsMark | undefined) => Promise<RecordChanges>;
     readonly clock: Clock;
@@ -28,7 +28,7 @@
     #wanted: RecordsMark | undefined;
     #isAsking = false;
 
-    constructor(private readonly parts: FollowerParts) {}
+    constructor(private readonly deps: FollowerDependencies) {}
 
     /** Catches up with a watcher whose list has come so far. */
     async follow(watcher: Address, wanted: RecordsMark): Promise<void> {
@@ -62,7 +62,7 @@
 
     /** What was wanted may be of a life of the watcher that has ended: its answer is the newest there is. */
     async #ask(watcher: Address): Promise<void> {
-        const changes = await this.parts.ask(watcher, this.#have);
+        const changes = await this.deps.ask(watcher, this.#have);
         if (watcher !== this.#watcher) {
             return;
         }
@@ -74,7 +74,7 @@
     }
 
     #apply({ complete, members, gone }: RecordChanges): void {
-        const { members: known, clock } = this.parts;
+        const { members: known, clock } = this.deps;
         const now = clock();
         known.inOne(() => {
             members.forEach(member => known.record(member, "store", now));
--- a/src/membership/recordpublisher.ts
+++ b/src/membership/recordpublisher.ts
@@ -12,7 +12,7 @@
 const RENEW_WATCHING_EVERY_MS = 2000;
 
 /** What the publisher needs; `onTrouble` is called when the store has failed, `onSuccess` when it has answered. */
-type PublisherParts = {
+type PublisherDependencies = {
     readonly registry: Registry;
     readonly member: () => Member;
     /** Whether this daemon watches the store for others. */
@@ -27,11 +27,11 @@
     /** The version of the record that the store has; undefined when it must be written. */
     #published: number | undefined;
 
-    constructor(private readonly parts: PublisherParts) {
+    constructor(private readonly deps: PublisherDependencies) {
         this.#loop = new StoreLoop({
             step: () => this.#step(),
             failed: err => this.#failed(err),
-            pauseMs: () => parts.isWatching() ? RENEW_WATCHING_EVERY_MS : RENEW_EVERY_MS,
+            pauseMs: () => deps.isWatching() ? RENEW_WATCHING_EVERY_MS : RENEW_EVERY_MS,
         });
     }
 
@@ -49,7 +49,7 @@
     async stop(): Promise<void> {
         this.#loop.stop();
         try {
-            await this.parts.registry.withdraw();
+            await this.deps.registry.withdraw();
         }
         catch (err) {
             logger.warn("The record could not be taken back.", err);
@@ -58,22 +58,22 @@
 
     #failed(err: unknown): void {
         logger.warn("The record could not be kept.", err);
-        this.parts.onTrouble();
+        this.deps.onTrouble();
     }
 
     async #step(): Promise<void> {
-        const member = this.parts.member();
-        if (this.#published !== member.version || !await this.parts.registry.renew()) {
+        const member = this.deps.member();
+        if (this.#published !== member.version || !await this.deps.registry.renew()) {
             await this.#write(member);
         }
-        this.parts.onSuccess();
+        this.deps.onSuccess();
     }
 
     /** Set before the call: a change that comes meanwhile must be written after it. */
     async #write(member: Member): Promise<void> {
         this.#published = member.version;
         try {
-            await this.parts.registry.publish(member);
+            await this.deps.registry.publish(member);
         }
         catch (err) {
             this.#published = undefined;
--- a/src/membership/registrywatcher.ts
+++ b/src/membership/registrywatcher.ts
@@ -23,7 +23,7 @@
 const ALONE_LOOK_EVERY_MS = 1000;
 
 /** What the watcher needs; `onOwnGone` is called when this daemon's own record is gone, `onOwn` with one that is found. */
-type WatcherParts = {
+type WatcherDependencies = {
     readonly self: Address;
     readonly registry: Registry;
     readonly members: MemberList;
@@ -39,7 +39,7 @@
     readonly #loop: StoreLoop;
     #at: number | undefined;
 
-    constructor(private readonly parts: WatcherParts) {
+    constructor(private readonly deps: WatcherDependencies) {
         this.#loop = new StoreLoop({
             step: signal => this.#step(signal),
             failed: err => logger.warn("The records could not be followed.", err),
@@ -73,7 +73,7 @@
      */
     async readOld(): Promise<void> {
         try {
-            this.#applyAll(await this.parts.registry.list("stale"), false);
+            this.#applyAll(await this.deps.registry.list("stale"), false);
         }
         catch (err) {
             logger.warn("The records could not be read at the start.", err);
@@ -91,7 +91,7 @@
     async #step(signal: AbortSignal): Promise<void> {
         if (this.#at === undefined || !await this.#watch(this.#at, signal)) {
             this.#at = undefined;
-            const list = await this.parts.registry.list("newest");
+            const list = await this.deps.registry.list("newest");
             this.#applyAll(list, true);
             this.#at = list.at;
         }
@@ -100,8 +100,8 @@
     /** False when the changes after `after` are no longer kept. */
     async #watch(after: number, signal: AbortSignal): Promise<boolean> {
         try {
-            const { events, at } = await this.parts.registry.watch(after, signal);
-            this.parts.members.inOne(() => events.forEach(event => this.#apply(event)));
+            const { events, at } = await this.deps.registry.watch(after, signal);
+            this.deps.members.inOne(() => events.forEach(event => this.#apply(event)));
             this.#at = at;
             return true;
         }
@@ -115,7 +115,7 @@
 
     /** A member that is not among the newest has no record any more. */
     #applyAll({ members, crashes }: RegistryList, areNewest: boolean): void {
-        const { members: known, clock, self, onOwn, onCrashRecords } = this.parts;
+        const { members: known, clock, self, onOwn, onCrashRecords } = this.deps;
         onCrashRecords(crashes);
         const now = clock();
         const own = members.find(member => member.gate === self);
@@ -134,7 +134,7 @@
     }
 
     #apply(event: RegistryEvent): void {
-        const { members, clock, self, onOwnGone, onCrashRecords } = this.parts;
+        const { members, clock, self, onOwnGone, onCrashRecords } = this.deps;
         if (event.type === "crashes") {
             onCrashRecords([event.record]);
             return;
--- a/src/operator/operatorapi.ts
+++ b/src/operator/operatorapi.ts
@@ -16,7 +16,7 @@
 import type { Explanation } from "./explanation.js";
 
 /** What the calls need of their daemon. */
-type OperatorParts = {
+type OperatorDependencies = {
     readonly clock: Clock;
     readonly configuration: CurrentConfiguration;
     readonly publisher: ChangePublisher;
@@ -29,34 +29,34 @@
 
 /** Knows nothing of how the calls come in. */
 export class OperatorApi {
-    constructor(private readonly parts: OperatorParts) {}
+    constructor(private readonly deps: OperatorDependencies) {}
 
     get document(): Document {
-        return this.parts.configuration.document;
+        return this.deps.configuration.document;
     }
 
     get fresh(): boolean {
-        return this.parts.configuration.fresh(this.parts.clock());
+        return this.deps.configuration.fresh(this.deps.clock());
     }
 
     get evacuatedHalls(): readonly HallName[] {
-        return this.parts.evacuations.halls;
+        return this.deps.evacuations.halls;
     }
 
     apply(request: ChangeRequest): Promise<ChangeResult> {
-        return this.parts.publisher.apply(request);
+        return this.deps.publisher.apply(request);
     }
 
     /** The revision that a change made, undefined when it made none; throws a StoreError. */
     find(id: ChangeId): Promise<number | undefined> {
-        return this.parts.publisher.find(id);
+        return this.deps.publisher.find(id);
     }
 
     status(): ReturnType<typeof collectStatus> {
-        return collectStatus(this.parts.known(), this.parts.peer);
+        return collectStatus(this.deps.known(), this.deps.peer);
     }
 
     explain(method: string, url: URL): Explanation {
-        return explain(this.document, this.fresh, this.parts.upstreams, { method, url }, this.parts.clock());
+        return explain(this.document, this.fresh, this.deps.upstreams, { method, url }, this.deps.clock());
     }
 }
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -34,7 +34,7 @@
 const logger = log("peer");
 
 /** What the listener needs of its daemon. */
-type PeerServerParts = {
+type PeerServerDependencies = {
     readonly key: string;
     readonly clock: Clock;
     readonly identity: GateIdentity;
@@ -58,8 +58,8 @@
     #calls = 0;
     #isClosing = false;
 
-    constructor(private readonly parts: PeerServerParts) {
-        this.#key = Buffer.from(parts.key);
+    constructor(private readonly deps: PeerServerDependencies) {
+        this.#key = Buffer.from(deps.key);
         this.#server = createServer({ keepAliveTimeout: KEEP_ALIVE_MS, requestTimeout: 0 }, (req, res) => {
             this.#handle(req, res);
         });
@@ -123,7 +123,7 @@
             res.writeHead(httpStatus.forbidden).end();
             return;
         }
-        void answerCall(req, res, this.parts.service);
+        void answerCall(req, res, this.deps.service);
     }
 
     #isPeer(req: IncomingMessage): boolean {
@@ -134,9 +134,9 @@
     async #serve(call: ServedCall, cancel: Cancel): Promise<ServedAnswer> {
         const { head } = call;
         try {
-            this.parts.onSender(head.from);
+            this.deps.onSender(head.from);
             await this.#readEnd(head);
-            await this.parts.catchUp(head.revision, head.from);
+            await this.deps.catchUp(head.revision, head.from);
             const { note, ...answer } = await this.#answer(call, cancel);
             return { ...answer, note: note ?? this.#note({}) };
         }
@@ -167,13 +167,13 @@
     }
 
     async #answer({ head, method, path, headers, body }: ServedCall, cancel: Cancel): Promise<GateResponse> {
-        const gate = this.parts.gate(head.upstream);
+        const gate = this.deps.gate(head.upstream);
         if (gate === undefined) {
             throw new HopError("not-run", "no-such-upstream");
         }
         const host = Array.isArray(headers.host) ? headers.host[0] : headers.host;
-        const matched = this.parts.find({ method, host, path });
-        if (this.parts.isStale(head, matched)) {
+        const matched = this.deps.find({ method, host, path });
+        if (this.deps.isStale(head, matched)) {
             throw new HopError("not-run", "stale-rule");
         }
         return await gate.serve({ head, rule: matched?.rule.name, method, path, headers, body, cancel });
@@ -185,6 +185,6 @@
     }
 
     #note(more: Partial<AnswerNote>): AnswerNote {
-        return { ...this.parts.identity.note(this.parts.clock()), ...more };
+        return { ...this.deps.identity.note(this.deps.clock()), ...more };
     }
 }
--- a/src/policy/admission/admission.ts
+++ b/src/policy/admission/admission.ts
@@ -128,7 +128,7 @@
         if (serviceMs !== undefined && ended !== undefined && !this.sendRate.isLimited) {
             const { rule, work, pace = 1 } = ended;
             this.times.observe(rule, serviceMs, work.reduce((sum, ms) => sum + ms, 0) / pace);
-            const expectedMs = this.times.meanWorkMs(rule) * pace;
+            const expectedMs = this.times.meanMs(rule) * pace;
             this.limit.observe(work.map(ms => ms / expectedMs));
         }
     }
@@ -211,11 +211,7 @@
     #awaitsPace({ rule }: Item, now: number): boolean {
         const slowdown = this.pace.slowdown(now);
         return slowdown > 1
-            && shouldWaitForPace({
-                workMs: this.times.meanWorkMs(rule),
-                slowdown,
-                remainingSlowMs: this.pace.remainingSlowMs(now),
-            });
+            && shouldWaitForPace({ workMs: this.times.meanMs(rule), slowdown, slowForMs: this.pace.slowForMs(now) });
     }
 
     #setRunning(running: number, now: number): void {
--- a/src/policy/admission/ruletimes.ts
+++ b/src/policy/admission/ruletimes.ts
@@ -24,7 +24,7 @@
     }
 
     /** Returns the long-term mean time of work on the rule in milliseconds, without calls and at the usual pace. */
-    meanWorkMs(rule: RuleName | undefined): number {
+    meanMs(rule: RuleName | undefined): number {
         return (rule === undefined ? undefined : this.#byRule.get(rule)?.work.value) ?? this.#all.baselineMs;
     }
 
--- a/src/policy/admission/shouldwaitforpace.test.ts
+++ b/src/policy/admission/shouldwaitforpace.test.ts
@@ -43,9 +43,9 @@
 };
 
 test("pace: long work waits while its upstream is slow, short work does not", () => {
-    assert.equal(shouldWaitForPace({ workMs: 220, slowdown: 5, remainingSlowMs: 150 }), true);
-    assert.equal(shouldWaitForPace({ workMs: 24, slowdown: 4, remainingSlowMs: 300 }), false);
-    assert.equal(shouldWaitForPace({ workMs: 220, slowdown: 1, remainingSlowMs: 150 }), false);
+    assert.equal(shouldWaitForPace({ workMs: 220, slowdown: 5, slowForMs: 150 }), true);
+    assert.equal(shouldWaitForPace({ workMs: 24, slowdown: 4, slowForMs: 300 }), false);
+    assert.equal(shouldWaitForPace({ workMs: 220, slowdown: 1, slowForMs: 150 }), false);
 });
 
 test("pace: a gate keeps a slot free while its upstream is slow, until it recovers or its report is stale", () => {
@@ -88,10 +88,10 @@
         }
         pace.observe(1, start + 100);
     }
-    assert.ok(Math.abs(pace.remainingSlowMs(100_000) - 80) < 5, String(pace.remainingSlowMs(100_000)));
+    assert.ok(Math.abs(pace.slowForMs(100_000) - 80) < 5, String(pace.slowForMs(100_000)));
     pace.observe(5, 100_000);
     pace.observe(1, 101_000);
-    assert.ok(Math.abs(pace.remainingSlowMs(101_000) - 80) < 5, String(pace.remainingSlowMs(101_000)));
+    assert.ok(Math.abs(pace.slowForMs(101_000) - 80) < 5, String(pace.slowForMs(101_000)));
 });
 
 test("pace: an upstream that stays slow is used again after a wait no longer than the delay it would cause", () => {
--- a/src/policy/admission/shouldwaitforpace.ts
+++ b/src/policy/admission/shouldwaitforpace.ts
@@ -8,11 +8,11 @@
 
 /**
  * The work takes `workMs` at the usual pace and `slowdown` times that if it starts now; the upstream stays slow for
- * `spellMs` more.
+ * `slowForMs` more.
  */
-type WaitInput = { readonly workMs: number; readonly slowdown: number; readonly remainingSlowMs: number; };
+type WaitInput = { readonly workMs: number; readonly slowdown: number; readonly slowForMs: number; };
 
 /** Returns true if starting now costs more time than waiting for the end of the slow period. */
-export function shouldWaitForPace({ workMs, slowdown, remainingSlowMs: spellMs }: WaitInput): boolean {
-    return (slowdown - 1) * workMs > spellMs;
+export function shouldWaitForPace({ workMs, slowdown, slowForMs }: WaitInput): boolean {
+    return (slowdown - 1) * workMs > slowForMs;
 }
--- a/src/policy/failure/checkpace.ts
+++ b/src/policy/failure/checkpace.ts
@@ -24,11 +24,7 @@
 
 /** Returns what to do with a request at `now`, in milliseconds on the daemon's clock. */
 export function checkPace(pace: Pace, { choices, workMs }: PaceCheckInput, now: number): PaceDecision {
-    const mayWait = shouldWaitForPace({
-        workMs,
-        slowdown: pace.lastSlowdown,
-        remainingSlowMs: pace.remainingSlowMs(now),
-    });
+    const mayWait = shouldWaitForPace({ workMs, slowdown: pace.lastSlowdown, slowForMs: pace.slowForMs(now) });
     if (choices === 0 && !mayWait) {
         return "serve";
     }
--- a/src/policy/failure/pace.ts
+++ b/src/policy/failure/pace.ts
@@ -46,7 +46,7 @@
      * periods, or the time that the current one has lasted if that is longer. So requests wait for the end of a short
      * period, but use an upstream that stays slow.
      */
-    remainingSlowMs(now: number): number {
+    slowForMs(now: number): number {
         return Math.max(this.#meanSlowPeriodMs, now - (this.#slowSince ?? now));
     }
 
--- a/src/policy/model/modelgate.ts
+++ b/src/policy/model/modelgate.ts
@@ -24,7 +24,7 @@
 /** Of a run's work, before it makes its call. */
 const BEFORE_CALL = 0.5;
 
-type GateParts = {
+type GateDependencies = {
     readonly upstream: ModelUpstream;
     readonly loop: EventLoop;
     readonly random: RandomSource;
@@ -49,13 +49,13 @@
     #isWaitingForCold = false;
     readonly #cold: ColdGuard;
 
-    constructor(private readonly parts: GateParts) {
-        const { upstream: { slots }, loop, policy, coldLimits } = parts;
+    constructor(private readonly deps: GateDependencies) {
+        const { upstream: { slots }, loop, policy, coldLimits } = deps;
         this.#cold = new ColdGuard(loop.now, coldLimits && { ...coldLimits, startMs: 0 });
         this.#levels = new LevelClock(slots, loop.now);
         const heeded = policy.waitsForPace ? this.#pace : new Pace();
         this.#admission = new Admission(
-            createLimit(policy.limit, slots, parts.usualShare),
+            createLimit(policy.limit, slots, deps.usualShare),
             this.#times,
             this.#levels,
             heeded,
@@ -78,7 +78,7 @@
     }
 
     report(): LoadReport {
-        return { ...this.#admission.report(this.parts.loop.now), pace: this.#pace.lastReported };
+        return { ...this.#admission.report(this.deps.loop.now), pace: this.#pace.lastReported };
     }
 
     /** `onEnd` is called once. */
@@ -89,7 +89,7 @@
             }
         };
         this.#open.add(done);
-        const { loop, upstream, policy } = this.parts;
+        const { loop, upstream, policy } = this.deps;
         this.#pace.observe(upstream.pace, loop.now);
         if (policy.moves && request.choices > 0 && this.#pace.isSlow(loop.now)) {
             done({ outcome: "refused", reason: "slow", retryAfterMs: 0 });
@@ -110,7 +110,7 @@
 
     /** An answer takes no time here. */
     #askIfCold(): void {
-        const { loop, upstream } = this.parts;
+        const { loop, upstream } = this.deps;
         if (this.#cold.shouldProbe(loop.now)) {
             this.#cold.recordProbe(loop.now);
             this.#cold.recordProbeResponse(upstream.coldMs, loop.now, loop.now);
@@ -118,7 +118,7 @@
     }
 
     #wait(request: ModelRequest, done: (end: ModelEnd) => void): void {
-        const { loop } = this.parts;
+        const { loop } = this.deps;
         const { afterMs, reason } = waitLimit(request.maxWaitMs, request.deadline - loop.now);
         const forget = loop.in(afterMs, () => {
             if (!this.#isGone && this.#admission.remove(request)) {
@@ -138,7 +138,7 @@
     }
 
     #run(request: ModelRequest, done: (end: ModelEnd) => void): void {
-        const { upstream, loop, random, call } = this.parts;
+        const { upstream, loop, random, call } = this.deps;
         const { kind } = request.sent;
         const startedAt = loop.now;
         const work = new WorkTime(this.#levels, startedAt);
@@ -178,7 +178,7 @@
     }
 
     #advance(): void {
-        const { run, expired: late } = this.#admission.dequeue(this.parts.loop.now);
+        const { run, expired: late } = this.#admission.dequeue(this.deps.loop.now);
         late.forEach(request => request.refuse({ outcome: "refused", reason: "deadline", retryAfterMs: 0 }));
         run.forEach(request => request.grant());
         this.#watchPace();
@@ -186,7 +186,7 @@
     }
 
     #watchCold(): void {
-        const { loop } = this.parts;
+        const { loop } = this.deps;
         const opensAt = this.#admission.nextSendAt(loop.now);
         if (this.#isWaitingForCold || opensAt === undefined) {
             return;
@@ -202,7 +202,7 @@
     }
 
     #watchPace(): void {
-        const { loop, upstream } = this.parts;
+        const { loop, upstream } = this.deps;
         if (this.#isAsking || !this.#admission.isWaitingForPace(loop.now)) {
             return;
         }
--- a/src/policy/model/modelingress.ts
+++ b/src/policy/model/modelingress.ts
@@ -23,14 +23,14 @@
 /** Refused by this many gates after its moves, a request is given up. */
 const MAX_REFUSALS = 1;
 
-type IngressParts = { readonly loop: EventLoop; readonly random: RandomSource; readonly hall: number; };
+type IngressDependencies = { readonly loop: EventLoop; readonly random: RandomSource; readonly hall: number; };
 
 /** Forgets what it knew of upstreams at a restart, since it is made anew. */
 export class ModelIngress {
     readonly #placement = new ExpectedTime(PLACEMENT);
     readonly #views = new Map<ModelTarget, ModelView>();
 
-    constructor(private readonly parts: IngressParts) {}
+    constructor(private readonly deps: IngressDependencies) {}
 
     /** `done` is called once. */
     serve(sent: ModelSent, hosts: readonly ModelTarget[], done: (end: ModelEnd) => void): void {
@@ -44,7 +44,7 @@
         so: { readonly tried: Set<ModelView>; moves: number; refusals: number; },
         done: (end: ModelEnd) => void,
     ): void {
-        const { loop, random } = this.parts;
+        const { loop, random } = this.deps;
         const target = this.#placement.choose(selectTargets(views, so.tried, loop.now), loop.now, random) as
             | ModelView
             | undefined;
@@ -82,7 +82,7 @@
     }
 
     #request(sent: ModelSent, untried: readonly ModelView[]): ModelRequest {
-        const { loop } = this.parts;
+        const { loop } = this.deps;
         const { kind, priority, deadline, depth, firstAt } = sent;
         const wait = { serviceMaxWaitMs: SERVICE_MAX_WAIT_MS, targetMs: kind.targetMs, startedAt: firstAt, depth };
         return {
@@ -104,7 +104,7 @@
         if (known !== undefined) {
             return known;
         }
-        const view = new ModelView(host, host.hall === this.parts.hall);
+        const view = new ModelView(host, host.hall === this.deps.hall);
         this.#views.set(host, view);
         return view;
     }
--- a/src/policy/retry/reasonfacts.ts
+++ b/src/policy/retry/reasonfacts.ts
@@ -3,7 +3,7 @@
 
 /**
  * The state that the ingress assumes of the upstream from then on; see failure/suspicion.ts and, in placement,
- * avoidance.ts, fullness.ts and rateshare.ts.
+ * exclusion.ts, fullbackoff.ts and rateshare.ts.
  */
 type UpstreamEffect = "none" | "full" | "cold" | "limited" | "leaving" | "absent" | "suspected";
 
--- a/src/store/storeloop.ts
+++ b/src/store/storeloop.ts
@@ -3,7 +3,7 @@
 import { sleep } from "../time/sleep.js";
 
 /** Times in milliseconds. */
-type LoopParts = {
+type LoopDependencies = {
     /** One step; it ends early when the signal aborts. */
     readonly step: (signal: AbortSignal) => Promise<void>;
     /** Told of each step that failed; the next one follows after a pause that grows with each failure in a row. */
@@ -19,7 +19,7 @@
     #pause = new AbortController();
     #isWoken = false;
 
-    constructor(private readonly parts: LoopParts) {}
+    constructor(private readonly deps: LoopDependencies) {}
 
     get running(): boolean {
         return this.#stop !== undefined;
@@ -56,7 +56,7 @@
             this.#step = new AbortController();
             this.#isWoken = false;
             try {
-                await this.parts.step(this.#step.signal);
+                await this.deps.step(this.#step.signal);
                 backoff.reset();
                 await this.#rest();
             }
@@ -64,7 +64,7 @@
                 if (stopped.aborted) {
                     return;
                 }
-                this.parts.failed(err);
+                this.deps.failed(err);
                 await sleep(backoff.next(), stopped);
             }
         }
@@ -72,7 +72,7 @@
 
     async #rest(): Promise<void> {
         this.#pause = new AbortController();
-        const pauseMs = this.parts.pauseMs();
+        const pauseMs = this.deps.pauseMs();
         if (!this.#isWoken && pauseMs > 0) {
             await sleep(pauseMs, this.#pause.signal);
         }
--- a/src/transfer/worktransfer.ts
+++ b/src/transfer/worktransfer.ts
@@ -27,7 +27,7 @@
 const HOLD_MS = 10;
 
 /** What the transfer needs of its daemon. */
-type TransferParts = {
+type TransferDependencies = {
     readonly self: Address;
     readonly clock: Clock;
     readonly random: RandomSource;
@@ -42,7 +42,7 @@
     readonly #askedAt = new Map<Gate, number>();
     #timer: NodeJS.Timeout | undefined;
 
-    constructor(private readonly parts: TransferParts) {}
+    constructor(private readonly deps: TransferDependencies) {}
 
     /** To be called when something has changed at a gate; goes on by itself while something waits. */
     check(): void {
@@ -57,7 +57,7 @@
 
     /** Answers a gate whose requests wait, by offers. */
     receiveNeed(need: Extract<Message, { type: "need"; }>): void {
-        for (const gate of this.parts.gates()) {
+        for (const gate of this.deps.gates()) {
             if (gate.upstream.service === need.service && gate.upstream.name !== need.upstream) {
                 this.#offer(gate, need);
             }
@@ -66,7 +66,7 @@
 
     /** Uses offers for what still waits. */
     receiveOffer(offer: Extract<Message, { type: "offer"; }>): void {
-        this.parts.gate(offer.upstream)?.handBack(offer.goTo, offer.offers);
+        this.deps.gate(offer.upstream)?.handBack(offer.goTo, offer.offers);
     }
 
     #offer(gate: Gate, need: Extract<Message, { type: "need"; }>): void {
@@ -83,12 +83,12 @@
             return;
         }
         const goTo = gate.upstream.name;
-        this.parts.send(need.from, { type: "offer", from: this.parts.self, upstream: need.upstream, goTo, offers });
+        this.deps.send(need.from, { type: "offer", from: this.deps.self, upstream: need.upstream, goTo, offers });
         setTimeout(() => offers.forEach(id => gate.withdrawOffer(id)), HOLD_MS);
     }
 
     #anyWaiting(): boolean {
-        for (const gate of this.parts.gates()) {
+        for (const gate of this.deps.gates()) {
             if (gate.queuedCount > 0) {
                 return true;
             }
@@ -98,8 +98,8 @@
 
     #tick(): void {
         this.#timer = undefined;
-        const now = this.parts.clock();
-        for (const gate of this.parts.gates()) {
+        const now = this.deps.clock();
+        for (const gate of this.deps.gates()) {
             if (gate.queuedCount > 0 && now - (this.#askedAt.get(gate) ?? -Infinity) >= ASK_EVERY_MS) {
                 this.#ask(gate, now);
             }
@@ -112,9 +112,9 @@
             return;
         }
         this.#askedAt.set(gate, now);
-        const { self, random, send } = this.parts;
+        const { self, random, send } = this.deps;
         const { service, name: upstream } = gate.upstream;
-        const siblings = this.parts.siblings().filter(other =>
+        const siblings = this.deps.siblings().filter(other =>
             other.service === service && other.name !== upstream && other.gate !== self && !other.draining
         );
         const asked = sample(siblings, MAX_ASKED, random);
--- a/src/wire/loadreportschema.ts
+++ b/src/wire/loadreportschema.ts
@@ -2,7 +2,7 @@
 import { z } from "zod";
 import type { LoadReport } from "../policy/placement/loadreport.js";
 
-/** As in policy/loadreport.ts, which knows nothing of schemas. */
+/** As in policy/placement/loadreport.ts, which knows nothing of schemas. */
 export const loadReportSchema: z.ZodType<LoadReport> = z.object({
     running: z.number(),
     waiting: z.number(),
--- a/src/wire/notecodec.ts
+++ b/src/wire/notecodec.ts
@@ -10,7 +10,7 @@
     { name: "pace" },
 ]);
 
-/** As answernote.ts describes it. */
+/** As responsemetadata.ts describes it. */
 export const noteCodec = new RecordCodec([
     { name: "incarnation" },
     { name: "gateTime", form: "time" },
