--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -19,7 +19,7 @@
 import { unresponsiveAfterMs } from "../policy/failure/unresponsiveafterms.js";
 import type { LoadReport } from "../policy/placement/loadreport.js";
 import { withMinServiceTime } from "../policy/placement/withminservicetime.js";
-import type { AnswerNote } from "../wire/responsemetadata.js";
+import type { ResponseMetadata } from "../wire/responsemetadata.js";
 import type { CloseReason } from "./closereason.js";
 import type { ColdProbe } from "./coldprobe.js";
 import { GateChecks } from "./gatechecks.js";
@@ -225,7 +225,7 @@
     }
 
     /** Creates the note that accompanies a response or a refusal. */
-    note(fields: Partial<AnswerNote> = {}): AnswerNote {
+    note(fields: Partial<ResponseMetadata> = {}): ResponseMetadata {
         return {
             ...this.deps.identity.note(this.deps.clock()),
             report: fields.report ?? this.report(),
--- a/src/gate/gateidentity.ts
+++ b/src/gate/gateidentity.ts
@@ -1,12 +1,12 @@
 /** Identifies a daemon's incarnation to its peers. */
 import type { Incarnation } from "../ids/incarnation.js";
-import type { AnswerNote } from "../wire/responsemetadata.js";
+import type { ResponseMetadata } from "../wire/responsemetadata.js";
 
 /** The id of this incarnation, and the fields of a note that are the same for all gates of the daemon. */
 export class GateIdentity {
     constructor(readonly incarnation: Incarnation, private readonly revision: () => number) {}
 
-    note(now: number): AnswerNote {
+    note(now: number): ResponseMetadata {
         return { incarnation: this.incarnation, gateTime: now, revision: this.revision() };
     }
 }
--- a/src/gate/gaterefusals.ts
+++ b/src/gate/gaterefusals.ts
@@ -2,7 +2,7 @@
 import { HopError } from "../hop/hoperror.js";
 import type { Reason } from "../policy/retry/reason.js";
 import { reasons } from "../policy/retry/reasons.js";
-import type { AnswerNote } from "../wire/responsemetadata.js";
+import type { ResponseMetadata } from "../wire/responsemetadata.js";
 
 /**
  * Creates the error for a refused request. The table in policy/retry/reasons.ts states whether the reason proves that
@@ -16,7 +16,7 @@
      * because of the rate at which the upstream may be sent requests.
      */
     constructor(
-        private readonly createNote: (fields: Partial<AnswerNote>) => AnswerNote,
+        private readonly createNote: (fields: Partial<ResponseMetadata>) => ResponseMetadata,
         private readonly onHeldBack: (reason: "cold" | "limited") => void = () => {},
     ) {}
 
@@ -24,7 +24,7 @@
         return this.#count;
     }
 
-    create(reason: Reason, fields: Partial<AnswerNote> = {}): HopError {
+    create(reason: Reason, fields: Partial<ResponseMetadata> = {}): HopError {
         this.#count += 1;
         if (reason === "cold" || reason === "limited") {
             this.onHeldBack(reason);
--- a/src/gate/requestrunner.ts
+++ b/src/gate/requestrunner.ts
@@ -13,7 +13,7 @@
 import type { LevelClock } from "../policy/admission/levelclock.js";
 import type { LoadReport } from "../policy/placement/loadreport.js";
 import { RecentSet } from "../policy/recentset.js";
-import type { AnswerNote } from "../wire/responsemetadata.js";
+import type { ResponseMetadata } from "../wire/responsemetadata.js";
 import { ActiveRuns } from "./activeruns.js";
 import { CrashDetector } from "./crashdetector.js";
 import type { GateChecks } from "./gatechecks.js";
@@ -46,7 +46,7 @@
     readonly refusals: GateRefusals;
     readonly log: GateLog;
     readonly report: () => LoadReport;
-    readonly createNote: (fields: Partial<AnswerNote>) => AnswerNote;
+    readonly createNote: (fields: Partial<ResponseMetadata>) => ResponseMetadata;
 };
 
 /** Runs the requests of one gate. */
--- a/src/hop/hoperror.ts
+++ b/src/hop/hoperror.ts
@@ -1,6 +1,6 @@
 /** The error of an attempt that ended without a response from the upstream. */
 import type { Reason } from "../policy/retry/reason.js";
-import type { AnswerNote } from "../wire/responsemetadata.js";
+import type { ResponseMetadata } from "../wire/responsemetadata.js";
 
 /**
  * `not-run`: the request has provably not run. `broken`: no response arrived, and the gate can be asked whether the
@@ -14,7 +14,7 @@
     constructor(
         readonly outcome: HopOutcome,
         readonly reason: Reason,
-        readonly note?: AnswerNote,
+        readonly note?: ResponseMetadata,
         options?: ErrorOptions,
     ) {
         super(`attempt failed (${outcome}): ${reason}`, options);
--- a/src/ingress/upstreamstatements.ts
+++ b/src/ingress/upstreamstatements.ts
@@ -8,7 +8,7 @@
  */
 import type { Incarnation } from "../ids/incarnation.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
-import type { AnswerNote } from "../wire/responsemetadata.js";
+import type { ResponseMetadata } from "../wire/responsemetadata.js";
 
 /** Bounds memory. The upstreams with the latest statements are kept; upstreams without a statement have no entry. */
 const MAX_UPSTREAMS = 1024;
@@ -21,7 +21,7 @@
     readonly writtenAt: number;
 };
 
-type StatementNote = Pick<AnswerNote, "limitPerSecond" | "ending" | "incarnation" | "gateTime">;
+type StatementNote = Pick<ResponseMetadata, "limitPerSecond" | "ending" | "incarnation" | "gateTime">;
 
 /** Holds the statements of all upstreams that one daemon sends to. */
 export class UpstreamStatements {
--- a/src/ingress/upstreamview.ts
+++ b/src/ingress/upstreamview.ts
@@ -22,7 +22,7 @@
 import type { Selectable } from "../policy/placement/selectable.js";
 import { withMinServiceTime } from "../policy/placement/withminservicetime.js";
 import type { ReasonFacts } from "../policy/retry/reasonfacts.js";
-import type { AnswerNote } from "../wire/responsemetadata.js";
+import type { ResponseMetadata } from "../wire/responsemetadata.js";
 import type { UpstreamStatements } from "./upstreamstatements.js";
 
 /** What a view is made of. */
@@ -167,7 +167,7 @@
     }
 
     /** Records the note of a gate's own refusal. */
-    recordRefusalNote(note: AnswerNote, now: number): void {
+    recordRefusalNote(note: ResponseMetadata, now: number): void {
         this.recordAlive(now);
         this.recordReport(note.report, now);
         this.deps.statements.recordRefusal(this.upstream, note);
@@ -175,7 +175,7 @@
     }
 
     /** Records the note of an upstream's response; `elapsedMs` is the time from sending to the response's head. */
-    recordResponse(note: AnswerNote | undefined, elapsedMs: number, now: number): void {
+    recordResponse(note: ResponseMetadata | undefined, elapsedMs: number, now: number): void {
         this.recordAlive(now);
         this.recordReport(note?.report, now);
         if (note !== undefined) {
--- a/src/link/linkconnection.ts
+++ b/src/link/linkconnection.ts
@@ -5,7 +5,7 @@
 import { log } from "../log/log.js";
 import type { Clock } from "../time/clock.js";
 import { readResponseMetadata } from "../wire/readresponsemetadata.js";
-import type { AnswerNote } from "../wire/responsemetadata.js";
+import type { ResponseMetadata } from "../wire/responsemetadata.js";
 import { emptyBuffer } from "./emptybuffer.js";
 import type { Frame } from "./frame.js";
 import { FramedBody } from "./framedbody.js";
@@ -50,7 +50,7 @@
     #forget: () => void = () => {};
     #signAt = -Infinity;
     #onSign: () => void = () => {};
-    #onAlive: (note: AnswerNote | undefined) => void = () => {};
+    #onAlive: (note: ResponseMetadata | undefined) => void = () => {};
     #overdue: NodeJS.Timeout | undefined;
 
     constructor(private readonly socket: Socket, private readonly events: LinkEvents) {
@@ -95,7 +95,7 @@
      * Asks who is at the other end; resolves with undefined when it does not say: older versions answer without a word, or end the
      * connection. Rejects with a LinkError when nothing comes.
      */
-    greet(timeoutMs: number): Promise<AnswerNote | undefined> {
+    greet(timeoutMs: number): Promise<ResponseMetadata | undefined> {
         this.socket.write(writeFrame(frameType.probe, emptyBuffer));
         return new Promise((resolve, reject) => {
             const timer = setTimeout(() => {
--- a/src/link/linkpool.ts
+++ b/src/link/linkpool.ts
@@ -3,7 +3,7 @@
 import type { Address } from "../ids/address.js";
 import { splitAddress } from "../ids/splitaddress.js";
 import type { Clock } from "../time/clock.js";
-import type { AnswerNote } from "../wire/responsemetadata.js";
+import type { ResponseMetadata } from "../wire/responsemetadata.js";
 import { frameType } from "./frametype.js";
 import { LinkCheck } from "./linkcheck.js";
 import { LinkConnection } from "./linkconnection.js";
@@ -58,7 +58,7 @@
     }
 
     /** Asks the peer who it is; undefined from one that does not say. Rejects with a LinkError. */
-    async greet(): Promise<AnswerNote | undefined> {
+    async greet(): Promise<ResponseMetadata | undefined> {
         const connection = await this.take();
         const note = await connection.greet(GREET_TIMEOUT_MS);
         if (connection.open) {
--- a/src/link/linksession.ts
+++ b/src/link/linksession.ts
@@ -6,7 +6,7 @@
 import { Cancel } from "../http/cancel.js";
 import { log } from "../log/log.js";
 import { noteCodec } from "../wire/notecodec.js";
-import type { AnswerNote } from "../wire/responsemetadata.js";
+import type { ResponseMetadata } from "../wire/responsemetadata.js";
 import { emptyBuffer } from "./emptybuffer.js";
 import type { Frame } from "./frame.js";
 import { FramedBody } from "./framedbody.js";
@@ -32,7 +32,7 @@
     /** The refusal of a call that can't be read. */
     readonly refuseBad: (err: unknown) => ServedAnswer;
     /** Who serves here, and its clock: the answer to a probe. */
-    readonly identity: () => AnswerNote;
+    readonly identity: () => ResponseMetadata;
     /** True when each answer is to be its connection's last. */
     readonly isClosing: () => boolean;
 };
--- a/src/link/wireanswer.ts
+++ b/src/link/wireanswer.ts
@@ -1,11 +1,11 @@
 /** An answer, or a refusal, as a peer sent it. */
 import type { HttpHeaders } from "../http/httpheaders.js";
-import type { AnswerNote } from "../wire/responsemetadata.js";
+import type { ResponseMetadata } from "../wire/responsemetadata.js";
 import type { WireBody } from "./wirebody.js";
 
 /** `last` says that the connection takes no more requests. */
 export type WireAnswer = {
-    readonly note: AnswerNote;
+    readonly note: ResponseMetadata;
     readonly status: number;
     readonly headers: HttpHeaders;
     readonly last: boolean;
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -21,7 +21,7 @@
 import type { Clock } from "../time/clock.js";
 import { listen } from "../time/listen.js";
 import type { CallHead } from "../wire/callhead.js";
-import type { AnswerNote } from "../wire/responsemetadata.js";
+import type { ResponseMetadata } from "../wire/responsemetadata.js";
 import { answerCall } from "./answercall.js";
 import type { PeerService } from "./peerservice.js";
 
@@ -156,7 +156,7 @@
         }
     }
 
-    #noteOf(err: unknown, upstream: UpstreamName): AnswerNote {
+    #noteOf(err: unknown, upstream: UpstreamName): ResponseMetadata {
         if (!(err instanceof HopError)) {
             logger.warn("A peer's request failed at its gate.", err, { upstream });
             return this.#note({ outcome: "unknown", reason: "gate-error" });
@@ -184,7 +184,7 @@
         return { note: this.#note({ outcome: "not-run", reason: BAD_CALL }), ...REFUSAL };
     }
 
-    #note(more: Partial<AnswerNote>): AnswerNote {
+    #note(more: Partial<ResponseMetadata>): ResponseMetadata {
         return { ...this.deps.identity.note(this.deps.clock()), ...more };
     }
 }
--- a/src/peer/remotehop.ts
+++ b/src/peer/remotehop.ts
@@ -14,7 +14,7 @@
 import { decodeReason } from "../policy/retry/decodereason.js";
 import type { Reason } from "../policy/retry/reason.js";
 import type { CallHead } from "../wire/callhead.js";
-import type { AnswerNote } from "../wire/responsemetadata.js";
+import type { ResponseMetadata } from "../wire/responsemetadata.js";
 import type { PeerClient } from "./peerclient.js";
 import type { PeerOptions } from "./peeroptions.js";
 
@@ -74,7 +74,7 @@
         this.#pool.close();
     }
 
-    #reasonOf({ reason: word }: AnswerNote): Reason {
+    #reasonOf({ reason: word }: ResponseMetadata): Reason {
         const reason = decodeReason(word);
         if (reason === "unknown-reason") {
             logger.warn("A peer refused for a reason that is not known here.", word, { peer: this.address });
@@ -96,7 +96,7 @@
     }
 
     /** The gate has said what its clock showed, some time after it was asked. */
-    #readClock({ incarnation, gateTime }: Pick<AnswerNote, "incarnation" | "gateTime">, askedAt: number): void {
+    #readClock({ incarnation, gateTime }: Pick<ResponseMetadata, "incarnation" | "gateTime">, askedAt: number): void {
         this.clock.observe(incarnation, gateTime, { askedAt, now: this.options.clock() });
     }
 
--- a/src/wire/notecodec.ts
+++ b/src/wire/notecodec.ts
@@ -1,4 +1,4 @@
-/** An AnswerNote on the wire. */
+/** An ResponseMetadata on the wire. */
 import { RecordCodec } from "./recordcodec.js";
 
 const reportCodec = new RecordCodec([
--- a/src/wire/responsemetadata.ts
+++ b/src/wire/responsemetadata.ts
@@ -37,4 +37,4 @@
 type ResponseMetadata = z.infer<typeof ResponseMetadata>;
 
 /** What goes with an answer from gate to ingress; times in milliseconds. */
-export { ResponseMetadata as AnswerNote };
+export { ResponseMetadata };
--- a/src/wire/wire.test.ts
+++ b/src/wire/wire.test.ts
@@ -6,7 +6,7 @@
 import { noteCodec } from "./notecodec.js";
 import { readHead } from "./readhead.js";
 import { readResponseMetadata } from "./readresponsemetadata.js";
-import type { AnswerNote } from "./responsemetadata.js";
+import type { ResponseMetadata } from "./responsemetadata.js";
 
 const head = {
     id: "abcdefghijkl.12",
@@ -30,7 +30,7 @@
     gateTime: 1234.56,
     revision: 4,
     report: { running: 3, waiting: 1, limit: 12, serviceMs: 120.25, baseMs: 110, pace: 4 },
-} as AnswerNote;
+} as ResponseMetadata;
 
 test("wire: a head comes back as it was, its times rounded down", () => {
     assert.deepEqual(readHead(headCodec.write(head)), { ...head, remainingMs: 950.2 });
@@ -45,9 +45,15 @@
 test("wire: a note comes back as it was", () => {
     const report = { ...note.report!, serviceMs: 120.2 };
     assert.deepEqual(readResponseMetadata(noteCodec.write(note)), { ...note, gateTime: 1234.5, report });
-    const refusal = { ...note, report: undefined, outcome: "not-run", reason: "slow", retryAfterMs: 20 } as AnswerNote;
+    const refusal = {
+        ...note,
+        report: undefined,
+        outcome: "not-run",
+        reason: "slow",
+        retryAfterMs: 20,
+    } as ResponseMetadata;
     const { report: _none, ...plain } = refusal;
-    const shed = { ...note, report, reason: "shed", arrived: true } as AnswerNote;
+    const shed = { ...note, report, reason: "shed", arrived: true } as ResponseMetadata;
     assert.deepEqual(readResponseMetadata(noteCodec.write(shed)), { ...shed, gateTime: 1234.5 });
     assert.deepEqual(readResponseMetadata(noteCodec.write(refusal)), { ...plain, gateTime: 1234.5 });
 });
