--- a/src/ingress/attempt.test.ts
+++ b/src/ingress/attempt.test.ts
@@ -21,7 +21,7 @@
         onSent: () => {},
     });
     const attempt = new Attempt(target, { offer: undefined, arrival: "first" }, {
-        ingress: { clock: () => 0, newId: () => "id", revision: () => 1, from: "127.0.0.1:2" },
+        ingress: { clock: () => 0, newRequestId: () => "id", revision: () => 1, peerAddress: "127.0.0.1:2" },
         plan: { kind: "repeatable", rule: {}, service: { name: "s", maxWaitMs: 10 }, deadline: 1000, depth: 0 },
         choices: 1,
         nearChoices: 1,
--- a/src/policy/admission/admission.test.ts
+++ b/src/policy/admission/admission.test.ts
@@ -88,7 +88,7 @@
     const queued = createItem("normal", "a", 100);
     admission.admit(queued, 0);
     finishRequest(admission, 1);
-    assert.deepEqual(admission.dequeue(100), { run: [], late: [queued] });
+    assert.deepEqual(admission.dequeue(100), { run: [], expired: [queued] });
 });
 
 test("admission: a reserved slot serves only the request for which it is reserved", () => {
