--- a/src/failuredetection/failuredetector.test.ts
+++ b/src/failuredetection/failuredetector.test.ts
@@ -11,10 +11,16 @@
 const upstream = (name: string, port: number): Upstream =>
     ({ name, service: "s", gate: `127.0.0.1:${port}`, slots: 4, draining: false }) as Upstream;
 
-type Silent = { readonly name: string; readonly cancel: Cancel; };
+type Attempt = { readonly name: string; readonly cancel: Cancel; };
 
-/** Two gates that answer one ping and then owe an answer each; returns what was given up after the time. */
-const givenUp = async (t: { mock: { timers: { enable(): void; tick(ms: number): void; }; }; }, alive: string[]) => {
+/**
+ * Starts an attempt at each of two gates that have answered a ping, and returns the upstreams whose attempts are
+ * cancelled within a second. Only the gates of `responsive` answer further pings.
+ */
+const cancelledAttempts = async (
+    t: { mock: { timers: { enable(): void; tick(ms: number): void; }; }; },
+    responsive: string[],
+) => {
     t.mock.timers.enable();
     let now = 0;
     const upstreams = new UpstreamTable(
@@ -22,36 +28,36 @@
         new Evacuations(),
     );
     upstreams.apply([upstream("a", 1), upstream("b", 2)]);
-    const all = upstreams.ofService("s" as never);
-    const pinger: FailureDetector = new FailureDetector({
+    const views = upstreams.ofService("s" as never);
+    const detector: FailureDetector = new FailureDetector({
         self: "127.0.0.1:9" as Address,
         clock: () => now,
         upstreams,
         send: (to: Address, message: Message) => {
-            const name = all.find(item => item.settings.gate === to)!.upstream;
-            if (message.type === "ping" && alive.includes(name)) {
-                pinger.receivePong({ type: "pong", from: to, sentAt: now, loads: [] } as never);
+            const name = views.find(view => view.settings.gate === to)!.upstream;
+            if (message.type === "ping" && responsive.includes(name)) {
+                detector.receivePong({ type: "pong", from: to, sentAt: now, loads: [] } as never);
             }
             return true;
         },
     });
-    all.forEach(item =>
-        pinger.receivePong({ type: "pong", from: item.settings.gate, sentAt: now, loads: [] } as never)
+    views.forEach(view =>
+        detector.receivePong({ type: "pong", from: view.settings.gate, sentAt: now, loads: [] } as never)
     );
-    const waiting: Silent[] = all.map(item => ({ name: item.upstream, cancel: new Cancel() }));
-    all.forEach((item, at) => item.attemptStarted(now, waiting[at]!.cancel));
-    pinger.start();
+    const attempts: Attempt[] = views.map(view => ({ name: view.upstream, cancel: new Cancel() }));
+    views.forEach((view, index) => view.attemptStarted(now, attempts[index]!.cancel));
+    detector.start();
     for (; now < 1000; now += 50) {
         t.mock.timers.tick(50);
     }
-    pinger.stop();
-    return waiting.filter(item => item.cancel.aborted).map(item => item.name);
+    detector.stop();
+    return attempts.filter(attempt => attempt.cancel.aborted).map(attempt => attempt.name);
 };
 
-test("failure detector: a try at a silent gate is given up for one that answers", async t => {
-    assert.deepEqual(await givenUp(t as never, ["b"]), ["a"]);
+test("failure detector: cancels the attempt at an unresponsive gate if another gate responds", async t => {
+    assert.deepEqual(await cancelledAttempts(t as never, ["b"]), ["a"]);
 });
 
-test("failure detector: when all gates are silent, the last one's tries are not given up", async t => {
-    assert.deepEqual(await givenUp(t as never, []), ["a"]);
+test("failure detector: does not cancel the attempt at the last gate if all gates are unresponsive", async t => {
+    assert.deepEqual(await cancelledAttempts(t as never, []), ["a"]);
 });
--- a/src/failuredetection/failuredetector.ts
+++ b/src/failuredetection/failuredetector.ts
@@ -1,7 +1,7 @@
 /**
- * Asks gates that owe answers and are silent, and suspects those that stay so.
+ * Pings gates that do not respond to outstanding requests, and suspects those that do not answer the pings either.
  *
- * Owns the timer and the pings; when to ask and when to suspect is decided by policy/failure/livenesscheck.ts.
+ * Owns the timer and the pings. policy/failure/livenesscheck.ts decides when to ping and when to suspect a gate.
  */
 import type { Message } from "../datagram/message.js";
 import type { Address } from "../ids/address.js";
@@ -11,13 +11,12 @@
 import type { Clock } from "../time/clock.js";
 import { Ticker } from "../time/ticker.js";
 
-/** A third of the time after which a ping counts as unanswered. */
-const TICK_MS = 50;
-/** Gates that were never asked are asked one after the other, ten a second. */
-const INTRODUCE_EVERY_MS = 100;
+/** A third of the ping timeout in policy/failure/livenesscheck.ts. */
+const CHECK_INTERVAL_MS = 50;
+/** Minimum interval between first pings, which go to gates that have never answered one: ten a second. */
+const FIRST_PING_INTERVAL_MS = 100;
 
-/** What the pinger needs of its daemon. */
-type PingerDependencies = {
+type FailureDetectorDependencies = {
     readonly self: Address;
     readonly clock: Clock;
     readonly upstreams: UpstreamTable;
@@ -25,15 +24,17 @@
 };
 
 /**
- * Looks at the upstreams that requests are sent to, but those beside this daemon: where there are hundreds, most are sent nothing for
- * seconds, and a look at each one 20 times a second was 4,000 looks a second at a daemon among 195.
+ * Monitors the upstreams that requests are sent to, except those beside this daemon.
+ *
+ * Idle upstreams are not checked, to save CPU time: with hundreds of upstreams, most receive no request for seconds,
+ * and a daemon among 195 that checks all of them 20 times a second performs 4,000 checks a second.
  */
 export class FailureDetector {
-    readonly #answersPings = new Set<Address>();
-    readonly #ticker = new Ticker(TICK_MS, () => this.#tick());
-    #introducedAt = 0;
+    readonly #pingResponders = new Set<Address>();
+    readonly #ticker = new Ticker(CHECK_INTERVAL_MS, () => this.#checkAll());
+    #lastFirstPingAt = 0;
 
-    constructor(private readonly deps: PingerDependencies) {}
+    constructor(private readonly deps: FailureDetectorDependencies) {}
 
     start(): void {
         this.#ticker.start();
@@ -43,17 +44,17 @@
         this.#ticker.stop();
     }
 
-    /** Records the answer to a ping. */
+    /** Records the response to a ping, and the load reports that it carries. */
     receivePong(pong: Extract<Message, { type: "pong"; }>): void {
         const now = this.deps.clock();
-        this.#answersPings.add(pong.from);
+        this.#pingResponders.add(pong.from);
         for (const view of this.deps.upstreams.atGate(pong.from)) {
             view.recordAlive(now);
             view.recordReport(pong.loads.find(load => load.upstream === view.upstream)?.report, now);
         }
     }
 
-    #tick(): void {
+    #checkAll(): void {
         const now = this.deps.clock();
         for (const view of this.deps.upstreams.monitored) {
             this.#check(view, now);
@@ -61,21 +62,21 @@
     }
 
     #check(view: UpstreamView, now: number): void {
-        const known = {
+        const input = {
             outstanding: view.outstanding,
             serviceMs: view.report?.serviceMs ?? 0,
-            answersPings: this.#answersPings.has(view.settings.gate),
+            answersPings: this.#pingResponders.has(view.settings.gate),
             isSuspected: view.suspicion.isSuspected,
         };
-        if (view.local || view.livenessCheck.isIdle(known)) {
+        if (view.local || view.livenessCheck.isIdle(input)) {
             this.deps.upstreams.stopMonitoring(view);
             return;
         }
-        const action = view.livenessCheck.decide(known, now);
+        const action = view.livenessCheck.decide(input, now);
         if (action.type === "suspect") {
             view.suspect(now, this.#hasAlternative(view, now));
         }
-        else if (action.type === "ping" && (action.why !== "never-asked" || this.#mayIntroduce(now))) {
+        else if (action.type === "ping" && (action.why !== "never-asked" || this.#maySendFirstPing(now))) {
             this.#ping(view, now);
         }
     }
@@ -86,17 +87,20 @@
         }
     }
 
-    /** Attempts at a silent gate are given up only for something better: when all are silent, it is the hosts that are. */
+    /**
+     * Returns true if the service has another available upstream. Attempts at an unresponsive gate are cancelled only
+     * in this case: if all gates are unresponsive, the hosts are the cause, and no other upstream would respond sooner.
+     */
     #hasAlternative(view: UpstreamView, now: number): boolean {
-        const all = this.deps.upstreams.ofService(view.settings.service);
-        return availableTargets(all, new Set([view]), now).length > 0;
+        const candidates = this.deps.upstreams.ofService(view.settings.service);
+        return availableTargets(candidates, new Set([view]), now).length > 0;
     }
 
-    #mayIntroduce(now: number): boolean {
-        if (now - this.#introducedAt <= INTRODUCE_EVERY_MS) {
+    #maySendFirstPing(now: number): boolean {
+        if (now - this.#lastFirstPingAt <= FIRST_PING_INTERVAL_MS) {
             return false;
         }
-        this.#introducedAt = now;
+        this.#lastFirstPingAt = now;
         return true;
     }
 }
--- a/src/loadreports/loadreporter.ts
+++ b/src/loadreports/loadreporter.ts
@@ -1,7 +1,8 @@
 /**
- * Reports a change of load to those who sent requests here lately, since reports else ride on answers only.
+ * Sends load reports, unsolicited, to the peers that recently sent requests here.
  *
- * Owns the list of senders; which change is worth a report is decided by policy/placement/shouldreportload.ts.
+ * Without these messages, a peer would receive reports only with responses. Owns the list of senders.
+ * policy/placement/shouldreportload.ts decides which changes of load are reported.
  */
 import type { Message } from "../datagram/message.js";
 import type { Gate } from "../gate/gate.js";
@@ -10,42 +11,41 @@
 import { shouldReportLoad } from "../policy/placement/shouldreportload.js";
 import type { Clock } from "../time/clock.js";
 
-/** At the most, in milliseconds: gates change with each request. */
-const LOOK_EVERY_MS = 10;
-/** Who sent a request within this time may send the next one here too; milliseconds. */
-const RECENT_MS = 1000;
-/** Remembered, the latest: bounds memory and datagrams. */
+/** Minimum interval between two checks; the load of a gate changes with every request. */
+const CHECK_INTERVAL_MS = 10;
+/** A peer that sent a request within this time is likely to send another one here. */
+const RECENT_SENDER_MS = 1000;
+/** Bounds memory and the number of datagrams; the most recent senders are kept. */
 const MAX_SENDERS = 64;
 
-/** What the reporter needs of its daemon. */
-type ReporterDependencies = {
+type LoadReporterDependencies = {
     readonly self: Address;
     readonly clock: Clock;
     readonly gates: () => Iterable<Gate>;
     readonly send: (to: Address, message: Message) => boolean;
 };
 
-/** Holds a bounded number of senders, and what was reported last. */
+/** Remembers the most recent senders, and the last report of each gate. */
 export class LoadReporter {
     readonly #senders = new Map<Address, number>();
-    readonly #reported = new Map<Gate, LoadReport>();
-    #lookedAt = 0;
+    readonly #lastReports = new Map<Gate, LoadReport>();
+    #checkedAt = 0;
 
-    constructor(private readonly deps: ReporterDependencies) {}
+    constructor(private readonly deps: LoadReporterDependencies) {}
 
-    /** To be called when something has changed at a gate; looks at most every few milliseconds. */
+    /** Reports the load of gates where it has changed enough; must be called after each change at a gate. */
     check(): void {
         const now = this.deps.clock();
-        if (now - this.#lookedAt < LOOK_EVERY_MS) {
+        if (now - this.#checkedAt < CHECK_INTERVAL_MS) {
             return;
         }
-        this.#lookedAt = now;
+        this.#checkedAt = now;
         for (const gate of this.deps.gates()) {
-            this.#compare(gate);
+            this.#reportIfChanged(gate);
         }
     }
 
-    /** Records that a peer sends requests here. */
+    /** Records that a peer sent a request here. */
     recordSender(sender: Address): void {
         this.#senders.delete(sender);
         this.#senders.set(sender, this.deps.clock());
@@ -54,25 +54,25 @@
         }
     }
 
-    /** All that are remembered, the latest last. */
+    /** Returns all remembered senders, the most recent one last. */
     senders(): Address[] {
         return [...this.#senders.keys()];
     }
 
-    #compare(gate: Gate): void {
+    #reportIfChanged(gate: Gate): void {
         const report = gate.report();
-        const reported = this.#reported.get(gate);
-        if (shouldReportLoad(report, reported)) {
-            this.#reported.set(gate, report);
-            this.#report(gate, report);
+        const lastReport = this.#lastReports.get(gate);
+        if (shouldReportLoad(report, lastReport)) {
+            this.#lastReports.set(gate, report);
+            this.#sendReport(gate, report);
         }
     }
 
-    #report(gate: Gate, report: LoadReport): void {
+    #sendReport(gate: Gate, report: LoadReport): void {
         const loads = [{ upstream: gate.upstream.name, report }];
         const now = this.deps.clock();
-        for (const [sender, at] of this.#senders) {
-            if (now - at < RECENT_MS) {
+        for (const [sender, lastRequestAt] of this.#senders) {
+            if (now - lastRequestAt < RECENT_SENDER_MS) {
                 this.deps.send(sender, { type: "load", from: this.deps.self, loads });
             }
         }
--- a/src/transfer/worktransfer.ts
+++ b/src/transfer/worktransfer.ts
@@ -1,8 +1,9 @@
 /**
- * Moves what waits at a slow gate to a sibling with free slots.
+ * Redirects requests that are queued at a slow gate to siblings with free slots.
  *
- * What waits has not run, so its gate may still move it. While requests wait long, the gate asks a few siblings; one
- * with free slots keeps some for a few milliseconds and offers them; the gate hands back that many requests.
+ * Queued requests have not run yet, so that the gate can still hand them back. While the expected wait is long, the
+ * gate sends its need to a few siblings, the other upstreams of its service. A sibling with free slots reserves some of
+ * them for a few milliseconds and offers them. The gate hands back as many requests as were offered.
  */
 import { randomUUID } from "node:crypto";
 import type { Upstream } from "../config/upstream.js";
@@ -17,17 +18,16 @@
 import { slotsToOffer } from "../policy/transfer/slotstooffer.js";
 import type { Clock } from "../time/clock.js";
 
-/** How often gates with waiting requests are looked at, in milliseconds: less than a move costs. */
-const TICK_MS = 4;
-/** Between two questions of one gate, in milliseconds: offers to the one before have come by then. */
-const ASK_EVERY_MS = 8;
-/** Siblings asked at once, at random: docs/EXPERIMENTS.md, "relief asks a third of each sibling". */
-const MAX_ASKED = 3;
-/** Long enough for the way there and back between halls, short enough not to waste a slot; milliseconds. */
-const HOLD_MS = 10;
+/** Interval of the checks while requests are queued; shorter than a redirect takes. */
+const CHECK_INTERVAL_MS = 4;
+/** Minimum interval between two rounds of needs of one gate; the offers of the first have arrived by then. */
+const NEED_INTERVAL_MS = 8;
+/** Number of random siblings that a need is sent to; docs/EXPERIMENTS.md, "relief asks a third of each sibling". */
+const MAX_SIBLINGS = 3;
+/** How long offered slots stay reserved: a round trip between data halls, but not so long that slots stay unused. */
+const OFFER_LIFETIME_MS = 10;
 
-/** What the transfer needs of its daemon. */
-type TransferDependencies = {
+type WorkTransferDependencies = {
     readonly self: Address;
     readonly clock: Clock;
     readonly random: RandomSource;
@@ -37,17 +37,17 @@
     readonly send: (to: Address, message: Message) => boolean;
 };
 
-/** Asks for, makes and uses offers. */
+/** Sends needs and offers for the gates of this daemon, and handles those of its peers. */
 export class WorkTransfer {
-    readonly #askedAt = new Map<Gate, number>();
+    readonly #needSentAt = new Map<Gate, number>();
     #timer: NodeJS.Timeout | undefined;
 
-    constructor(private readonly deps: TransferDependencies) {}
+    constructor(private readonly deps: WorkTransferDependencies) {}
 
-    /** To be called when something has changed at a gate; goes on by itself while something waits. */
+    /** Schedules checks until no request is queued; must be called after each change at a gate. */
     check(): void {
-        if (this.#timer === undefined && this.#anyWaiting()) {
-            this.#timer = setTimeout(() => this.#tick(), TICK_MS);
+        if (this.#timer === undefined && this.#hasQueuedRequests()) {
+            this.#timer = setTimeout(() => this.#checkAll(), CHECK_INTERVAL_MS);
         }
     }
 
@@ -55,24 +55,24 @@
         clearTimeout(this.#timer);
     }
 
-    /** Answers a gate whose requests wait, by offers. */
+    /** Offers free slots to a gate with queued requests. */
     receiveNeed(need: Extract<Message, { type: "need"; }>): void {
         for (const gate of this.deps.gates()) {
             if (gate.upstream.service === need.service && gate.upstream.name !== need.upstream) {
-                this.#offer(gate, need);
+                this.#sendOffer(gate, need);
             }
         }
     }
 
-    /** Uses offers for what still waits. */
+    /** Hands back requests that are still queued, one for each offered slot. */
     receiveOffer(offer: Extract<Message, { type: "offer"; }>): void {
         this.deps.gate(offer.upstream)?.handBack(offer.goTo, offer.offers);
     }
 
-    #offer(gate: Gate, need: Extract<Message, { type: "need"; }>): void {
+    #sendOffer(gate: Gate, need: Extract<Message, { type: "need"; }>): void {
         const offers: string[] = [];
-        const most = slotsToOffer(need.count, gate.freeSlots);
-        while (offers.length < most) {
+        const maxOffers = slotsToOffer(need.count, gate.freeSlots);
+        while (offers.length < maxOffers) {
             const id = randomUUID();
             if (!gate.offer(id)) {
                 break;
@@ -84,10 +84,10 @@
         }
         const goTo = gate.upstream.name;
         this.deps.send(need.from, { type: "offer", from: this.deps.self, upstream: need.upstream, goTo, offers });
-        setTimeout(() => offers.forEach(id => gate.withdrawOffer(id)), HOLD_MS);
+        setTimeout(() => offers.forEach(id => gate.withdrawOffer(id)), OFFER_LIFETIME_MS);
     }
 
-    #anyWaiting(): boolean {
+    #hasQueuedRequests(): boolean {
         for (const gate of this.deps.gates()) {
             if (gate.queuedCount > 0) {
                 return true;
@@ -96,30 +96,30 @@
         return false;
     }
 
-    #tick(): void {
+    #checkAll(): void {
         this.#timer = undefined;
         const now = this.deps.clock();
         for (const gate of this.deps.gates()) {
-            if (gate.queuedCount > 0 && now - (this.#askedAt.get(gate) ?? -Infinity) >= ASK_EVERY_MS) {
-                this.#ask(gate, now);
+            if (gate.queuedCount > 0 && now - (this.#needSentAt.get(gate) ?? -Infinity) >= NEED_INTERVAL_MS) {
+                this.#sendNeeds(gate, now);
             }
         }
         this.check();
     }
 
-    #ask(gate: Gate, now: number): void {
+    #sendNeeds(gate: Gate, now: number): void {
         if (!isWorthHandingBack(gate.report())) {
             return;
         }
-        this.#askedAt.set(gate, now);
+        this.#needSentAt.set(gate, now);
         const { self, random, send } = this.deps;
         const { service, name: upstream } = gate.upstream;
         const siblings = this.deps.siblings().filter(other =>
             other.service === service && other.name !== upstream && other.gate !== self && !other.draining
         );
-        const asked = sample(siblings, MAX_ASKED, random);
-        const count = requestsPerSibling(gate.queuedCount, asked.length);
-        for (const sibling of asked) {
+        const chosen = sample(siblings, MAX_SIBLINGS, random);
+        const count = requestsPerSibling(gate.queuedCount, chosen.length);
+        for (const sibling of chosen) {
             send(sibling.gate, { type: "need", from: self, service, upstream, count });
         }
     }
