--- a/src/crashes/crashguard.test.ts
+++ b/src/crashes/crashguard.test.ts
@@ -10,21 +10,22 @@
 import { CrashPublisher } from "./crashpublisher.js";
 import { CrashSpread } from "./crashspread.js";
 
-const bad = "bad" as RequestKey;
-const proper = "proper" as RequestKey;
-const crashId = (at: number): CrashId => `crash-${at}` as CrashId;
+const crashing = "crashing" as RequestKey;
+const harmless = "harmless" as RequestKey;
+const crashId = (number: number): CrashId => `crash-${number}` as CrashId;
 
 type Daemon = CrashFleet["daemons"][number];
 
-const fleet = (size: number, carries: ConstructorParameters<typeof CrashFleet>[1]): Daemon[] =>
-    new CrashFleet(size, carries).daemons;
+const createDaemons = (size: number, isDelivered: ConstructorParameters<typeof CrashFleet>[1]): Daemon[] =>
+    new CrashFleet(size, isDelivered).daemons;
 
-const crashAt = (daemon: Daemon, crash: number, requests = [bad]): void => CrashFleet.crashAt(daemon, crash, requests);
+const recordCrash = (daemon: Daemon, crash: number, requests = [crashing]): void =>
+    CrashFleet.crashAt(daemon, crash, requests);
 
-test("crash guard: crashes at three daemons are one count", () => {
-    const daemons = fleet(4, () => true);
-    [1, 2, 3].forEach(at => crashAt(daemons[at]!, at));
-    assert.deepEqual(daemons.map(({ guard }) => guard.standing(bad)), [
+test("crash guard: counts the crashes of all daemons together", () => {
+    const daemons = createDaemons(4, () => true);
+    [1, 2, 3].forEach(number => recordCrash(daemons[number]!, number));
+    assert.deepEqual(daemons.map(({ guard }) => guard.standing(crashing)), [
         "quarantined",
         "quarantined",
         "quarantined",
@@ -32,23 +33,23 @@
     ]);
 });
 
-test("crash guard: with all datagrams lost, marks bring daemons together", async () => {
-    const daemons = fleet(5, () => false);
-    [1, 2, 3].forEach(at => crashAt(daemons[at]!, at));
-    assert.equal(daemons[4]!.guard.standing(bad), "free");
+test("crash guard: daemons reach equal records by comparing digests if all datagrams are lost", async () => {
+    const daemons = createDaemons(5, () => false);
+    [1, 2, 3].forEach(number => recordCrash(daemons[number]!, number));
+    assert.equal(daemons[4]!.guard.standing(crashing), "free");
     for (let round = 0; round < 2; round++) {
         daemons.forEach(({ spread }) => spread.compareMarks("10.0.0.0:1" as Address, daemons[0]!.guard.mark));
         await sleep(5);
     }
-    assert.deepEqual(daemons.map(({ guard }) => guard.standing(bad)), Array(5).fill("quarantined"));
+    assert.deepEqual(daemons.map(({ guard }) => guard.standing(crashing)), Array(5).fill("quarantined"));
     assert.equal(new Set(daemons.map(({ guard }) => guard.mark)).size, 1);
 });
 
-test("crash guard: marks that can't come to the same are exchanged once, and again when one of them has changed", async () => {
-    let exchanges = 0;
-    let theirs = 0;
-    const life = "life" as Incarnation;
-    const { guard } = fleet(1, () => true)[0]!;
+test("crash guard: exchanges once if the digests stay different, and again after either has changed", async () => {
+    let exchangeCount = 0;
+    let peerDigest = 0;
+    const incarnation = "incarnation" as Incarnation;
+    const { guard } = createDaemons(1, () => true)[0]!;
     const peer = "10.0.0.9:1" as Address;
     const spread = new CrashSpread({
         self: "10.0.0.0:1" as Address,
@@ -58,52 +59,52 @@
         relays: () => [],
         siblings: () => [],
         send: () => true,
-        life,
+        life: incarnation,
         exchange: async () => {
-            exchanges += 1;
+            exchangeCount += 1;
             await sleep(5);
-            return { records: [], upTo: { life, at: 0 }, mark: theirs };
+            return { records: [], upTo: { life: incarnation, at: 0 }, mark: peerDigest };
         },
     });
-    const compare = async (mark: number): Promise<number> => {
-        theirs = mark;
-        spread.compareMarks(peer, mark);
-        spread.compareMarks(peer, mark);
+    const compare = async (digest: number): Promise<number> => {
+        peerDigest = digest;
+        spread.compareMarks(peer, digest);
+        spread.compareMarks(peer, digest);
         await sleep(20);
-        return exchanges;
+        return exchangeCount;
     };
     assert.equal(await compare(7), 1);
     assert.equal(await compare(7), 1);
     assert.equal(await compare(8), 2);
-    crashAt({ guard } as Daemon, 1);
+    recordCrash({ guard } as Daemon, 1);
     assert.equal(await compare(8), 3);
-    theirs = 9;
+    peerDigest = 9;
     spread.compareMarks(peer, 9);
     spread.compareMarks(peer, 10);
     await sleep(20);
-    assert.equal(await compare(10), 5, "a mark that came during an exchange is not forgotten");
+    assert.equal(await compare(10), 5, "a digest that was received during an exchange leads to another one");
 });
 
-test("crash guard: one that has just started asks those that it meets", async () => {
-    const daemons = fleet(3, () => false);
-    [1, 2, 3].forEach(at => crashAt(daemons[0]!, at));
+test("crash guard: a daemon exchanges records after its start, without waiting for heartbeats", async () => {
+    const daemons = createDaemons(3, () => false);
+    [1, 2, 3].forEach(number => recordCrash(daemons[0]!, number));
     daemons[2]!.spread.meet();
     await sleep(5);
-    assert.equal(daemons[2]!.guard.standing(bad), "quarantined");
+    assert.equal(daemons[2]!.guard.standing(crashing), "quarantined");
 });
 
-test("crash guard: what an upstream anywhere has served well, before or later, is not quarantined", () => {
-    const daemons = fleet(4, () => true);
-    daemons[0]!.served.add(proper);
-    [1, 2, 3].forEach(at => crashAt(daemons[at]!, at, [bad, proper]));
-    assert.equal(daemons[0]!.guard.standing(proper), "free");
-    [4, 5, 6].forEach(at => crashAt(daemons[1]!, at));
-    daemons[2]!.guard.recordServed(bad);
-    assert.equal(daemons[2]!.guard.standing(bad), "free");
+test("crash guard: does not quarantine a request that any upstream has served, before or after the crashes", () => {
+    const daemons = createDaemons(4, () => true);
+    daemons[0]!.served.add(harmless);
+    [1, 2, 3].forEach(number => recordCrash(daemons[number]!, number, [crashing, harmless]));
+    assert.equal(daemons[0]!.guard.standing(harmless), "free");
+    [4, 5, 6].forEach(number => recordCrash(daemons[1]!, number));
+    daemons[2]!.guard.recordServed(crashing);
+    assert.equal(daemons[2]!.guard.standing(crashing), "free");
 });
 
-test("crash guard: what is quarantined is kept in the store by who saw a crash, again when the store had failed", async () => {
-    const { guard } = fleet(1, () => true)[0]!;
+test("crash guard: a daemon with a local crash stores the quarantine, and retries if the store fails", async () => {
+    const { guard } = createDaemons(1, () => true)[0]!;
     const written: CrashRecord[] = [];
     let failures = 1;
     const publisher = new CrashPublisher({
@@ -111,34 +112,34 @@
         clock: () => 0,
         write: async record => {
             if (failures-- > 0) {
-                throw new Error("the store is down");
+                throw new Error("the store is unavailable");
             }
             written.push(record);
         },
     });
     publisher.start();
-    [1, 2].forEach(at => crashAt({ guard } as Daemon, at));
+    [1, 2].forEach(number => recordCrash({ guard } as Daemon, number));
     await sleep(5);
     assert.equal(written.length, 0);
-    guard.merge([{ request: bad, crashes: [crashId(3)], cleared: [], ageMs: 0 }]);
+    guard.merge([{ request: crashing, crashes: [crashId(3)], cleared: [], ageMs: 0 }]);
     await sleep(400);
-    assert.deepEqual(written.map(({ request, crashes }) => [request, crashes.length]), [[bad, 3]]);
-    guard.recordServed(bad);
+    assert.deepEqual(written.map(({ request, crashes }) => [request, crashes.length]), [[crashing, 3]]);
+    guard.recordServed(crashing);
     await sleep(5);
-    assert.equal(written.at(-1)!.cleared.length, 3, "that it is cleared, too");
+    assert.equal(written.at(-1)!.cleared.length, 3, "the cleared crashes are written, too");
     publisher.stop();
 });
 
-test("crash guard: what is quarantined is written again and again, by the one who saw the first crash", async () => {
-    const daemons = fleet(3, () => true);
-    const writes = [0, 0, 0];
+test("crash guard: only the daemon with the lowest crash id renews a quarantine in the store", async () => {
+    const daemons = createDaemons(3, () => true);
+    const writeCounts = [0, 0, 0];
     let now = 0;
-    const publishers = daemons.map(({ guard }, at) =>
-        new CrashPublisher({ guard, clock: () => now, write: () => Promise.resolve(void writes[at]!++) })
+    const publishers = daemons.map(({ guard }, index) =>
+        new CrashPublisher({ guard, clock: () => now, write: () => Promise.resolve(void writeCounts[index]!++) })
     );
     publishers.forEach(publisher => publisher.start());
-    daemons.forEach((daemon, at) => crashAt(daemon, at));
-    const passTime = async (): Promise<void> => {
+    daemons.forEach((daemon, index) => recordCrash(daemon, index));
+    const passRenewInterval = async (): Promise<void> => {
         now += 20_000;
         const other: CrashRecord = {
             request: `other-${now}` as RequestKey,
@@ -150,10 +151,10 @@
         await sleep(5);
     };
     await sleep(5);
-    const before = [...writes];
-    assert.ok(before.every(count => count > 0));
-    await passTime();
-    await passTime();
+    const countsBefore = [...writeCounts];
+    assert.ok(countsBefore.every(count => count > 0));
+    await passRenewInterval();
+    await passRenewInterval();
     publishers.forEach(publisher => publisher.stop());
-    assert.deepEqual(writes.map((count, at) => count - before[at]!), [2, 0, 0]);
+    assert.deepEqual(writeCounts.map((count, index) => count - countsBefore[index]!), [2, 0, 0]);
 });
--- a/src/crashes/crashguard.ts
+++ b/src/crashes/crashguard.ts
@@ -1,9 +1,9 @@
 /**
- * Keeps requests that crash upstreams from the upstreams.
+ * Quarantines requests that crash upstreams.
  *
- * Owns what this daemon knows of them. Gates tell it of crashes and of requests that were served well, peers and the store of what was
- * seen elsewhere; ingress and gates ask it before each attempt. What is decided stands in policy/quarantine; how it spreads, in
- * crashspread.ts.
+ * Owns the crash records that this daemon knows. Gates report crashes and requests that were served successfully; peers
+ * and the store provide the records of other daemons. The ingress and the gates query the quarantine before each
+ * attempt. policy/quarantine decides which requests are quarantined; crashspread.ts propagates the records.
  */
 import type { CrashId } from "../ids/crashid.js";
 import type { RequestKey } from "../ids/requestkey.js";
@@ -19,73 +19,74 @@
 
 const logger = log("gate");
 
-/** `hasServed`: an upstream here has served the request well in its present life. `giveUp` calls off what runs of it here. */
-type GuardDependencies = {
+type CrashGuardDependencies = {
     readonly clock: Clock;
+    /** Returns true if an upstream beside this daemon has served the request in the upstream's current incarnation. */
     readonly hasServed: (request: RequestKey) => boolean;
+    /** Aborts the runs of the request at this daemon's gates. */
     readonly giveUp: (request: RequestKey) => void;
 };
 
-/** Crashes that were seen here and are known as such: more than are kept of any request. */
-const MAX_OWN = 64;
+/** Number of local crash ids that are remembered; more than the crashes that are kept for any one request. */
+const MAX_LOCAL_CRASHES = 64;
 
-/** A crash that was seen here, of an upstream of the service, and the requests that were under way. */
-type OwnCrash = {
+/** A crash of an upstream beside this daemon, with the requests that were in flight. */
+type LocalCrash = {
     readonly service: ServiceName;
     readonly crash: CrashId;
     readonly requests: readonly RequestKey[];
 };
 
-type Listener = (own: OwnCrash | undefined) => void;
+type Listener = (localCrash: LocalCrash | undefined) => void;
 
-/** One for each daemon. */
+/** Holds the crash records of one daemon. */
 export class CrashGuard {
     readonly #history = new CrashHistory();
-    /** Those that the log has told of. */
-    readonly #logged = new Set<RequestKey>();
-    readonly #ownCrashes = new RecentSet<CrashId>(MAX_OWN);
+    /** Quarantined requests that have been logged. */
+    readonly #loggedRequests = new Set<RequestKey>();
+    readonly #localCrashes = new RecentSet<CrashId>(MAX_LOCAL_CRASHES);
     readonly #listeners: Listener[] = [];
 
-    constructor(private readonly deps: GuardDependencies) {}
+    constructor(private readonly deps: CrashGuardDependencies) {}
 
-    /** Calls the listener when something is new; with a crash that was seen here, if it was that. */
-    onNews(listener: Listener): void {
+    /** Calls the listener when records have changed; with the crash, if the cause is a local crash. */
+    onChange(listener: Listener): void {
         this.#listeners.push(listener);
     }
 
-    /** True while no request is known under which an upstream has crashed: then there is no need to ask. */
+    /** True if there are no crash records, so that no request is suspect or quarantined. */
     get isEmpty(): boolean {
         return this.#history.isEmpty;
     }
 
-    /** The same at all daemons that know the same; undefined where nothing is known. */
+    /** Digest of all records, equal at all daemons with equal records; undefined if there are none. */
     get mark(): number | undefined {
         this.#history.evictExpired(this.deps.clock());
         return this.#history.digest;
     }
 
-    /** The same of suspect and quarantined requests alone: what others must know at once. */
+    /** Digest of suspect and quarantined requests, whose changes are urgent; undefined if there are none. */
     get suspectMark(): number | undefined {
         this.#history.evictExpired(this.deps.clock());
         return this.#history.suspectDigest;
     }
 
-    /** How many changes there have been. */
-    get changes(): number {
+    /** Number of changes of the records so far. */
+    get changeCount(): number {
         return this.#history.changeCount;
     }
 
-    /** What has changed after so many changes; all that is known after none. */
-    recordsAfter(changes: number): CrashRecord[] {
-        return this.#history.recordsChangedAfter(changes, this.deps.clock());
+    /** Returns the records that changed after the first `changeCount` changes; for 0, all records. */
+    recordsChangedAfter(changeCount: number): CrashRecord[] {
+        return this.#history.recordsChangedAfter(changeCount, this.deps.clock());
     }
 
-    /** How many requests are quarantined. */
+    /** Number of quarantined requests. */
     get quarantined(): number {
         return this.#history.countQuarantined(this.deps.clock());
     }
 
-    /** For how long the request is quarantined yet, in milliseconds; undefined for one that is not. */
+    /** Returns how much longer the request stays quarantined, in milliseconds; undefined if it is not. */
     quarantinedForMs(request: RequestKey | undefined): number | undefined {
         return request === undefined ? undefined : this.#history.quarantinedForMs(request, this.deps.clock());
     }
@@ -94,64 +95,73 @@
         return request === undefined ? "free" : this.#history.statusOf(request, this.deps.clock());
     }
 
-    /** Requests with crashes enough for a quarantine, cleared or not, of which one was seen here. */
-    get witnessed(): CrashRecord[] {
-        return this.recordsAfter(0).filter(({ crashes }) =>
-            crashes.length >= crashLimits.quarantineThreshold && crashes.some(crash => this.#ownCrashes.has(crash))
+    /**
+     * Records that this daemon writes to the store: those with enough crashes for a quarantine, cleared or not, and at
+     * least one local crash.
+     */
+    get recordsToPublish(): CrashRecord[] {
+        return this.recordsChangedAfter(0).filter(({ crashes }) =>
+            crashes.length >= crashLimits.quarantineThreshold && crashes.some(crash => this.#localCrashes.has(crash))
         );
     }
 
-    /** Quarantined requests of whose crashes the first, by id, was seen here. */
-    get firstWitnessed(): CrashRecord[] {
-        return this.witnessed.filter(({ request, crashes }) =>
-            this.quarantinedForMs(request) !== undefined && this.#ownCrashes.has([...crashes].sort()[0]!)
+    /**
+     * Records that this daemon writes again regularly: those of quarantined requests whose lowest crash id belongs to a
+     * local crash, so that only one daemon renews each record.
+     */
+    get recordsToRenew(): CrashRecord[] {
+        return this.recordsToPublish.filter(({ request, crashes }) =>
+            this.quarantinedForMs(request) !== undefined && this.#localCrashes.has([...crashes].sort()[0]!)
         );
     }
 
-    /** Records that an upstream here has crashed. */
-    recordCrash(own: OwnCrash): void {
-        const { crash, requests } = own;
-        this.#ownCrashes.add(crash);
-        this.#merge(toCrashRecords(crash, requests), own);
+    /** Records that an upstream beside this daemon has crashed. */
+    recordCrash(localCrash: LocalCrash): void {
+        const { crash, requests } = localCrash;
+        this.#localCrashes.add(crash);
+        this.#merge(toCrashRecords(crash, requests), localCrash);
     }
 
-    /** Records that an upstream here has served the request well. */
+    /** Records that an upstream beside this daemon has served the request successfully, which clears the request. */
     recordServed(request: RequestKey): void {
         if (this.#clear(request)) {
-            this.#tell(undefined);
+            this.#notifyListeners(undefined);
         }
     }
 
-    /** Applies what was seen elsewhere. */
+    /** Merges records from peers or from the store. */
     merge(records: readonly CrashRecord[]): void {
         this.#merge(records, undefined);
     }
 
-    #merge(records: readonly CrashRecord[], own: OwnCrash | undefined): void {
+    #merge(records: readonly CrashRecord[], localCrash: LocalCrash | undefined): void {
         const changed = this.#history.merge(records, this.deps.clock());
-        changed.forEach(request => this.#judge(request));
+        changed.forEach(request => this.#updateStatus(request));
         if (changed.length > 0) {
-            this.#tell(own);
+            this.#notifyListeners(localCrash);
         }
     }
 
-    /** What an upstream here has served well is cleared at once, also for the others. */
-    #judge(request: RequestKey): void {
+    /**
+     * Clears the request if an upstream beside this daemon has served it; the other daemons receive the cleared record.
+     * If the request is newly quarantined, logs that and aborts its runs.
+     */
+    #updateStatus(request: RequestKey): void {
         const { hasServed, giveUp } = this.deps;
         if (hasServed(request)) {
             this.#clear(request);
         }
         const quarantinedForMs = this.quarantinedForMs(request);
         if (quarantinedForMs === undefined) {
-            this.#logged.delete(request);
+            this.#loggedRequests.delete(request);
             return;
         }
-        if (this.#logged.has(request)) {
+        if (this.#loggedRequests.has(request)) {
             return;
         }
-        this.#logged.add(request);
+        this.#loggedRequests.add(request);
         const { crashes } = this.#history.recordOf(request, this.deps.clock())!;
-        logger.change("A request is quarantined: upstreams have crashed under it.", {
+        logger.change("Quarantined a request that was in flight at several crashes; new attempts are refused.", {
             request,
             crashes,
             quarantinedForMs,
@@ -159,16 +169,16 @@
         giveUp(request);
     }
 
-    /** False where there is nothing to clear. */
+    /** Clears the request of its crashes; returns false if it is neither suspect nor quarantined. */
     #clear(request: RequestKey): boolean {
         const isCleared = this.standing(request) !== "free" && this.#history.clear(request);
         if (isCleared) {
-            logger.change("A request is cleared: it was served well.", { request });
+            logger.change("Cleared a request of crashes because it was served successfully.", { request });
         }
         return isCleared;
     }
 
-    #tell(own: OwnCrash | undefined): void {
-        this.#listeners.forEach(listener => listener(own));
+    #notifyListeners(localCrash: LocalCrash | undefined): void {
+        this.#listeners.forEach(listener => listener(localCrash));
     }
 }
--- a/src/crashes/crashpublisher.ts
+++ b/src/crashes/crashpublisher.ts
@@ -1,7 +1,8 @@
 /**
- * Keeps quarantined requests in the store, so that they stay so after all daemons have started anew.
+ * Writes quarantined requests to the store, so that they stay quarantined even if all daemons restart.
  *
- * Each daemon beside which one of the upstreams has crashed writes; the store keeps the newest word for as long as the quarantine lasts.
+ * Each daemon with one of the crashed upstreams beside it writes the record. The store keeps the latest version until
+ * the quarantine ends.
  */
 import type { RequestKey } from "../ids/requestkey.js";
 import { log } from "../log/log.js";
@@ -14,36 +15,37 @@
 const logger = log("peer");
 
 /**
- * The store may lose what lies under a lease: one of those who write does so again that often, in milliseconds. Two calls a quarantine each
- * time: longer than most outages of the store that were seen.
+ * Interval at which one of the writing daemons writes a record again, because the store may lose records with a lease.
+ * Each time costs two store calls for each quarantined request. The interval is longer than most outages of the store.
  */
-const RENEW_EVERY_MS = 20_000;
+const RENEW_INTERVAL_MS = 20_000;
 
-/** Stores grant no shorter lease; milliseconds. */
-const LEAST_MS = 1000;
+/** Shortest lease that a store grants. */
+const MIN_LEASE_MS = 1000;
 
-/** `write` keeps a record for so many milliseconds, and throws a StoreError. */
-type PublisherDependencies = {
+type CrashPublisherDependencies = {
     readonly guard: CrashGuard;
     readonly clock: Clock;
+    /** Writes a record that the store keeps for `keepMs`; rejects with a StoreError. */
     readonly write: (record: CrashRecord, keepMs: number) => Promise<void>;
 };
 
-/** One loop: writes what is new as soon as may be, and what must not be lost again and again. */
+/** Writes changed records as soon as possible, and renews the others regularly. */
 export class CrashPublisher {
-    /** As the store has it. */
+    /** Content of the records as last written. */
     readonly #written = new Map<RequestKey, string>();
     readonly #loop: StoreLoop;
     #renewedAt: number;
 
-    constructor(private readonly deps: PublisherDependencies) {
+    constructor(private readonly deps: CrashPublisherDependencies) {
         this.#renewedAt = deps.clock();
         this.#loop = new StoreLoop({
             step: () => this.#step(),
-            failed: err => logger.warn("A quarantined request could not be kept in the store.", err),
-            pauseMs: () => this.#renewedAt + RENEW_EVERY_MS - deps.clock(),
+            failed: err =>
+                logger.warn("Could not write a quarantined request to the store; the write will be retried.", err),
+            pauseMs: () => this.#renewedAt + RENEW_INTERVAL_MS - deps.clock(),
         });
-        deps.guard.onNews(() => this.#loop.wake());
+        deps.guard.onChange(() => this.#loop.wake());
     }
 
     start(): void {
@@ -56,29 +58,31 @@
 
     async #step(): Promise<void> {
         const { guard, clock } = this.deps;
-        if (clock() - this.#renewedAt >= RENEW_EVERY_MS) {
+        if (clock() - this.#renewedAt >= RENEW_INTERVAL_MS) {
             this.#renewedAt = clock();
-            guard.firstWitnessed.forEach(({ request }) => this.#written.delete(request));
+            guard.recordsToRenew.forEach(({ request }) => this.#written.delete(request));
         }
-        for (const record of guard.witnessed) {
-            if (this.#written.get(record.request) !== stateOf(record)) {
+        for (const record of guard.recordsToPublish) {
+            if (this.#written.get(record.request) !== contentKey(record)) {
                 await this.#write(record);
             }
         }
-        this.#forgetOld();
+        this.#dropUnknown();
     }
 
     async #write(record: CrashRecord): Promise<void> {
-        const leftMs = this.deps.guard.quarantinedForMs(record.request) ?? crashLimits.quarantineMs;
-        await this.deps.write(record, Math.max(LEAST_MS, Math.ceil(leftMs)));
-        this.#written.set(record.request, stateOf(record));
+        const remainingMs = this.deps.guard.quarantinedForMs(record.request) ?? crashLimits.quarantineMs;
+        await this.deps.write(record, Math.max(MIN_LEASE_MS, Math.ceil(remainingMs)));
+        this.#written.set(record.request, contentKey(record));
     }
 
-    #forgetOld(): void {
-        const known = new Set(this.deps.guard.witnessed.map(({ request }) => request));
-        [...this.#written.keys()].filter(request => !known.has(request)).forEach(key => this.#written.delete(key));
+    #dropUnknown(): void {
+        const known = new Set(this.deps.guard.recordsToPublish.map(({ request }) => request));
+        [...this.#written.keys()].filter(request => !known.has(request)).forEach(request =>
+            this.#written.delete(request)
+        );
     }
 }
 
-/** What is worth another write: whether it is quarantined, and by which crashes. */
-const stateOf = ({ crashes, cleared }: CrashRecord): string => `${crashes.join()}/${cleared.join()}`;
+/** Returns the part of a record whose change requires a write: its crashes, and those that are cleared. */
+const contentKey = ({ crashes, cleared }: CrashRecord): string => `${crashes.join()}/${cleared.join()}`;
--- a/src/crashes/crashspread.ts
+++ b/src/crashes/crashspread.ts
@@ -1,13 +1,16 @@
 /**
- * Tells the other daemons which requests crash upstreams, and learns it from them.
+ * Propagates crash records between daemons.
  *
- * With a count of its own at each daemon such a request would crash three times as many upstreams as there are daemons. Two ways, and
- * neither needs the store: a crash is told at once, by a datagram, to the daemons beside the service's other upstreams and to those that
- * tell the halls; and each heartbeat carries a mark of what its sender knows, so that a daemon which knows something else, since it has
- * just started, was cut off or lost a datagram, exchanges with the sender what has changed since they last did. Who has just started asks some
- * by itself.
+ * If each daemon counted crashes on its own, a request that crashes upstreams could crash three times as many upstreams
+ * as there are daemons. The records are propagated without the store:
+ * - A daemon sends each crash of an upstream beside it in a datagram to some daemons beside the service's other
+ *   upstreams, and to the relays of all data halls.
+ * - Each heartbeat carries the digest of its sender's records. A daemon with another digest has just started, was
+ *   disconnected or has lost a datagram. It exchanges with the sender the changes since their last exchange.
+ * - A daemon that has just started begins exchanges with relays itself.
  *
- * Twenty crashes of eight requests among 40 daemons take 6,392 records over the wire; 124,952 if each exchange has all (crashspread.test.ts).
+ * With 40 daemons and twenty crashes at eight requests each, the exchanges transfer 6,392 records. They would transfer
+ * 124,952 if each exchange contained all records (crashspread.test.ts).
  */
 import type { Message } from "../datagram/message.js";
 import type { Address } from "../ids/address.js";
@@ -25,87 +28,103 @@
 
 const logger = log("peer");
 
-/** Daemons beside upstreams of the same service that are told of a crash at once; the others learn of it from the next heartbeat. */
+/** Number of sibling daemons that a crash is sent to at once; the others receive it after their next heartbeat. */
 const MAX_SIBLINGS = 8;
-/** In one datagram: what fits, and more than an upstream has slots. */
+/** Number of requests that fit into one datagram; more than an upstream has slots. */
 const MAX_REQUESTS = 64;
-/** Whom a daemon asks that has just met others: those that know the most, which are in its hall, if any are. */
-const ASKED_AT_START = 2;
+/** Number of relays that a daemon exchanges records with after its start; relays have the most records. */
+const STARTUP_EXCHANGES = 2;
 
-/** `exchange` tells a peer what has changed here, and resolves with what has changed there. */
 type SpreadDependencies = {
     readonly self: Address;
     readonly life: Incarnation;
     readonly guard: CrashGuard;
+    /** Returns the addresses of all members, including this daemon. */
     readonly peers: () => readonly Address[];
-    /** Those that tell a hall of what they get to know; the own hall's first. */
+    /** Returns the daemons that propagate changes in their data halls; those of this daemon's own hall come first. */
     readonly relays: () => readonly Address[];
-    /** The daemons beside the service's other upstreams. */
+    /** Returns the daemons beside the service's upstreams. */
     readonly siblings: (service: ServiceName) => readonly Address[];
+    /** Sends the local changes to a peer, and resolves with the changes of the peer. */
     readonly exchange: (peer: Address, changes: CrashChanges) => Promise<CrashChanges>;
     readonly send: (to: Address, message: Message) => boolean;
     readonly random: RandomSource;
 };
 
-/** The last exchange with a peer: its mark after it, how far the peer has told, and how far it was told. */
-type Exchanged = {
-    readonly theirs: number | undefined;
-    readonly have: RecordsMark;
-    readonly told: number;
+/** State after the last exchange with a peer. */
+type LastExchange = {
+    readonly peerDigest: number | undefined;
+    /** The peer's incarnation, and how many of its changes have been received. */
+    readonly receivedUpTo: RecordsMark;
+    /** How many of this daemon's changes have been sent to the peer. */
+    readonly sentChangeCount: number;
 };
 
-/** Owns the exchanges that are under way: one with each peer. */
+/** Exchanges records with peers; at most one exchange with each peer is in progress. */
 export class CrashSpread {
     readonly #exchanging = new Set<Address>();
-    readonly #exchanged = new Map<Address, Exchanged>();
-    #hasMet = false;
+    readonly #lastExchanges = new Map<Address, LastExchange>();
+    #hasExchangedAtStart = false;
 
     constructor(private readonly deps: SpreadDependencies) {
-        deps.guard.onNews(own => own && this.#announce(own.service, own.crash, own.requests));
+        deps.guard.onChange(local => local && this.#sendCrash(local.service, local.crash, local.requests));
     }
 
     receive({ crash, requests }: Extract<Message, { type: "crash"; }>): void {
         this.deps.guard.merge(toCrashRecords(crash, requests));
     }
 
-    /** Exchanges with a peer whose mark differs, unless that was done and nothing has changed since: each keeps so much only. */
-    compareMarks(from: Address, theirs: number | undefined): void {
-        const { mark, changes } = this.deps.guard;
-        const last = this.#exchanged.get(from);
-        const isDone = last !== undefined && theirs === last.theirs && changes === last.told;
-        if (theirs !== mark && !isDone && !this.#exchanging.has(from)) {
+    /**
+     * Starts an exchange with a peer whose digest differs, unless neither side has changed since the last exchange: the
+     * digests may stay different because each daemon keeps a limited number of records.
+     */
+    compareMarks(from: Address, peerDigest: number | undefined): void {
+        const { mark: digest, changeCount } = this.deps.guard;
+        const lastExchange = this.#lastExchanges.get(from);
+        const isUpToDate = lastExchange !== undefined && peerDigest === lastExchange.peerDigest
+            && changeCount === lastExchange.sentChangeCount;
+        if (peerDigest !== digest && !isUpToDate && !this.#exchanging.has(from)) {
             void this.#exchange(from);
         }
     }
 
-    /** Answers a peer that has told what has changed there. */
+    /** Merges the changes that a peer sent in an exchange, and returns the changes since the last one. */
     answer({ records, have }: CrashChanges): CrashChanges {
         this.deps.guard.merge(records);
         return this.#changesAfter(have?.life === this.deps.life ? have.at : 0);
     }
 
-    /** To be called when who is there has changed: the first time that there are others, some of them are asked. */
+    /**
+     * Must be called when the members have changed. Drops the state of former members, and starts exchanges with relays
+     * when there are other members for the first time.
+     */
     meet(): void {
         const { peers, self, relays } = this.deps;
-        const others = peers().filter(gate => gate !== self);
+        const others = peers().filter(address => address !== self);
         const known = new Set(others);
-        [...this.#exchanged.keys()].filter(peer => !known.has(peer)).forEach(peer => this.#exchanged.delete(peer));
-        if (!this.#hasMet && others.length > 0) {
-            this.#hasMet = true;
-            relays().slice(0, ASKED_AT_START).forEach(peer => void this.#exchange(peer));
+        [...this.#lastExchanges.keys()].filter(peer => !known.has(peer)).forEach(peer =>
+            this.#lastExchanges.delete(peer)
+        );
+        if (!this.#hasExchangedAtStart && others.length > 0) {
+            this.#hasExchangedAtStart = true;
+            relays().slice(0, STARTUP_EXCHANGES).forEach(peer => void this.#exchange(peer));
         }
     }
 
-    #announce(service: ServiceName, crash: CrashId, requests: readonly RequestKey[]): void {
+    #sendCrash(service: ServiceName, crash: CrashId, requests: readonly RequestKey[]): void {
         const { self, relays, siblings, random, send } = this.deps;
-        const near = sample(siblings(service).filter(gate => gate !== self), MAX_SIBLINGS, random);
+        const chosenSiblings = sample(siblings(service).filter(address => address !== self), MAX_SIBLINGS, random);
         const message: Message = { type: "crash", from: self, crash, requests: requests.slice(0, MAX_REQUESTS) };
-        new Set([...relays(), ...near]).forEach(gate => send(gate, message));
+        new Set([...relays(), ...chosenSiblings]).forEach(address => send(address, message));
     }
 
-    #changesAfter(changes: number): CrashChanges {
-        const { guard, life } = this.deps;
-        return { records: guard.recordsAfter(changes), upTo: { life, at: guard.changes }, mark: guard.mark };
+    #changesAfter(changeCount: number): CrashChanges {
+        const { guard, life: incarnation } = this.deps;
+        return {
+            records: guard.recordsChangedAfter(changeCount),
+            upTo: { life: incarnation, at: guard.changeCount },
+            mark: guard.mark,
+        };
     }
 
     async #exchange(peer: Address): Promise<void> {
@@ -117,26 +136,37 @@
             await this.#exchangeChanges(peer);
         }
         catch (err) {
-            logger.warn("What a peer knows of requests that crash upstreams was not learnt.", err, { peer });
+            logger.warn(
+                "Could not exchange crash records with a peer; they may differ until its next heartbeat.",
+                err,
+                { peer },
+            );
         }
         finally {
             this.#exchanging.delete(peer);
         }
     }
 
-    /** A peer that has started anew since was told what has changed, and knows nothing else: the next exchange begins anew. */
+    /**
+     * Sends the changes since the last exchange. If the peer has restarted since then, it has received only these
+     * changes, so the state is dropped and the next exchange sends all records.
+     */
     async #exchangeChanges(peer: Address): Promise<void> {
         const { guard, exchange } = this.deps;
-        const { have, told = 0 } = this.#exchanged.get(peer) ?? {};
-        const changes = this.#changesAfter(told);
-        const answer = await exchange(peer, { ...changes, have });
-        guard.merge(answer.records);
-        const isEven = guard.mark === answer.mark;
-        if (!isEven && have !== undefined && have.life !== answer.upTo.life) {
-            this.#exchanged.delete(peer);
+        const { receivedUpTo, sentChangeCount = 0 } = this.#lastExchanges.get(peer) ?? {};
+        const changes = this.#changesAfter(sentChangeCount);
+        const response = await exchange(peer, { ...changes, have: receivedUpTo });
+        guard.merge(response.records);
+        const isSynchronized = guard.mark === response.mark;
+        if (!isSynchronized && receivedUpTo !== undefined && receivedUpTo.life !== response.upTo.life) {
+            this.#lastExchanges.delete(peer);
             return;
         }
-        const toldUpTo = isEven ? guard.changes : changes.upTo.at;
-        this.#exchanged.set(peer, { theirs: answer.mark, have: answer.upTo, told: toldUpTo });
+        const newSentChangeCount = isSynchronized ? guard.changeCount : changes.upTo.at;
+        this.#lastExchanges.set(peer, {
+            peerDigest: response.mark,
+            receivedUpTo: response.upTo,
+            sentChangeCount: newSentChangeCount,
+        });
     }
 }
