--- a/src/connections/silentconnections.ts
+++ b/src/connections/silentconnections.ts
@@ -1,9 +1,9 @@
 /**
- * Tells the owners of connections that an open one was found to carry nothing any more.
+ * Notifies the owners of connections when an open connection is found to be unresponsive.
  *
- * One that has gone silent is seldom alone, and what rests in a pool shows it only when a request is lost on it. So whoever finds one
- * says so here, and all owners let their idle connections go; new ones are opened as requests need them, so that no storm of
- * connects follows. docs/OPERATIONS.md, "Silent connections", has the rule for each kind.
+ * Connections often become unresponsive together, and an idle one in a pool shows it only when a request is lost on it.
+ * When one is found, all owners therefore close their idle connections. New ones are opened as requests need them, so
+ * that there is no burst of connects. docs/OPERATIONS.md, "Silent connections", has the rule for each kind.
  */
 import type { Address } from "../ids/address.js";
 import { log } from "../log/log.js";
@@ -13,37 +13,38 @@
 
 const logger = log("connections");
 
-/** Owners are told once in so long, in milliseconds: the next ones that are found went silent with the first. */
-const QUIET_MS = 1000;
+/** Minimum time between notifications; connections found within it became unresponsive together with the first. */
+const NOTIFICATION_INTERVAL_MS = 1000;
 
-/** One for each daemon. */
+/** Records the unresponsive connections of one daemon. */
 export class SilentConnections {
-    readonly #owners: (() => void)[] = [];
-    #toldAt = -Infinity;
+    readonly #listeners: (() => void)[] = [];
+    #notifiedAt = -Infinity;
 
     constructor(private readonly clock: Clock, private readonly metrics: Metrics) {}
 
-    /** Calls the owner when a connection of any kind was found silent: its idle ones may be so too. */
-    onFound(owner: () => void): void {
-        this.#owners.push(owner);
+    /** Calls the listener when a connection of any kind is unresponsive; the listener's idle ones may be as well. */
+    onFound(listener: () => void): void {
+        this.#listeners.push(listener);
     }
 
-    /** Records a connection that was found silent, and ended by whoever found it; all owners are told. */
+    /** Records an unresponsive connection, which the caller has closed, and notifies all owners. */
     found(kind: ConnectionKind, address: Address): void {
         this.record(kind, address);
         const now = this.clock();
-        if (now - this.#toldAt >= QUIET_MS) {
-            this.#toldAt = now;
-            this.#owners.forEach(owner => owner());
+        if (now - this.#notifiedAt >= NOTIFICATION_INTERVAL_MS) {
+            this.#notifiedAt = now;
+            this.#listeners.forEach(listener => listener());
         }
     }
 
-    /** Records one of which only its owner can make use: what it leads to may itself have been silent. */
+    /** Records an unresponsive connection without a notification; the process at its other end may be the cause. */
     record(kind: ConnectionKind, address: Address): void {
-        logger.warn("An open connection carries nothing any more; it is ended.", "no answer on it, while others work", {
-            kind,
-            address,
-        });
+        logger.warn(
+            "Closed an open connection because it is unresponsive.",
+            "no response on this connection, while others work",
+            { kind, address },
+        );
         this.metrics.silentConnection(kind);
     }
 }
--- a/src/datagram/datagrams.ts
+++ b/src/datagram/datagrams.ts
@@ -1,4 +1,8 @@
-/** The socket for datagrams: msgpack, sealed with the daemons' key, under a hard budget. */
+/**
+ * Sends and receives the datagrams between daemons.
+ *
+ * Messages are encoded with msgpack and authenticated with the key that the daemons share. The bytes sent are limited.
+ */
 import { pack, unpack } from "msgpackr";
 import { createHmac, timingSafeEqual } from "node:crypto";
 import { createSocket, type Socket } from "node:dgram";
@@ -12,27 +16,28 @@
 
 const logger = log("peer");
 
-/** Of a SHA-256 code: enough for a key that changes with each deployment. */
-const SEAL_BYTES = 8;
-/** IPv4 and UDP headers, counted as sent. */
+/** Length of the truncated HMAC-SHA-256 tag; long enough because the key changes with each deployment. */
+const TAG_BYTES = 8;
+/** Length of the IPv4 and UDP headers, which count as bytes sent. */
 const HEADER_BYTES = 28;
-/** Fits an Ethernet frame unfragmented. */
-const MAX_BYTES = 1400;
-/** Of the budget; the rest is for the store, for pulling the configuration, and for health. */
+/** Longest encoded message; fits into an Ethernet frame without fragmentation. */
+const MAX_MESSAGE_BYTES = 1400;
+/** Share of the byte limit for datagrams; the rest is for the store, configuration pulls and health checks. */
 const DATAGRAM_SHARE = 0.75;
 
-/** `bytesPerSecond` is never passed in any second; what does not fit is not sent. */
 type DatagramOptions = {
     readonly key: string;
     readonly clock: Clock;
+    /** Limit that is not exceeded in any second; a datagram beyond it is not sent. */
     readonly bytesPerSecond: number;
     readonly metrics: Metrics;
 };
 
-/** Of the part for sending, kept for answers to pings: a daemon that is busy must not look dead. */
-const ANSWER_SHARE = 0.4;
+/** Share of the bytes sent that is reserved for pongs, so that a busy daemon is not taken for an unresponsive one. */
+const PONG_SHARE = 0.4;
 
-const SPENT_FOR = {
+/** Label under which the metrics count each type of message. */
+const SPENDING_BY_TYPE = {
     beat: "beat",
     ping: "ping",
     pong: "ping",
@@ -46,25 +51,26 @@
     offer: "relief",
 } as const;
 
-/** Sends and receives messages; what is not sealed or can't be read is dropped. */
+/** Sends and receives messages; drops datagrams with a wrong tag or an invalid message. */
 export class Datagrams {
     readonly #socket: Socket;
     readonly #bucket: TokenBucket;
-    readonly #answers: TokenBucket;
+    readonly #pongBucket: TokenBucket;
 
     constructor(private readonly options: DatagramOptions) {
-        const half = options.bytesPerSecond * DATAGRAM_SHARE / 2;
-        const answers = half * ANSWER_SHARE;
-        this.#bucket = new TokenBucket(half - answers, half - answers, options.clock());
-        this.#answers = new TokenBucket(answers, answers, options.clock());
+        // A token bucket allows its rate plus its burst in one second, so each of them gets half of the limit.
+        const rate = options.bytesPerSecond * DATAGRAM_SHARE / 2;
+        const pongRate = rate * PONG_SHARE;
+        this.#bucket = new TokenBucket(rate - pongRate, rate - pongRate, options.clock());
+        this.#pongBucket = new TokenBucket(pongRate, pongRate, options.clock());
         this.#socket = createSocket("udp4");
-        this.#socket.on("error", err => logger.warn("The socket for datagrams failed.", err));
+        this.#socket.on("error", err => logger.warn("The datagram socket failed.", err));
     }
 
-    /** Listens; `receive` is called with each message that is sealed and can be read. */
+    /** Binds the socket, and calls `receive` with each authenticated, valid message. */
     bind(address: Address, receive: (message: Message) => void): Promise<void> {
         const { ip, port } = splitAddress(address);
-        this.#socket.on("message", data => this.#open(data, receive));
+        this.#socket.on("message", data => this.#onDatagram(data, receive));
         return new Promise((resolve, reject) => {
             this.#socket.once("error", reject);
             this.#socket.bind(port, ip, () => {
@@ -74,23 +80,23 @@
         });
     }
 
-    /** Sends a message; false when the budget forbids it. */
+    /** Sends a message; returns false, and sends nothing, if it is too long or exceeds the byte limit. */
     send(to: Address, message: Message): boolean {
         const body = pack(message);
-        const bytes = body.length + SEAL_BYTES + HEADER_BYTES;
-        const bucket = message.type === "pong" ? this.#answers : this.#bucket;
-        if (body.length > MAX_BYTES || !bucket.spend(bytes, this.options.clock())) {
+        const bytes = body.length + TAG_BYTES + HEADER_BYTES;
+        const bucket = message.type === "pong" ? this.#pongBucket : this.#bucket;
+        if (body.length > MAX_MESSAGE_BYTES || !bucket.spend(bytes, this.options.clock())) {
             return false;
         }
         const { ip, port } = splitAddress(to);
-        this.#socket.send([this.#seal(body), body], port, ip, err => this.#onSent(to, err));
-        this.options.metrics.spent(SPENT_FOR[message.type], bytes);
+        this.#socket.send([this.#computeTag(body), body], port, ip, err => this.#onSent(to, err));
+        this.options.metrics.spent(SPENDING_BY_TYPE[message.type], bytes);
         return true;
     }
 
     #onSent(to: Address, err: Error | null): void {
         if (err !== null) {
-            logger.warn("A datagram could not be sent.", err, { peer: to });
+            logger.warn("Could not send a datagram; the message is lost.", err, { peer: to });
         }
     }
 
@@ -98,28 +104,28 @@
         this.#socket.close();
     }
 
-    /** A datagram with a wrong seal is dropped without a log line: anyone may send one. */
-    #open(data: Buffer, receive: (message: Message) => void): void {
-        const seal = data.subarray(0, SEAL_BYTES);
-        const body = data.subarray(SEAL_BYTES);
-        const message = body.length > 0 && timingSafeEqual(seal, this.#seal(body)) ? this.#read(body) : undefined;
+    /** Drops a datagram with a wrong tag without logging it, because anyone can send one. */
+    #onDatagram(data: Buffer, receive: (message: Message) => void): void {
+        const tag = data.subarray(0, TAG_BYTES);
+        const body = data.subarray(TAG_BYTES);
+        const message = body.length > 0 && timingSafeEqual(tag, this.#computeTag(body)) ? this.#parse(body) : undefined;
         if (message !== undefined) {
             receive(message);
         }
     }
 
-    /** A peer of another version may send what is not known here. */
-    #read(body: Buffer): Message | undefined {
+    /** Decodes a message; returns undefined for an invalid one, which a peer of another version may send. */
+    #parse(body: Buffer): Message | undefined {
         try {
             return Message.parse(unpack(body));
         }
         catch (err) {
-            logger.warn("A datagram of a peer can't be read.", err);
+            logger.warn("Could not decode a datagram from a peer; it is dropped.", err);
             return undefined;
         }
     }
 
-    #seal(body: Buffer): Buffer {
-        return createHmac("sha256", this.options.key).update(body).digest().subarray(0, SEAL_BYTES);
+    #computeTag(body: Buffer): Buffer {
+        return createHmac("sha256", this.options.key).update(body).digest().subarray(0, TAG_BYTES);
     }
 }
--- a/src/datagram/message.ts
+++ b/src/datagram/message.ts
@@ -1,4 +1,4 @@
-/** Small datagrams between daemons. */
+/** Defines the messages that daemons send each other in datagrams. */
 import { z } from "zod";
 import { Address } from "../ids/address.js";
 import { CrashId } from "../ids/crashid.js";
@@ -12,16 +12,16 @@
 import { Member } from "../wire/member.js";
 import { RecordsMark } from "../wire/recordsmark.js";
 
-/** In one datagram: bounds its size, and what a broken peer can ask for. */
+/** Limits the size of a datagram, and the effect of a message from a faulty peer. */
 const MAX_ITEMS = 64;
 
-const UpstreamLoad = z.object({ upstream: UpstreamName, report: loadReportSchema });
+const upstreamLoadSchema = z.object({ upstream: UpstreamName, report: loadReportSchema });
 const from = Address;
 
 const Message = z.discriminatedUnion("type", [
     /**
-     * From a daemon that watches the store: its revision, how long ago it was confirmed, hosts that leave, how far its list of
-     * daemons has come, a mark of what it knows of requests that crash upstreams, and which halls are evacuated.
+     * Heartbeat of a watcher: the revision of its configuration, the time since the store confirmed it, the hosts that
+     * are leaving, the position of its list of members, the digest of its crash records, and the evacuated halls.
      */
     z.object({
         type: z.literal("beat"),
@@ -31,12 +31,12 @@
         watching: z.boolean(),
         leaving: z.array(HostName).max(MAX_ITEMS),
         records: RecordsMark.optional(),
-        /** Of what it knows of requests that crash upstreams. */
+        /** Digest of the sender's crash records. */
         crashes: z.int().optional(),
         evacuated: evacuatedHallsSchema.optional(),
     }),
     z.object({ type: z.literal("ping"), from, sentAt: z.number() }),
-    /** The answer to a ping. */
+    /** Response to a ping, whose `sentAt` it returns. */
     z.object({
         type: z.literal("pong"),
         from,
@@ -44,12 +44,16 @@
         incarnation: Incarnation,
         gateTime: z.number(),
         revision: z.int().min(0),
-        loads: z.array(UpstreamLoad).max(MAX_ITEMS),
+        loads: z.array(upstreamLoadSchema).max(MAX_ITEMS),
     }),
-    /** A gate's load, unasked, when it has changed much. */
-    z.object({ type: z.literal("load"), from, loads: z.array(UpstreamLoad).max(MAX_ITEMS) }),
+    /** Unsolicited load report of a gate whose load has changed considerably. */
+    z.object({ type: z.literal("load"), from, loads: z.array(upstreamLoadSchema).max(MAX_ITEMS) }),
+    /** The sender is shutting down; sent to the peers that sent requests to its upstreams. */
     z.object({ type: z.literal("leave"), from, upstreams: z.array(UpstreamName).max(MAX_ITEMS) }),
-    /** A daemon's sign of life; one that does not know the receiver well wants an answer. */
+    /**
+     * Heartbeat of a member. If `knowsYou` is false, the sender does not know the receiver or has doubts about it, and
+     * expects a hello in return.
+     */
     z.object({
         type: z.literal("hello"),
         from,
@@ -59,13 +63,13 @@
         knowsYou: z.boolean(),
         evacuated: evacuatedHallsSchema.optional(),
     }),
-    /** A daemon's own record, when it has changed. */
+    /** The sender's own member record, which has changed. */
     z.object({ type: z.literal("member"), from, member: Member }),
-    /** A daemon goes. */
+    /** The sender is shutting down; the receiver removes it from its members. */
     z.object({ type: z.literal("going"), from }),
-    /** An upstream beside the sender has crashed with these under way. */
+    /** An upstream beside the sender has crashed with these requests in flight. */
     z.object({ type: z.literal("crash"), from, crash: CrashId, requests: z.array(RequestKey).max(MAX_ITEMS) }),
-    /** Requests wait at an upstream; siblings may offer slots. */
+    /** Requests are queued at an upstream; the other upstreams of its service may offer slots. */
     z.object({
         type: z.literal("need"),
         from,
@@ -73,7 +77,7 @@
         upstream: UpstreamName,
         count: z.int().min(1).max(MAX_ITEMS),
     }),
-    /** Slots that are kept free for a few milliseconds. */
+    /** Slots of `goTo` that are reserved for a few milliseconds for requests queued at `upstream`. */
     z.object({
         type: z.literal("offer"),
         from,
@@ -84,5 +88,5 @@
 ]);
 type Message = z.infer<typeof Message>;
 
-/** By type; times in milliseconds. */
+/** Message by its type; times are milliseconds. */
 export { Message };
--- a/src/transfer/worktransfer.ts
+++ b/src/transfer/worktransfer.ts
@@ -117,9 +117,9 @@
         const siblings = this.deps.siblings().filter(other =>
             other.service === service && other.name !== upstream && other.gate !== self && !other.draining
         );
-        const chosen = sample(siblings, MAX_SIBLINGS, random);
-        const count = requestsPerSibling(gate.queuedCount, chosen.length);
-        for (const sibling of chosen) {
+        const chosenSiblings = sample(siblings, MAX_SIBLINGS, random);
+        const count = requestsPerSibling(gate.queuedCount, chosenSiblings.length);
+        for (const sibling of chosenSiblings) {
             send(sibling.gate, { type: "need", from: self, service, upstream, count });
         }
     }
