--- a/src/datagram/datagrams.ts
+++ b/src/datagram/datagrams.ts
@@ -33,7 +33,7 @@
     readonly metrics: Metrics;
 };
 
-/** Share of the bytes sent that is reserved for pongs, so that a busy daemon is not taken for an unresponsive one. */
+/** Share of the datagrams' limit that is reserved for pongs, so that a busy daemon is not taken for unresponsive. */
 const PONG_SHARE = 0.4;
 
 /** Label under which the metrics count each type of message. */
--- a/src/transfer/worktransfer.ts
+++ b/src/transfer/worktransfer.ts
@@ -20,7 +20,7 @@
 
 /** Interval of the checks while requests are queued; shorter than a redirect takes. */
 const CHECK_INTERVAL_MS = 4;
-/** Minimum interval between two rounds of needs of one gate; the offers of the first have arrived by then. */
+/** Minimum time between two rounds of needs from one gate; the offers for the first have arrived by then. */
 const NEED_INTERVAL_MS = 8;
 /** Number of random siblings that a need is sent to; docs/EXPERIMENTS.md, "relief asks a third of each sibling". */
 const MAX_SIBLINGS = 3;
