--- a/src/membership/announcement.ts
+++ b/src/membership/announcement.ts
@@ -4,7 +4,7 @@
 import { Address } from "../ids/address.js";
 import { HallName } from "../ids/hallname.js";
 import { ServiceName } from "../ids/servicename.js";
-import { Born } from "./born.js";
+import { Born } from "./starttime.js";
 
 const Announcement = z.object({
     service: ServiceName,
--- a/src/membership/claims.test.ts
+++ b/src/membership/announcementrecorder.test.ts
@@ -3,8 +3,8 @@
 import { test } from "node:test";
 import type { UpstreamName } from "../ids/upstreamname.js";
 import type { Announcement } from "./announcement.js";
-import { Claims } from "./claims.js";
-import { LocalUpstreams } from "./localupstreams.js";
+import { Claims } from "./announcementrecorder.js";
+import { LocalUpstreams } from "./localupstreamtable.js";
 
 const OLD = "i-old" as UpstreamName;
 const NEW = "i-new" as UpstreamName;
--- a/src/membership/claims.ts
+++ b/src/membership/announcementrecorder.ts
@@ -8,7 +8,7 @@
 import type { Occupant } from "../policy/membership/occupant.js";
 import { resolveClaim } from "../policy/membership/resolveclaim.js";
 import type { Announcement } from "./announcement.js";
-import type { LocalUpstreams } from "./localupstreams.js";
+import type { LocalUpstreams } from "./localupstreamtable.js";
 import { MembershipError } from "./membershiperror.js";
 
 const logger = log("roster");
--- a/src/membership/announcementserver.ts
+++ b/src/membership/announcementserver.ts
@@ -9,7 +9,7 @@
 import { log } from "../log/log.js";
 import { listen } from "../time/listen.js";
 import { Announcement } from "./announcement.js";
-import { Born } from "./born.js";
+import { Born } from "./starttime.js";
 
 const logger = log("roster");
 
--- a/src/membership/findupstream.ts
+++ b/src/membership/findupstream.ts
@@ -13,7 +13,7 @@
 import type { Clock } from "../time/clock.js";
 import { sleep } from "../time/sleep.js";
 import type { Announcement } from "./announcement.js";
-import { askHealth } from "./askhealth.js";
+import { askHealth } from "./probehealth.js";
 
 const logger = log("roster");
 
--- a/src/membership/localupstreams.test.ts
+++ b/src/membership/localupstreamtable.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import type { UpstreamName } from "../ids/upstreamname.js";
 import type { Announcement } from "./announcement.js";
-import { LocalUpstreams } from "./localupstreams.js";
+import { LocalUpstreams } from "./localupstreamtable.js";
 
 const one = "i-1" as UpstreamName;
 const two = "i-2" as UpstreamName;
--- a/src/membership/localupstreams.ts
+++ b/src/membership/localupstreamtable.ts
@@ -4,7 +4,7 @@
 import { compareIncarnations } from "../policy/membership/compareincarnations.js";
 import type { HostedUpstream } from "../wire/hostedupstream.js";
 import type { Announcement } from "./announcement.js";
-import type { Born } from "./born.js";
+import type { Born } from "./starttime.js";
 
 /** An upstream that has announced nothing for so long has ended; milliseconds, three of its announcements and more. */
 const SILENT_MS = 7000;
--- a/src/membership/ownupstreams.ts
+++ b/src/membership/ownupstreams.ts
@@ -11,13 +11,13 @@
 import { Ticker } from "../time/ticker.js";
 import type { HostedUpstream } from "../wire/hostedupstream.js";
 import type { Announcement } from "./announcement.js";
+import { Claims } from "./announcementrecorder.js";
 import { AnnouncementServer } from "./announcementserver.js";
-import type { Born } from "./born.js";
-import { Claims } from "./claims.js";
 import { findUpstream } from "./findupstream.js";
-import { LocalUpstreams } from "./localupstreams.js";
+import { LocalUpstreams } from "./localupstreamtable.js";
 import type { MembershipSettings } from "./membershipsettings.js";
-import { occupantOf } from "./occupantof.js";
+import { occupantOf } from "./probeoccupant.js";
+import type { Born } from "./starttime.js";
 
 const logger = log("roster");
 
--- a/src/membership/occupantof.ts
+++ b/src/membership/probeoccupant.ts
@@ -4,7 +4,7 @@
 import { UpstreamName } from "../ids/upstreamname.js";
 import { log } from "../log/log.js";
 import type { Occupant } from "../policy/membership/occupant.js";
-import { askHealth } from "./askhealth.js";
+import { askHealth } from "./probehealth.js";
 
 const logger = log("roster");
 
