--- a/src/membership/announcementrecorder.ts
+++ b/src/membership/announcementrecorder.ts
@@ -1,46 +1,50 @@
 /**
- * Takes announcements of upstreams beside this daemon, of which an old one may come late.
+ * Records the announcements of the upstreams beside this daemon, some of which may have been delayed.
  *
- * Relies on policy/membership/judgeclaim.ts where two upstreams claim one address; owns nothing but the order of such questions.
+ * If a new upstream claims an address where another one is registered, the upstream that responds there is probed and
+ * policy/membership/resolveclaim.ts decides. Owns no state; the table of upstreams is passed in.
  */
 import type { UpstreamName } from "../ids/upstreamname.js";
 import { log } from "../log/log.js";
 import type { Occupant } from "../policy/membership/occupant.js";
 import { resolveClaim } from "../policy/membership/resolveclaim.js";
 import type { Announcement } from "./announcement.js";
-import type { LocalUpstreams } from "./localupstreamtable.js";
+import type { LocalUpstreamTable } from "./localupstreamtable.js";
 import { MembershipError } from "./membershiperror.js";
 
 const logger = log("roster");
 
-/** `ask` resolves with who answers at the address of an announcement; it never rejects. */
-export class Claims {
+/** Relies on `probe` to resolve with what responds at the address of an announcement, and never to reject. */
+export class AnnouncementRecorder {
     constructor(
-        private readonly local: LocalUpstreams,
-        private readonly ask: (announcement: Announcement) => Promise<Occupant>,
+        private readonly table: LocalUpstreamTable,
+        private readonly probe: (announcement: Announcement) => Promise<Occupant>,
     ) {}
 
     /**
-     * Records an announcement; resolves with false when it changes nothing. Rejects with a MembershipError when it can't be told
-     * which of two upstreams is there: then it must not be acknowledged, and the next one is asked about again.
+     * Records an announcement; resolves with false if it changes nothing. Rejects with a MembershipError if it is
+     * unknown which of two upstreams is at the address. Such an announcement must not be acknowledged; the next one
+     * leads to another probe.
      */
     async record(name: UpstreamName, announcement: Announcement, now: number): Promise<boolean> {
         const { address } = announcement;
-        if (!this.local.isContested(name, address)) {
-            return this.local.record(name, announcement, now);
+        if (!this.table.isContested(name, address)) {
+            return this.table.record(name, announcement, now);
         }
-        switch (resolveClaim(name, await this.ask(announcement))) {
+        switch (resolveClaim(name, await this.probe(announcement))) {
             case "there":
-                return this.local.record(name, announcement, now);
+                return this.table.record(name, announcement, now);
             case "late":
-                logger.change("An announcement came late: another upstream is at its address.", {
-                    upstream: name,
-                    address,
-                });
-                this.local.end(name);
+                logger.change(
+                    "A delayed announcement was ignored: another upstream responds at the address. The sender has ended.",
+                    { upstream: name, address },
+                );
+                this.table.recordEnded(name);
                 return false;
             case "unknown":
-                throw new MembershipError(`two upstreams claim ${address}, and nobody answers there`);
+                throw new MembershipError(
+                    `two upstreams claim ${address} and none responds there; the announcement is not acknowledged`,
+                );
         }
     }
 }
--- a/src/membership/announcementserver.ts
+++ b/src/membership/announcementserver.ts
@@ -1,4 +1,8 @@
-/** The listener for the upstreams beside this daemon: `POST /v1/upstreams/NAME` announces, `DELETE` leaves. */
+/**
+ * Serves the HTTP endpoint to which the upstreams beside this daemon announce themselves.
+ *
+ * `POST /v1/upstreams/NAME` announces an upstream and `DELETE` removes it. Owns the HTTP server.
+ */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import { z } from "zod";
 import { ConfigError } from "../config/configerror.js";
@@ -9,46 +13,49 @@
 import { log } from "../log/log.js";
 import { listen } from "../time/listen.js";
 import { Announcement } from "./announcement.js";
-import { Born } from "./starttime.js";
+import { StartTime } from "./starttime.js";
 
 const logger = log("roster");
 
-const Departure = z.object({ born: Born.optional() });
+const Departure = z.object({ born: StartTime.optional() });
 
 const PATH = /^\/v1\/upstreams\/([^/?]+)$/;
-/** Of an announcement: many times the largest. */
-const MAX_BYTES = 16 * 1024;
+/** Maximum size of a request body; many times the size of the largest announcement. */
+const MAX_REQUEST_BYTES = 16 * 1024;
 
-/** Senders whose refusal is remembered: those of one host, and some more. */
-const MAX_REFUSED = 64;
+/** Maximum number of paths whose last error is remembered; more than the upstreams of one host. */
+const MAX_LAST_REFUSALS = 64;
 
-/** Told what upstreams announce; an answer of 200 means that it is applied. */
+/** Handlers of the requests; the server responds with 200 only after a handler has applied the request. */
 type AnnouncementDependencies = {
     readonly onAnnounced: (name: UpstreamName, announcement: Announcement) => Promise<void>;
-    /** `born` as it was told, to know a word of an earlier life by. */
-    readonly onLeft: (name: UpstreamName, born: Born | undefined) => void;
+    /** `startTime` is the reported start time, which identifies a delayed request of an earlier incarnation. */
+    readonly onLeft: (name: UpstreamName, startTime: StartTime | undefined) => void;
 };
 
 const readText = async (req: IncomingMessage): Promise<string> => {
     let text = "";
     for await (const chunk of req.setEncoding("utf8")) {
         text += chunk as string;
-        if (text.length > MAX_BYTES) {
-            throw new SyntaxError(`at most ${MAX_BYTES} bytes`);
+        if (text.length > MAX_REQUEST_BYTES) {
+            throw new SyntaxError(`request body too large: at most ${MAX_REQUEST_BYTES} bytes are allowed`);
         }
     }
     return text;
 };
 
-const answer = (res: ServerResponse, status: number, body: object): void => {
+const sendJson = (res: ServerResponse, status: number, body: object): void => {
     res.writeHead(status, { "content-type": "application/json" }).end(JSON.stringify(body));
 };
 
-/** Bad input gets 400 and an answer that names the field. */
+/**
+ * Accepts announcements and departures. Responds with 400 and a message that names the invalid field to malformed
+ * requests, and closes the connection on all other errors, so that the request is not acknowledged.
+ */
 export class AnnouncementServer {
     readonly #server: Server;
-    /** What was last turned down of whom, so that the log says so once. */
-    readonly #refused = new Map<string, string>();
+    /** The last error by path; the same error is logged once. */
+    readonly #lastRefusals = new Map<string, string>();
 
     constructor(private readonly deps: AnnouncementDependencies) {
         this.#server = createServer((req, res) => void this.#handle(req, res));
@@ -68,18 +75,18 @@
             const text = await readText(req);
             const name = PATH.exec(req.url ?? "")?.[1];
             if (name === undefined) {
-                answer(res, httpStatus.notFound, { error: "nothing is here" });
+                sendJson(res, httpStatus.notFound, { error: "unknown path: expected /v1/upstreams/NAME" });
                 return;
             }
-            await this.#take(req.method, parse(UpstreamName, decodeURIComponent(name)), text);
-            answer(res, httpStatus.ok, {});
+            await this.#apply(req.method, parse(UpstreamName, decodeURIComponent(name)), text);
+            sendJson(res, httpStatus.ok, {});
         }
         catch (err) {
-            this.#refuse(req, res, err);
+            this.#handleError(req, res, err);
         }
     }
 
-    async #take(method: string | undefined, name: UpstreamName, text: string): Promise<void> {
+    async #apply(method: string | undefined, name: UpstreamName, text: string): Promise<void> {
         switch (method) {
             case "POST":
                 await this.deps.onAnnounced(name, parse(Announcement, JSON.parse(text)));
@@ -88,26 +95,30 @@
                 this.deps.onLeft(name, parse(Departure, text === "" ? {} : JSON.parse(text)).born);
                 return;
             default:
-                throw new SyntaxError(`method ${method} is not known`);
+                throw new SyntaxError(`method ${method} is not supported: expected POST or DELETE`);
         }
     }
 
     #logRefusal({ method, url: path = "" }: IncomingMessage, err: unknown, message: string): void {
-        if (this.#refused.get(path) === message) {
+        if (this.#lastRefusals.get(path) === message) {
             return;
         }
-        this.#refused.set(path, message);
-        if (this.#refused.size > MAX_REFUSED) {
-            this.#refused.delete(this.#refused.keys().next().value!);
+        this.#lastRefusals.set(path, message);
+        if (this.#lastRefusals.size > MAX_LAST_REFUSALS) {
+            this.#lastRefusals.delete(this.#lastRefusals.keys().next().value!);
         }
-        logger.warn("An announcement is turned down; the same again is not logged.", err, { method, path });
+        logger.warn(
+            "An upstream's announcement or departure was rejected. Further identical errors are not logged.",
+            err,
+            { method, path },
+        );
     }
 
-    #refuse(req: IncomingMessage, res: ServerResponse, err: unknown): void {
+    #handleError(req: IncomingMessage, res: ServerResponse, err: unknown): void {
         const message = err instanceof Error ? err.message : String(err);
         this.#logRefusal(req, err, message);
         if (err instanceof ConfigError || err instanceof SyntaxError || err instanceof URIError) {
-            answer(res, httpStatus.badRequest, { error: message });
+            sendJson(res, httpStatus.badRequest, { error: message });
             return;
         }
         res.destroy();
--- a/src/membership/findupstream.ts
+++ b/src/membership/findupstream.ts
@@ -1,8 +1,8 @@
 /**
- * Finds the upstream beside a daemon that has just started.
+ * Finds the upstream beside a daemon that has just started, by probing its health endpoint.
  *
- * An upstream announces itself every second or two; a daemon that was restarted need not wait for that, since the upstream's health
- * endpoint reports its name and slots at once.
+ * An upstream announces itself every one to two seconds. A restarted daemon does not wait for that, since the health
+ * endpoint reports the upstream's name and slots at once.
  */
 import type { Dialect } from "../dialect/dialect.js";
 import { httpStatus } from "../http/httpstatus.js";
@@ -13,62 +13,72 @@
 import type { Clock } from "../time/clock.js";
 import { sleep } from "../time/sleep.js";
 import type { Announcement } from "./announcement.js";
-import { askHealth } from "./probehealth.js";
+import { probeHealth } from "./probehealth.js";
 
 const logger = log("roster");
 
 /**
- * For so long after a start the upstream is looked for: it announces itself within that time otherwise. Milliseconds. Of 31 daemons that
- * started together with their upstreams 18 had not found theirs after 2 s, and wrote their records twice.
+ * After this time the upstream's own announcement has arrived. With 2 s, 18 of 31 daemons that started together with
+ * their upstreams did not find theirs, and wrote their records twice.
  */
-const LOOK_FOR_MS = 4000;
-/** Milliseconds. */
-const LOOK_EVERY_MS = 200;
-/** Older than any announcement of the upstream itself. */
-const BEFORE_ALL = -1;
+const SEARCH_TIMEOUT_MS = 4000;
+const PROBE_INTERVAL_MS = 200;
+/** Lower than any sequence number, so that the upstream's first own announcement replaces the result of the search. */
+const SEQUENCE_BEFORE_FIRST = -1;
 
-/** Where the upstream is, what it serves, and where it reports its health; `isWanted` is false once one has announced itself. */
 type FindDependencies = {
+    /** The address at which the upstream is expected. */
     readonly address: Address;
     readonly service: ServiceName;
     readonly dialect: Dialect;
-    readonly path: () => string;
-    readonly isWanted: () => boolean;
+    /** Returns the path of the upstream's health endpoint. */
+    readonly healthPath: () => string;
+    /** Returns false if the search should end, for example after an upstream has announced itself. */
+    readonly shouldContinue: () => boolean;
     readonly clock: Clock;
 };
 
-type Found = { readonly name: UpstreamName; readonly announcement: Announcement; };
+type FoundUpstream = { readonly name: UpstreamName; readonly announcement: Announcement; };
 
-/** Resolves with the upstream, or with undefined when it is not wanted any more, or none was found in time. */
-export async function findUpstream(deps: FindDependencies): Promise<Found | undefined> {
-    const until = deps.clock() + LOOK_FOR_MS;
-    let lastError: unknown = "it is not ready";
-    while (deps.isWanted() && deps.clock() < until) {
-        const found = await askUpstream(deps, err => lastError = err);
+/** Resolves with the upstream, or with undefined if none was found in time or `shouldContinue` returned false. */
+export async function findUpstream(deps: FindDependencies): Promise<FoundUpstream | undefined> {
+    const deadline = deps.clock() + SEARCH_TIMEOUT_MS;
+    let lastError: unknown = "the upstream is not ready";
+    while (deps.shouldContinue() && deps.clock() < deadline) {
+        const found = await probeUpstream(deps, err => lastError = err);
         if (found !== undefined) {
             return found;
         }
-        await sleep(LOOK_EVERY_MS);
+        await sleep(PROBE_INTERVAL_MS);
     }
-    if (deps.isWanted()) {
-        logger.warn("No upstream was found beside this daemon.", lastError, { upstream: deps.address });
+    if (deps.shouldContinue()) {
+        logger.warn("No upstream was found beside this daemon. Its record is published without one.", lastError, {
+            upstream: deps.address,
+        });
     }
     return undefined;
 }
 
-/** Asks once; undefined when no upstream answers that works and takes requests. */
-const askUpstream = async (
-    { address, service, dialect, path }: FindDependencies,
+/** Sends one probe; returns undefined if no upstream responds or the one that does is not ready for requests. */
+const probeUpstream = async (
+    { address, service, dialect, healthPath }: FindDependencies,
     onError: (err: unknown) => void,
-): Promise<Found | undefined> => {
+): Promise<FoundUpstream | undefined> => {
     try {
-        const { status, headers } = await askHealth(address, path());
+        const { status, headers } = await probeHealth(address, healthPath());
         const name = UpstreamName.safeParse(dialect.upstreamName(headers)).data;
         const slots = dialect.load(headers)?.slots;
         if (status !== httpStatus.ok || name === undefined || slots === undefined || slots < 1) {
             return undefined;
         }
-        const announcement = { service, address, slots, state: "ready", coldMs: 0, sequence: BEFORE_ALL } as const;
+        const announcement = {
+            service,
+            address,
+            slots,
+            state: "ready",
+            coldMs: 0,
+            sequence: SEQUENCE_BEFORE_FIRST,
+        } as const;
         return { name, announcement };
     }
     catch (err) {
--- a/src/membership/learnedshares.ts
+++ b/src/membership/learnedshares.ts
@@ -1,10 +1,11 @@
 /**
- * What gates have learnt of where their upstreams slow down, as records carry it from daemon to daemon and from life to life.
+ * Shares the knees that gates have learned with other daemons, and with later incarnations of this one.
  *
- * A daemon that starts, alone or with all others after a loss of power, has no time to find it out: its upstream is cold and its
- * callers have waited. The records of the earlier lives are in the store for as long as their leases run. In a model of 13 hosts
- * that restart together under load (src/policy/model, four seeds) 0.46, 0.51 and 0.77 of the requests of the second to fourth
- * second are answered in time with it, 0.35, 0.29 and 0.58 without.
+ * A knee is published in the daemon's record as a share of the upstream's slots. A daemon that starts, alone or
+ * together with all others after a power failure, has no time to learn it, since its upstream is cold and its callers
+ * have been waiting. The records of earlier incarnations stay in the store until their leases expire. In a model of 13
+ * hosts that restart together under load (src/policy/model, four seeds), 0.46, 0.51 and 0.77 of the requests of the
+ * second, third and fourth second get their responses in time with this sharing, and 0.35, 0.29 and 0.58 without it.
  */
 import type { Incarnation } from "../ids/incarnation.js";
 import type { ServiceName } from "../ids/servicename.js";
@@ -13,72 +14,85 @@
 import type { HostedUpstream } from "../wire/hostedupstream.js";
 import type { Member } from "../wire/member.js";
 
-/** Each telling is a write to the store, and each daemon's watch of the records comes back with it; milliseconds. */
-const TELL_EVERY_MS = 5000;
-/** Of the slots: less is what a limit that tries a level more moves by. */
-const WORTH_TELLING = 0.1;
-/** Records hold whole hundredths. */
-const HUNDREDTHS = 100;
+/** Each publication is a write to the store, and every daemon that watches the records receives it. */
+const MIN_PUBLISH_INTERVAL_MS = 5000;
+/** Smallest change that is published, as a share of the slots. Probing the next level changes a limit by less. */
+const MIN_SHARE_CHANGE = 0.1;
+/** Shares in records are rounded to hundredths. */
+const ROUNDING_FACTOR = 100;
 
-/** `learnedShare` says what the gate of an upstream here has learnt, of its slots; undefined while nothing. */
-type ShareDependencies = {
+type LearnedSharesDependencies = {
+    /** The incarnation of this daemon. */
     readonly incarnation: Incarnation;
+    /** Returns the knee that the gate of a local upstream has learned, as a share of its slots; undefined if none. */
     readonly learnedShare: (name: UpstreamName) => number | undefined;
 };
 
-/** Of one daemon. */
+/** Holds the shares that one daemon publishes in its record. */
 export class LearnedShares {
-    /** What the record says, by upstream. */
-    #told = new Map<UpstreamName, number>();
-    #toldAt = -Infinity;
-    #earlier: readonly HostedUpstream[] = [];
+    /** The shares in the record, by upstream. */
+    #published = new Map<UpstreamName, number>();
+    /** When a publication was last due, in milliseconds on the daemon's clock. */
+    #lastPublishAt = -Infinity;
+    /** The upstreams in the record of this daemon's previous incarnation. */
+    #earlierUpstreams: readonly HostedUpstream[] = [];
 
-    constructor(private readonly deps: ShareDependencies) {}
+    constructor(private readonly deps: LearnedSharesDependencies) {}
 
-    /** Records what the store has under this daemon's name; one of an earlier life tells what was learnt then. */
+    /** Takes in this daemon's record from the store; one of an earlier incarnation holds the shares learned then. */
     recordOwn({ incarnation, upstreams }: Member): void {
         if (incarnation !== this.deps.incarnation) {
-            this.#earlier = upstreams;
+            this.#earlierUpstreams = upstreams;
         }
     }
 
-    /** Settles what the next version of the record says of the upstreams here: what is known of each, or else of its service. */
+    /**
+     * Sets the shares in the next version of the record: for each local upstream the share that its gate has learned,
+     * or else the median of its service. `others` are the upstreams in the records of other daemons.
+     */
     tell(upstreams: readonly HostedUpstream[], others: readonly HostedUpstream[]): void {
-        const told = new Map<UpstreamName, number>();
+        const published = new Map<UpstreamName, number>();
         for (const { name, service } of upstreams) {
             const share = this.deps.learnedShare(name) ?? this.usual(service, others);
             if (share !== undefined) {
-                told.set(name, Math.round(share * HUNDREDTHS) / HUNDREDTHS);
+                published.set(name, Math.round(share * ROUNDING_FACTOR) / ROUNDING_FACTOR);
             }
         }
-        this.#told = told;
+        this.#published = published;
     }
 
-    /** The upstreams with what the record says of them. */
+    /** Returns the upstreams with the shares that the record has for them. */
     mark(upstreams: readonly HostedUpstream[]): HostedUpstream[] {
         return upstreams.map(upstream => {
-            const limitShare = this.#told.get(upstream.name);
+            const limitShare = this.#published.get(upstream.name);
             return limitShare === undefined ? upstream : { ...upstream, limitShare };
         });
     }
 
-    /** What is usual for a service, by the records of others and by this daemon's earlier one; undefined where nothing is known. */
+    /**
+     * Returns the median share of a service's upstreams in the records of other daemons and in this daemon's earlier
+     * record, or undefined if none has a share.
+     */
     usual(service: ServiceName, others: readonly HostedUpstream[]): number | undefined {
-        const known = [...others, ...this.#earlier].filter(upstream => upstream.service === service);
+        const known = [...others, ...this.#earlierUpstreams].filter(upstream => upstream.service === service);
         return medianShare(known.map(upstream => upstream.limitShare).filter(share => share !== undefined));
     }
 
-    /** True when something else has been learnt than records say of the service, now and then: one of its gates tells for all. */
+    /**
+     * Returns true if the record should be published again: a gate has learned a share that clearly differs from the
+     * published one, or from the median of its service if none is published, and the last such result is
+     * `MIN_PUBLISH_INTERVAL_MS` old. So one gate of a service publishes for all.
+     */
     hasNews(upstreams: readonly HostedUpstream[], others: readonly HostedUpstream[], now: number): boolean {
-        const isNew = ({ name, service }: HostedUpstream): boolean => {
+        const hasChanged = ({ name, service }: HostedUpstream): boolean => {
             const share = this.deps.learnedShare(name);
-            const known = this.#told.get(name) ?? this.usual(service, others) ?? 0;
-            return share !== undefined && Math.abs(share - known) > WORTH_TELLING;
+            const known = this.#published.get(name) ?? this.usual(service, others) ?? 0;
+            return share !== undefined && Math.abs(share - known) > MIN_SHARE_CHANGE;
         };
-        if (now - this.#toldAt < TELL_EVERY_MS || !upstreams.some(isNew)) {
+        if (now - this.#lastPublishAt < MIN_PUBLISH_INTERVAL_MS || !upstreams.some(hasChanged)) {
             return false;
         }
-        this.#toldAt = now;
+        this.#lastPublishAt = now;
         return true;
     }
 }
--- a/src/membership/localupstreamtable.ts
+++ b/src/membership/localupstreamtable.ts
@@ -1,102 +1,110 @@
-/** The upstreams beside this daemon, by their own announcements. */
+/** Holds the upstreams beside this daemon, as their announcements report them, and those that have ended. */
 import type { Address } from "../ids/address.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
 import { compareIncarnations } from "../policy/membership/compareincarnations.js";
 import type { HostedUpstream } from "../wire/hostedupstream.js";
 import type { Announcement } from "./announcement.js";
-import type { Born } from "./starttime.js";
+import type { StartTime } from "./starttime.js";
 
-/** An upstream that has announced nothing for so long has ended; milliseconds, three of its announcements and more. */
-const SILENT_MS = 7000;
-/** Names of upstreams that have ended, remembered so that a late announcement does not bring one back. */
-const MAX_ENDED = 256;
+/** An upstream without an announcement for this time has ended. Longer than three announcement intervals. */
+const ANNOUNCEMENT_TIMEOUT_MS = 7000;
+/** Maximum number of ended upstreams to remember, so that a delayed announcement does not register one again. */
+const MAX_ENDED_NAMES = 256;
 
-/** `isEnding`: its answers say that it leaves for good, whatever it announces. */
-type Entry = { announcement: Announcement; heardAt: number; isEnding: boolean; };
+/** `isLeaving` is true if the upstream's responses report that it is leaving permanently, whatever it announces. */
+type Entry = { announcement: Announcement; lastAnnouncedAt: number; isLeaving: boolean; };
 
-/** Pure; all times are milliseconds on the daemon's clock. */
-export class LocalUpstreams {
+/** Does no I/O and reads no clock. Times are milliseconds on the daemon's clock; start times are on the upstream's. */
+export class LocalUpstreamTable {
     readonly #entries = new Map<UpstreamName, Entry>();
-    /** By name, the life that has ended as far as it was told. */
-    readonly #ended = new Map<UpstreamName, Born | undefined>();
+    /** The start time of the last incarnation that has ended, by upstream; undefined if it reported none. */
+    readonly #endedStartTimes = new Map<UpstreamName, StartTime | undefined>();
 
     get all(): HostedUpstream[] {
-        return [...this.#entries].map(([name, { announcement, isEnding }]) => ({
+        return [...this.#entries].map(([name, { announcement, isLeaving }]) => ({
             name,
             service: announcement.service,
             address: announcement.address,
             slots: announcement.slots,
-            draining: isEnding || announcement.state === "draining",
+            draining: isLeaving || announcement.state === "draining",
         }));
     }
 
-    /** Records an announcement; false when it changes nothing. */
+    /** Records an announcement; returns false if it is ignored or reports nothing new. */
     record(name: UpstreamName, announcement: Announcement, now: number): boolean {
         if (this.#hasEnded(name, announcement.born)) {
             return false;
         }
         const entry = this.#entries.get(name);
         if (entry === undefined) {
-            this.#replace(announcement.address);
-            this.#ended.delete(name);
-            this.#entries.set(name, { announcement, heardAt: now, isEnding: false });
+            this.#evictByAddress(announcement.address);
+            this.#endedStartTimes.delete(name);
+            this.#entries.set(name, { announcement, lastAnnouncedAt: now, isLeaving: false });
             return true;
         }
         if (compareIncarnations(announcement.born, entry.announcement.born) === "earlier") {
             return false;
         }
-        entry.heardAt = now;
+        entry.lastAnnouncedAt = now;
         if (announcement.sequence <= entry.announcement.sequence) {
             return false;
         }
-        const before = entry.announcement;
+        const previous = entry.announcement;
         entry.announcement = announcement;
-        return before.state !== announcement.state || before.slots !== announcement.slots
-            || before.address !== announcement.address || before.service !== announcement.service;
+        return previous.state !== announcement.state || previous.slots !== announcement.slots
+            || previous.address !== announcement.address || previous.service !== announcement.service;
     }
 
-    /** Records that an upstream says in its answers that it leaves for good; false when that is known. */
-    recordEnding(name: UpstreamName): boolean {
+    /**
+     * Records that an upstream reports in its responses that it is leaving permanently; returns false if it is not
+     * registered or this is recorded already.
+     */
+    recordLeaving(name: UpstreamName): boolean {
         const entry = this.#entries.get(name);
-        if (entry === undefined || entry.isEnding) {
+        if (entry === undefined || entry.isLeaving) {
             return false;
         }
-        entry.isEnding = true;
+        entry.isLeaving = true;
         return true;
     }
 
-    /** True when a new name claims an address where another upstream is known. */
+    /** Returns true if `name` is new and another upstream is registered at the address. */
     isContested(name: UpstreamName, address: Address): boolean {
-        const isNew = !this.#entries.has(name) && !this.#ended.has(name);
+        const isNew = !this.#entries.has(name) && !this.#endedStartTimes.has(name);
         return isNew && [...this.#entries.values()].some(({ announcement }) => announcement.address === address);
     }
 
-    /** Removes an upstream that is about to end, or has ended; false when it was not known, or a later life of it is. */
-    remove(name: UpstreamName, born?: Born): boolean {
-        const known = this.#entries.get(name)?.announcement.born;
-        if (compareIncarnations(born, known) === "earlier") {
+    /**
+     * Removes an upstream that is ending or has ended, and records that it has ended; returns false if it is not
+     * registered or a later incarnation is.
+     */
+    remove(name: UpstreamName, startTime?: StartTime): boolean {
+        const knownStartTime = this.#entries.get(name)?.announcement.born;
+        if (compareIncarnations(startTime, knownStartTime) === "earlier") {
             return false;
         }
-        this.end(name, born ?? known);
+        this.recordEnded(name, startTime ?? knownStartTime);
         return this.#entries.delete(name);
     }
 
-    /** Removes an upstream that has started again under its name, whatever the earlier life held; false when it has not. */
-    removeEarlierLife(name: UpstreamName, born: Born | undefined): boolean {
+    /** Removes the earlier incarnation of an upstream that restarted under its name; returns false if it did not. */
+    removeEarlierIncarnation(name: UpstreamName, startTime: StartTime | undefined): boolean {
         const entry = this.#entries.get(name);
-        return entry !== undefined && compareIncarnations(born, entry.announcement.born) === "later"
+        return entry !== undefined && compareIncarnations(startTime, entry.announcement.born) === "later"
             && this.#entries.delete(name);
     }
 
-    /** Ends upstreams that have been silent for too long; they may come back with a later announcement. */
-    removeSilent(now: number): UpstreamName[] {
-        const silent = [...this.#entries].filter(([, { heardAt }]) => now - heardAt >= SILENT_MS).map(([name]) => name);
-        silent.forEach(name => this.#entries.delete(name));
-        return silent;
+    /** Removes and returns the upstreams whose announcements timed out. A later announcement registers them again. */
+    removeUnresponsive(now: number): UpstreamName[] {
+        const unresponsive = [...this.#entries].filter(([, { lastAnnouncedAt }]) =>
+            now - lastAnnouncedAt >= ANNOUNCEMENT_TIMEOUT_MS
+        ).map(([name]) => name);
+        unresponsive.forEach(name => this.#entries.delete(name));
+        return unresponsive;
     }
 
-    /** One address serves one upstream: whoever announces it last has it. */
-    #replace(address: Address): void {
+    /** Removes the upstream at an address where another one announced itself; the last announcement counts. */
+    #evictByAddress(address: Address): void {
         for (const [name, { announcement }] of this.#entries) {
             if (announcement.address === address) {
                 this.remove(name);
@@ -104,18 +112,19 @@
         }
     }
 
-    /** Takes no later word of an upstream that has ended, unless of a later life. */
-    end(name: UpstreamName, born?: Born): void {
-        if (compareIncarnations(born, this.#ended.get(name)) === "earlier") {
+    /** Records that an upstream has ended: from now on only announcements of a later incarnation are accepted. */
+    recordEnded(name: UpstreamName, startTime?: StartTime): void {
+        if (compareIncarnations(startTime, this.#endedStartTimes.get(name)) === "earlier") {
             return;
         }
-        this.#ended.set(name, born ?? this.#ended.get(name));
-        if (this.#ended.size > MAX_ENDED) {
-            this.#ended.delete(this.#ended.keys().next().value!);
+        this.#endedStartTimes.set(name, startTime ?? this.#endedStartTimes.get(name));
+        if (this.#endedStartTimes.size > MAX_ENDED_NAMES) {
+            this.#endedStartTimes.delete(this.#endedStartTimes.keys().next().value!);
         }
     }
 
-    #hasEnded(name: UpstreamName, born: Born | undefined): boolean {
-        return this.#ended.has(name) && compareIncarnations(born, this.#ended.get(name)) !== "later";
+    #hasEnded(name: UpstreamName, startTime: StartTime | undefined): boolean {
+        return this.#endedStartTimes.has(name)
+            && compareIncarnations(startTime, this.#endedStartTimes.get(name)) !== "later";
     }
 }
--- a/src/membership/ownupstreams.ts
+++ b/src/membership/ownupstreams.ts
@@ -1,7 +1,8 @@
 /**
- * The upstreams beside this daemon, as they announce themselves.
+ * Keeps track of the upstreams beside this daemon.
  *
- * Owns the listener for announcements, and the look for an upstream after a start and for those that have fallen silent.
+ * Owns the server for their announcements, the search for an upstream after a start, and the removal of upstreams whose
+ * announcements have timed out.
  */
 import type { Dialect } from "../dialect/dialect.js";
 import type { ServiceName } from "../ids/servicename.js";
@@ -11,113 +12,120 @@
 import { Ticker } from "../time/ticker.js";
 import type { HostedUpstream } from "../wire/hostedupstream.js";
 import type { Announcement } from "./announcement.js";
-import { Claims } from "./announcementrecorder.js";
+import { AnnouncementRecorder } from "./announcementrecorder.js";
 import { AnnouncementServer } from "./announcementserver.js";
 import { findUpstream } from "./findupstream.js";
-import { LocalUpstreams } from "./localupstreamtable.js";
+import { LocalUpstreamTable } from "./localupstreamtable.js";
 import type { MembershipSettings } from "./membershipsettings.js";
-import { occupantOf } from "./probeoccupant.js";
-import type { Born } from "./starttime.js";
+import { probeOccupant } from "./probeoccupant.js";
+import type { StartTime } from "./starttime.js";
 
 const logger = log("roster");
 
-/** How often upstreams that have fallen silent are looked for, in milliseconds: a fraction of the silence that ends one. */
-const SWEEP_EVERY_MS = 1000;
+/** Interval at which unresponsive upstreams are removed; a fraction of the timeout of announcements. */
+const SWEEP_INTERVAL_MS = 1000;
 
-/** `onChange` is called before an upstream has the answer to its announcement, `onSweep` after each look with nothing found. */
 type OwnDependencies = {
     readonly settings: MembershipSettings;
     readonly dialect: Dialect;
+    /** Returns the path of the health endpoint for upstreams of a service. */
     readonly healthPath: (service: ServiceName) => string;
     readonly clock: Clock;
+    /** Called after a change of the upstreams, before the response to the announcement that caused it is sent. */
     readonly onChange: () => void;
+    /** Called after each sweep that removed no upstream, until the daemon starts leaving. */
     readonly onSweep: () => void;
 };
 
-/** Started once, stopped once. */
+/** Started once with `listen` and stopped once with `stop`. */
 export class OwnUpstreams {
-    readonly #local = new LocalUpstreams();
-    readonly #claims: Claims;
-    readonly #announcements: AnnouncementServer;
-    readonly #sweep = new Ticker(SWEEP_EVERY_MS, () => this.#look());
+    readonly #table = new LocalUpstreamTable();
+    readonly #recorder: AnnouncementRecorder;
+    readonly #announcementServer: AnnouncementServer;
+    readonly #sweepTicker = new Ticker(SWEEP_INTERVAL_MS, () => this.#sweep());
     #isLeaving = false;
 
     constructor(private readonly deps: OwnDependencies) {
-        this.#claims = new Claims(
-            this.#local,
-            ({ address, service }) => occupantOf(address, deps.healthPath(service), deps.dialect),
+        this.#recorder = new AnnouncementRecorder(
+            this.#table,
+            ({ address, service }) => probeOccupant(address, deps.healthPath(service), deps.dialect),
         );
-        this.#announcements = new AnnouncementServer({
+        this.#announcementServer = new AnnouncementServer({
             onAnnounced: (name, announcement) => this.#record(name, announcement),
-            onLeft: (name, born) => this.#remove(name, born),
+            onLeft: (name, startTime) => this.#remove(name, startTime),
         });
     }
 
     get all(): HostedUpstream[] {
-        return this.#local.all;
+        return this.#table.all;
     }
 
-    /** Listens for announcements. */
+    /** Listens for announcements if an address for them is configured, and starts the sweeps. */
     async listen(): Promise<void> {
         const { announce } = this.deps.settings;
         if (announce !== undefined) {
-            await this.#announcements.listen(announce);
+            await this.#announcementServer.listen(announce);
         }
-        this.#sweep.start();
+        this.#sweepTicker.start();
     }
 
-    /** Resolves when an upstream is known, or none was found for a while: no record without one is published before. */
+    /** Searches for the configured upstream; resolves when one is registered or the search has timed out. */
     async find(): Promise<void> {
         const { settings, dialect, healthPath, clock } = this.deps;
         const { upstream: address, callerService: service } = settings;
         if (address === undefined || service === undefined) {
             return;
         }
-        const isWanted = (): boolean => this.#local.all.length === 0 && !this.#isLeaving;
+        const shouldContinue = (): boolean => this.#table.all.length === 0 && !this.#isLeaving;
         const path = (): string => healthPath(service);
-        const found = await findUpstream({ address, service, dialect, path, isWanted, clock });
-        if (found !== undefined && isWanted()) {
+        const found = await findUpstream({ address, service, dialect, healthPath: path, shouldContinue, clock });
+        if (found !== undefined && shouldContinue()) {
             await this.#record(found.name, found.announcement);
         }
     }
 
-    /** Records that an upstream says in its answers that it leaves for good. */
+    /** Records that an upstream's responses report that it is leaving permanently. */
     recordEnding(name: UpstreamName): void {
-        if (this.#local.recordEnding(name)) {
-            logger.change("An upstream leaves, by its answers.", { upstream: name });
+        if (this.#table.recordLeaving(name)) {
+            logger.change("An upstream reports in its responses that it is leaving. It is published as draining.", {
+                upstream: name,
+            });
             this.deps.onChange();
         }
     }
 
-    /** From now on no upstream is looked for. */
+    /** Ends the search for an upstream and the calls of `onSweep`, since the daemon is leaving. */
     startLeaving(): void {
         this.#isLeaving = true;
     }
 
     stop(): void {
-        this.#sweep.stop();
-        this.#announcements.close();
+        this.#sweepTicker.stop();
+        this.#announcementServer.close();
     }
 
-    /** One that has started again under its name is a departure and an arrival: its gate goes, with all it has learnt and holds. */
+    /**
+     * Records an announcement. A restart of an upstream under its name is reported as a removal and an addition, so
+     * that its gate is replaced, with everything the gate has learned and holds.
+     */
     async #record(name: UpstreamName, announcement: Announcement): Promise<void> {
-        if (this.#local.removeEarlierLife(name, announcement.born)) {
-            logger.change("An upstream has started again under its name.", { upstream: name });
+        if (this.#table.removeEarlierIncarnation(name, announcement.born)) {
+            logger.change("An upstream restarted under the same name. Its gate is replaced.", { upstream: name });
             this.deps.onChange();
         }
-        if (await this.#claims.record(name, announcement, this.deps.clock())) {
+        if (await this.#recorder.record(name, announcement, this.deps.clock())) {
             this.deps.onChange();
         }
     }
 
-    #remove(name: UpstreamName, born: Born | undefined): void {
-        if (this.#local.remove(name, born)) {
+    #remove(name: UpstreamName, startTime: StartTime | undefined): void {
+        if (this.#table.remove(name, startTime)) {
             this.deps.onChange();
         }
     }
 
-    #look(): void {
-        if (this.#local.removeSilent(this.deps.clock()).length > 0) {
+    #sweep(): void {
+        if (this.#table.removeUnresponsive(this.deps.clock()).length > 0) {
             this.deps.onChange();
         }
         else if (!this.#isLeaving) {
--- a/src/membership/probehealth.ts
+++ b/src/membership/probehealth.ts
@@ -1,13 +1,13 @@
-/** Asks an upstream's health endpoint once, over a connection of its own. */
+/** Sends one request to an upstream's health endpoint, over a separate connection. */
 import { Client } from "undici";
 import type { HttpHeaders } from "../http/httpheaders.js";
 import type { Address } from "../ids/address.js";
 
-/** An upstream on the same host answers within milliseconds, unless it is busy. */
+/** An upstream on the same host responds within milliseconds unless it is busy. */
 const TIMEOUT_MS = 250;
 
-/** Throws what the connection throws, and when no answer comes in time. */
-export async function askHealth(
+/** Returns the status and headers of the response; rejects if the connection fails or no response arrives in time. */
+export async function probeHealth(
     address: Address,
     path: string,
 ): Promise<{ readonly status: number; readonly headers: HttpHeaders; }> {
--- a/src/membership/starttime.ts
+++ b/src/membership/starttime.ts
@@ -1,8 +1,11 @@
-/** When a life of an upstream began. */
+/** The time at which an incarnation of an upstream started. */
 import { z } from "zod";
 
-const Born = z.int().min(0);
-type Born = z.infer<typeof Born>;
+const StartTime = z.int().min(0);
+type StartTime = z.infer<typeof StartTime>;
 
-/** Unix milliseconds by the upstream's own clock: they tell its lives apart, and are compared with nothing else. */
-export { Born };
+/**
+ * Unix milliseconds on the upstream's own clock. Distinguishes the incarnations of one upstream and is compared with no
+ * other time.
+ */
+export { StartTime };
