--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -1,9 +1,10 @@
 /**
- * Keeps daemons in touch with each other without the store.
+ * Propagates the records of daemons without the store.
  *
- * A change of a daemon's record goes to those that watch the store in each hall, which tell their halls (distribution/hallheartbeats.ts).
- * Besides, each says now and then, to a few peers, who it is and which revision it has. Whoever is behind asks: for the sender's record,
- * for those of others when it knows nobody, and for the configuration.
+ * A daemon sends each change of its record to the daemons that watch the store in each hall, which notify their halls
+ * (distribution/hallheartbeats.ts). In addition, it periodically sends a hello with its incarnation, the version of its
+ * record and the revision of its configuration to a few random peers. A receiver that is behind requests what it lacks:
+ * the sender's record (or all the sender's records, if it knows no other member) and the configuration.
  */
 import type { Message } from "../datagram/message.js";
 import type { Evacuations } from "../evacuation/evacuations.js";
@@ -19,41 +20,46 @@
 
 const logger = log("roster");
 
-/** How often doubtful members are asked and silent ones given up, in milliseconds: six times within their grace. */
-const SWEEP_EVERY_MS = 500;
-/** Milliseconds; docs/CAPACITY.md reckons with it. */
-const HELLO_EVERY_MS = 3000;
-/** Greeted in each round, at random; docs/CAPACITY.md reckons with it. */
-const MAX_PEERS = 4;
-/** A peer that is behind is answered at most so often; milliseconds. */
-const ANSWER_EVERY_MS = 500;
+/**
+ * How often doubtful members are probed and unresponsive ones removed: six times within the probe timeout
+ * (policy/membership/memberpresence.ts).
+ */
+const SWEEP_INTERVAL_MS = 500;
+/** The interval of the hellos to random peers; the figures in docs/CAPACITY.md depend on it. */
+const HELLO_INTERVAL_MS = 3000;
+/** The number of random peers that get a hello in each round; the figures in docs/CAPACITY.md depend on it. */
+const HELLO_FANOUT = 4;
+/** The least time between two replies to one peer that is behind. */
+const MIN_REPLY_INTERVAL_MS = 500;
 
 type Hello = Extract<Message, { type: "hello"; }>;
 
-/** What gossip needs of its daemon; `askAll` gets the records that a peer has, `askOwn` its own. */
+/** What gossip needs from its daemon. */
 type GossipDependencies = {
     readonly self: Address;
-    readonly members: MemberList;
-    readonly member: () => Member;
-    /** Those that tell a hall of what they get to know: of this daemon's own hall, and of the others. */
+    readonly memberList: MemberList;
+    readonly ownRecord: () => Member;
+    /** Returns the daemons that propagate a change to their halls, in this daemon's own hall and in the others. */
     readonly relays: () => Address[];
-    readonly revision: () => number;
-    readonly pull: (revision: number, from: Address) => Promise<void>;
+    readonly configurationRevision: () => number;
+    readonly pullConfiguration: (revision: number, from: Address) => Promise<void>;
     readonly evacuations: Evacuations;
-    readonly askOwn: (peer: Address) => Promise<Member>;
-    readonly askAll: (peer: Address) => Promise<RecordChanges>;
+    /** Requests a peer's own record. */
+    readonly fetchRecord: (peer: Address) => Promise<Member>;
+    /** Requests all records that a peer has. */
+    readonly fetchAllRecords: (peer: Address) => Promise<RecordChanges>;
     readonly send: (to: Address, message: Message) => boolean;
     readonly clock: Clock;
     readonly random: RandomSource;
 };
 
-/** Owns its timers. */
+/** Sends and receives the messages about records; owns the timers for them. */
 export class Gossip {
-    readonly #answeredAt = new Map<Address, number>();
-    readonly #asking = new Set<Address>();
+    readonly #lastReplyAt = new Map<Address, number>();
+    readonly #fetchingFrom = new Set<Address>();
     readonly #tickers = [
-        new Ticker(SWEEP_EVERY_MS, () => this.#sweep()),
-        new Ticker(HELLO_EVERY_MS, () => this.#greetSome()),
+        new Ticker(SWEEP_INTERVAL_MS, () => this.#sweep()),
+        new Ticker(HELLO_INTERVAL_MS, () => this.#sendHellos()),
     ];
 
     constructor(private readonly deps: GossipDependencies) {}
@@ -66,28 +72,28 @@
         this.#tickers.forEach(ticker => ticker.stop());
     }
 
-    /** Announces a change of this daemon's own record to those that tell the rest. */
+    /** Sends this daemon's changed record to the relays. */
     announceRecord(): void {
-        const { relays, send, self, member } = this.deps;
-        const own = member();
-        relays().forEach(peer => send(peer, { type: "member", from: self, member: own }));
+        const { relays, send, self, ownRecord } = this.deps;
+        const record = ownRecord();
+        relays().forEach(peer => send(peer, { type: "member", from: self, member: record }));
     }
 
-    /** Announces to those that tell the rest that this daemon stops. */
+    /** Notifies the relays that this daemon stops. */
     announceStop(): void {
         const { relays, send, self } = this.deps;
         relays().forEach(peer => send(peer, { type: "going", from: self }));
     }
 
     receive(message: Extract<Message, { type: "hello" | "member" | "going"; }>): void {
-        const { members, clock } = this.deps;
+        const { memberList, clock } = this.deps;
         const now = clock();
         switch (message.type) {
             case "member":
-                members.record(message.member, "itself", now);
+                memberList.record(message.member, "itself", now);
                 return;
             case "going":
-                members.remove(message.from);
+                memberList.remove(message.from);
                 return;
             case "hello":
                 this.#receiveHello(message, now);
@@ -95,85 +101,89 @@
     }
 
     #receiveHello(hello: Hello, now: number): void {
-        const { members, revision, pull, evacuations } = this.deps;
+        const { memberList, configurationRevision, pullConfiguration, evacuations } = this.deps;
         const { from, incarnation, version, evacuated } = hello;
-        members.recordAlive(from, now);
+        memberList.recordAlive(from, now);
         evacuations.recordWord(evacuated);
-        if (!members.knows(from, incarnation, version)) {
-            void this.#learn(from);
+        if (!memberList.hasVersion(from, incarnation, version)) {
+            void this.#fetchMissing(from);
         }
-        if (hello.revision > revision()) {
-            void pull(hello.revision, from);
+        if (hello.revision > configurationRevision()) {
+            void pullConfiguration(hello.revision, from);
         }
-        else if (hello.revision < revision() || !hello.knowsYou || evacuations.isAhead(evacuated)) {
-            this.#answer(from, now);
+        else if (hello.revision < configurationRevision() || !hello.knowsYou || evacuations.isAhead(evacuated)) {
+            this.#reply(from, now);
         }
     }
 
-    #answer(to: Address, now: number): void {
-        if (now - (this.#answeredAt.get(to) ?? -Infinity) >= ANSWER_EVERY_MS) {
-            this.#answeredAt.set(to, now);
-            this.#greet(to);
+    #reply(to: Address, now: number): void {
+        if (now - (this.#lastReplyAt.get(to) ?? -Infinity) >= MIN_REPLY_INTERVAL_MS) {
+            this.#lastReplyAt.set(to, now);
+            this.#sendHello(to);
         }
     }
 
-    /** One that knows nobody asks for all that the peer knows. */
-    async #learn(peer: Address): Promise<void> {
-        if (this.#asking.has(peer)) {
+    /** Requests the peer's record, or all of the peer's records if no other member is known. */
+    async #fetchMissing(peer: Address): Promise<void> {
+        if (this.#fetchingFrom.has(peer)) {
             return;
         }
-        this.#asking.add(peer);
+        this.#fetchingFrom.add(peer);
         try {
-            await (this.deps.members.size === 0 ? this.#learnAll(peer) : this.#learnOwn(peer));
+            await (this.deps.memberList.size === 0 ? this.#fetchAllRecords(peer) : this.#fetchRecord(peer));
         }
         catch (err) {
-            logger.warn("The peer did not return its record.", err, { peer });
+            logger.warn("The peer did not return the requested records; its next hello starts another request.", err, {
+                peer,
+            });
         }
         finally {
-            this.#asking.delete(peer);
+            this.#fetchingFrom.delete(peer);
         }
     }
 
-    async #learnOwn(peer: Address): Promise<void> {
-        const own = await this.deps.askOwn(peer);
-        this.deps.members.record(own, "itself", this.deps.clock());
+    async #fetchRecord(peer: Address): Promise<void> {
+        const record = await this.deps.fetchRecord(peer);
+        this.deps.memberList.record(record, "itself", this.deps.clock());
     }
 
-    async #learnAll(peer: Address): Promise<void> {
-        const { members, clock, askAll } = this.deps;
-        const changes = await askAll(peer);
+    async #fetchAllRecords(peer: Address): Promise<void> {
+        const { memberList, clock, fetchAllRecords } = this.deps;
+        const changes = await fetchAllRecords(peer);
         const now = clock();
-        members.inOne(() =>
-            changes.members.forEach(member => members.record(member, member.gate === peer ? "itself" : "peer", now))
+        memberList.batch(() =>
+            changes.members.forEach(member => memberList.record(member, member.gate === peer ? "itself" : "peer", now))
         );
     }
 
     #sweep(): void {
-        const { members, clock } = this.deps;
+        const { memberList, clock } = this.deps;
         const now = clock();
-        members.removeGone(now).forEach(gate => {
-            this.#answeredAt.delete(gate);
-            logger.change("A peer is given up: its record is gone and it is silent.", { peer: gate });
+        memberList.removeUnresponsive(now).forEach(gate => {
+            this.#lastReplyAt.delete(gate);
+            logger.change("A member was removed: its record is gone from the store and it did not respond in time.", {
+                peer: gate,
+            });
         });
-        members.doubtful(now).forEach(gate => this.#greet(gate));
+        memberList.doubtfulGates(now).forEach(gate => this.#sendHello(gate));
     }
 
-    #greetSome(): void {
-        const { members, random } = this.deps;
-        sample(members.members, MAX_PEERS, random).forEach(member => this.#greet(member.gate));
+    #sendHellos(): void {
+        const { memberList, random } = this.deps;
+        sample(memberList.members, HELLO_FANOUT, random).forEach(member => this.#sendHello(member.gate));
     }
 
-    #greet(to: Address): void {
-        const { self: from, member, revision, send, members, clock, evacuations } = this.deps;
-        const { incarnation, version } = member();
-        const knowsYou = members.find(to) !== undefined && !members.isDoubtful(to, clock());
+    #sendHello(to: Address): void {
+        const { self: from, ownRecord, configurationRevision, send, memberList, clock, evacuations } = this.deps;
+        const { incarnation, version } = ownRecord();
+        const knowsYou = memberList.find(to) !== undefined && !memberList.isDoubtful(to, clock());
         const evacuated = evacuations.word;
         send(to, {
             type: "hello",
             from,
             incarnation,
             version,
-            revision: revision(),
+            revision: configurationRevision(),
             knowsYou,
             ...evacuated !== undefined && { evacuated },
         });
--- a/src/membership/memberlist.ts
+++ b/src/membership/memberlist.ts
@@ -1,8 +1,8 @@
 /**
- * Which daemons there are.
+ * Keeps the list of the other daemons and their records.
  *
- * Owns the list, and numbers its changes, so that peers can ask for those that they lack. Which source of a record goes before which,
- * and when a member is given up, is decided by policy/membership.
+ * Owns the list, and numbers its changes so that peers can request those that they lack. policy/membership decides
+ * which source of a record takes precedence, and when an unresponsive member is removed.
  */
 import type { Upstream } from "../config/upstream.js";
 import type { Address } from "../ids/address.js";
@@ -15,55 +15,67 @@
 import type { Member } from "../wire/member.js";
 import { upstreamsOf } from "./upstreamsof.js";
 
-/** Daemons that have gone, remembered for peers that are behind; who lacks more gets the whole list. */
-const KEPT_GONE = 256;
+/** The number of removals that are remembered for peers that are behind; a peer that lacks more gets the whole list. */
+const MAX_REMOVALS = 256;
 
-/** `changedAt` is the number of the change that brought this record. */
-type Entry = { member: Member; heardAt: number; lapsedAt: number | undefined; changedAt: number; };
+/** What is known of one member; times are in milliseconds on this daemon's clock. */
+type Entry = {
+    member: Member;
+    /** The time of the member's last message; -Infinity if there was none. */
+    lastSeenAt: number;
+    /** The time at which its record was missing in the store first; undefined while the store has it. */
+    unregisteredAt: number | undefined;
+    /** The number of the change that set this record. */
+    changeNumber: number;
+};
 
-/** All that there are, or what has changed since. */
-type Changes = { readonly complete: boolean; readonly members: Member[]; readonly gone: Address[]; };
+/** The whole list if `complete` is true, otherwise the changes since the number that was requested. */
+type MemberChanges = { readonly complete: boolean; readonly members: Member[]; readonly gone: Address[]; };
 
-/** Pure; all times are milliseconds on the daemon's clock. */
+/** Reads no clock and sends nothing. Times are in milliseconds on the daemon's clock. */
 export class MemberList {
     readonly #entries = new Map<Address, Entry>();
     readonly #listeners: (() => void)[] = [];
-    /** By the number of the change; in that order. */
-    readonly #gone = new Map<Address, number>();
-    /** What left before this change is forgotten. */
-    #goneKeptFrom = 0;
-    #changes = 0;
+    /** The number of the change that removed each daemon, in ascending order. */
+    readonly #removals = new Map<Address, number>();
+    /** The number of the change after which all removals are remembered. */
+    #removalsCompleteAfter = 0;
+    #changeCount = 0;
+    /** The batch in progress, and whether it has changed anything so far. */
     #batch: { changed: boolean; } | undefined;
 
     constructor(private readonly self: Address) {}
 
-    /** Calls the listener after each change of the members or their upstreams. */
+    /** Registers a listener that is called after each change of the members or their upstreams. */
     onChange(listener: () => void): void {
         this.#listeners.push(listener);
     }
 
-    /** How many changes there were, of this list and of the daemon's own record. */
-    get changes(): number {
-        return this.#changes;
+    /** The number of changes so far, of this list and of the daemon's own record. */
+    get changeCount(): number {
+        return this.#changeCount;
     }
 
-    /** What a peer lacks that has seen the changes up to `after`; undefined for one that has seen none. */
-    changesSince(after: number | undefined): Changes {
-        if (after === undefined || after < this.#goneKeptFrom || after > this.#changes) {
+    /**
+     * Returns the changes after number `after`, or the whole list if `after` is undefined or those changes are no
+     * longer known.
+     */
+    changesSince(after: number | undefined): MemberChanges {
+        if (after === undefined || after < this.#removalsCompleteAfter || after > this.#changeCount) {
             return { complete: true, members: this.members, gone: [] };
         }
-        const changed = [...this.#entries.values()].filter(entry => entry.changedAt > after);
-        const gone = [...this.#gone].filter(([, at]) => at > after).map(([gate]) => gate);
+        const changed = [...this.#entries.values()].filter(entry => entry.changeNumber > after);
+        const gone = [...this.#removals].filter(([, changeNumber]) => changeNumber > after).map(([gate]) => gate);
         return { complete: false, members: changed.map(entry => entry.member), gone };
     }
 
-    /** Counts a change of the daemon's own record, which is no entry here. */
+    /** Counts a change of the daemon's own record, which is not in this list. */
     countOwnChange(): void {
-        this.#changes += 1;
+        this.#changeCount += 1;
     }
 
-    /** Applies many changes as one: listeners are called once, after the last. */
-    inOne(apply: () => void): void {
+    /** Applies the changes as one batch: listeners are called once, after the last change. */
+    batch(apply: () => void): void {
         if (this.#batch !== undefined) {
             return apply();
         }
@@ -76,152 +88,160 @@
             this.#batch = undefined;
         }
         if (batch.changed) {
-            this.#tell();
+            this.#notifyListeners();
         }
     }
 
-    /** All members but the daemon itself. */
+    /** All members except this daemon. */
     get members(): Member[] {
         return [...this.#entries.values()].map(entry => entry.member);
     }
 
-    /** What their records say of the upstreams beside them. */
-    get hosted(): HostedUpstream[] {
+    /** The upstreams in the records of the members. */
+    get hostedUpstreams(): HostedUpstream[] {
         return this.members.flatMap(member => member.upstreams);
     }
 
+    /** The upstreams of all members, with their places and gates. */
     get upstreams(): Upstream[] {
         return this.members.flatMap(upstreamsOf);
     }
 
-    /** How many members there are, without the daemon itself. */
+    /** The number of members, without this daemon. */
     get size(): number {
         return this.#entries.size;
     }
 
+    /** Returns the record of a daemon, or undefined if it is not a member. */
     find(gate: Address): Member | undefined {
         return this.#entries.get(gate)?.member;
     }
 
-    /** True when exactly this state of the daemon is known. */
-    knows(gate: Address, incarnation: Incarnation, version: number): boolean {
+    /** Returns true if this version of the daemon's record, or a later one of the same incarnation, is known. */
+    hasVersion(gate: Address, incarnation: Incarnation, version: number): boolean {
         const member = this.find(gate);
         return member?.incarnation === incarnation && member.version >= version;
     }
 
-    /** Records what a source says of a daemon; false when it changes nothing. */
+    /** Records a daemon's record as reported by a source; returns false if that changes nothing. */
     record(member: Member, source: MemberSource, now: number): boolean {
         if (member.gate === this.self) {
             return false;
         }
         const entry = this.#entries.get(member.gate);
         if (entry === undefined) {
-            const heardAt = source === "itself" ? now : -Infinity;
-            this.#set(member.gate, { member, heardAt, lapsedAt: undefined, changedAt: 0 });
+            const lastSeenAt = source === "itself" ? now : -Infinity;
+            this.#set(member.gate, { member, lastSeenAt, unregisteredAt: undefined, changeNumber: 0 });
             return true;
         }
         if (source !== "peer") {
-            entry.lapsedAt = undefined;
+            entry.unregisteredAt = undefined;
         }
         const { incarnation, version } = entry.member;
-        const known = { incarnation, version, heardAt: entry.heardAt, lapsed: entry.lapsedAt !== undefined };
-        const news = isNewerRecord(member, known, source, now);
+        const known = {
+            incarnation,
+            version,
+            lastSeenAt: entry.lastSeenAt,
+            isUnregistered: entry.unregisteredAt !== undefined,
+        };
+        const isNewer = isNewerRecord(member, known, source, now);
         if (source === "itself") {
-            entry.heardAt = now;
+            entry.lastSeenAt = now;
         }
-        if (news) {
+        if (isNewer) {
             this.#set(member.gate, Object.assign(entry, { member }));
         }
-        return news;
+        return isNewer;
     }
 
-    /** Records a sign of life. */
+    /** Records that a message of the daemon has arrived. */
     recordAlive(gate: Address, now: number): void {
         const entry = this.#entries.get(gate);
         if (entry !== undefined) {
-            entry.heardAt = now;
+            entry.lastSeenAt = now;
         }
     }
 
-    /** Records that the store has no record of the daemon any more. */
-    recordLapse(gate: Address, now: number): void {
+    /** Records that the store no longer has the daemon's record. */
+    recordUnregistered(gate: Address, now: number): void {
         const entry = this.#entries.get(gate);
         if (entry !== undefined) {
-            entry.lapsedAt ??= now;
+            entry.unregisteredAt ??= now;
         }
     }
 
     /**
-     * Records that another daemon has given this one up: it goes, unless it has spoken here itself so lately that the other one may
-     * not know it yet; then its record counts as gone, and it is asked.
+     * Records that another daemon has removed a member. The member is removed here too, unless it sent a message so
+     * recently that the other daemon may not know of it yet; in that case its record counts as gone, and the member is
+     * probed.
      */
-    recordGone(gate: Address, now: number): void {
-        const heardAt = this.#entries.get(gate)?.heardAt ?? -Infinity;
-        if (now - heardAt < directPrecedenceMs) {
-            this.recordLapse(gate, now);
+    recordRemoteRemoval(gate: Address, now: number): void {
+        const lastSeenAt = this.#entries.get(gate)?.lastSeenAt ?? -Infinity;
+        if (now - lastSeenAt < directPrecedenceMs) {
+            this.recordUnregistered(gate, now);
         }
         else {
             this.remove(gate);
         }
     }
 
-    /** Removes a daemon that has announced its stop. */
+    /** Removes a daemon that has announced its stop, or has been unresponsive for too long. */
     remove(gate: Address): void {
         if (this.#entries.delete(gate)) {
-            this.#changes += 1;
-            this.#rememberGone(gate);
-            this.#changed();
+            this.#changeCount += 1;
+            this.#recordRemoval(gate);
+            this.#notifyOrDefer();
         }
     }
 
-    /** True when the daemon's record is gone and it has given no sign of life since: a question settles it. */
+    /** Returns true if the daemon's record is gone and no message of it has arrived since: it has to be probed. */
     isDoubtful(gate: Address, now: number): boolean {
         const entry = this.#entries.get(gate);
         return entry !== undefined && memberPresence(entry, now) !== "present";
     }
 
-    /** Members that are doubtful. */
-    doubtful(now: number): Address[] {
+    /** Returns the gates of the doubtful members. */
+    doubtfulGates(now: number): Address[] {
         return [...this.#entries.keys()].filter(gate => this.isDoubtful(gate, now));
     }
 
-    /** Gives up members that were silent for too long after their records went; returns them. */
-    removeGone(now: number): Address[] {
-        const gone = [...this.#entries].filter(([, entry]) => memberPresence(entry, now) === "gone").map(([gate]) =>
-            gate
-        );
-        this.inOne(() => gone.forEach(gate => this.remove(gate)));
-        return gone;
+    /** Removes the members that did not respond in time after their records were gone, and returns their gates. */
+    removeUnresponsive(now: number): Address[] {
+        const removed = [...this.#entries].filter(([, entry]) => memberPresence(entry, now) === "gone").map((
+            [gate],
+        ) => gate);
+        this.batch(() => removed.forEach(gate => this.remove(gate)));
+        return removed;
     }
 
     #set(gate: Address, entry: Entry): void {
-        this.#changes += 1;
-        entry.changedAt = this.#changes;
+        this.#changeCount += 1;
+        entry.changeNumber = this.#changeCount;
         this.#entries.set(gate, entry);
-        this.#gone.delete(gate);
-        this.#changed();
+        this.#removals.delete(gate);
+        this.#notifyOrDefer();
     }
 
-    #rememberGone(gate: Address): void {
-        this.#gone.delete(gate);
-        this.#gone.set(gate, this.#changes);
-        if (this.#gone.size > KEPT_GONE) {
-            const [oldest, at] = this.#gone.entries().next().value!;
-            this.#gone.delete(oldest);
-            this.#goneKeptFrom = at;
+    #recordRemoval(gate: Address): void {
+        this.#removals.delete(gate);
+        this.#removals.set(gate, this.#changeCount);
+        if (this.#removals.size > MAX_REMOVALS) {
+            const [oldest, changeNumber] = this.#removals.entries().next().value!;
+            this.#removals.delete(oldest);
+            this.#removalsCompleteAfter = changeNumber;
         }
     }
 
-    #changed(): void {
+    #notifyOrDefer(): void {
         if (this.#batch === undefined) {
-            this.#tell();
+            this.#notifyListeners();
         }
         else {
             this.#batch.changed = true;
         }
     }
 
-    #tell(): void {
+    #notifyListeners(): void {
         this.#listeners.forEach(listener => listener());
     }
 }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,8 +1,9 @@
 /**
- * How daemons know each other where upstreams announce themselves.
+ * Maintains the list of all daemons and their upstreams where upstreams announce themselves.
  *
- * Owns this daemon's own record (the upstreams beside it) and the list of the others. The record goes to the registry and to those that
- * tell the rest; others' records come from the registry while it is this daemon's turn to watch it, and else from a watcher.
+ * Owns this daemon's own record (the upstreams beside it) and the list of the other members. It sends the record to the
+ * registry and to the relays (relaysof.ts), which propagate it to the rest. The records of others come from the
+ * registry while this daemon is a watcher, and from a watcher of its hall otherwise.
  */
 import type { Upstream } from "../config/upstream.js";
 import type { Message } from "../datagram/message.js";
@@ -36,7 +37,7 @@
 import { relaysOf } from "./relaysof.js";
 import { upstreamsOf } from "./upstreamsof.js";
 
-/** What membership needs of the rest of the daemon. */
+/** What membership needs from the rest of the daemon. */
 type MembershipDependencies = {
     readonly self: Address;
     readonly incarnation: Incarnation;
@@ -49,201 +50,228 @@
     readonly evacuations: Evacuations;
     readonly puller: ConfigurationPuller;
     readonly peer: PeerClient;
-    /** What the gate of an upstream here has learnt of where it slows down, of its slots. */
+    /** Returns the knee of an upstream beside this daemon as a share of its slots; undefined while it is not known. */
     readonly learnedShare: (name: UpstreamName) => number | undefined;
-    /** Told of what the store keeps of requests that crash upstreams. */
+    /** Called with the records in the store of requests that crash upstreams. */
     readonly onCrashRecords: (records: readonly CrashRecord[]) => void;
     readonly clock: Clock;
     readonly random: RandomSource;
     readonly send: (to: Address, message: Message) => boolean;
 };
 
-/** Started once, stopped once; `startLeaving` comes before the stop. */
+/** Can be started and stopped once; `startLeaving` has to be called before `stop`. */
 export class Membership {
     readonly gossip: Gossip;
-    readonly #own: OwnUpstreams;
-    readonly #others: MemberList;
+    readonly #ownUpstreams: OwnUpstreams;
+    readonly #memberList: MemberList;
     readonly #publisher: RecordPublisher;
-    readonly #records: RegistryWatcher;
-    readonly #watch: MembershipWatch;
-    readonly #shares: LearnedShares;
+    readonly #registryWatcher: RegistryWatcher;
+    readonly #storeWatch: MembershipWatch;
+    readonly #learnedShares: LearnedShares;
     #listener: () => void = () => {};
     #version = 0;
     #isLeaving = false;
 
     constructor(private readonly deps: MembershipDependencies) {
-        this.#shares = new LearnedShares(deps);
-        this.#own = new OwnUpstreams({
+        this.#learnedShares = new LearnedShares(deps);
+        this.#ownUpstreams = new OwnUpstreams({
             ...deps,
-            onChange: () => this.#changed(),
-            onSweep: () => this.#tellNews(),
+            onChange: () => this.#onOwnUpstreamsChanged(),
+            onSweep: () => this.#publishChangedShares(),
         });
-        this.#others = new MemberList(deps.self);
-        this.#others.onChange(() => this.#listener());
-        this.#publisher = this.#makePublisher();
-        this.#records = this.#makeRecords();
-        this.#watch = this.#makeWatch();
-        this.gossip = this.#makeGossip();
+        this.#memberList = new MemberList(deps.self);
+        this.#memberList.onChange(() => this.#listener());
+        this.#publisher = this.#createPublisher();
+        this.#registryWatcher = this.#createRegistryWatcher();
+        this.#storeWatch = this.#createStoreWatch();
+        this.gossip = this.#createGossip();
     }
 
-    /** What is watched in the store while it is this daemon's turn. */
+    /** The watches of the store, which run while this daemon is a watcher. */
     get watch(): StoreWatch {
-        return this.#watch;
+        return this.#storeWatch;
     }
 
     /** This daemon's own record. */
     get member(): Member {
         const { self: gate, incarnation, settings } = this.deps;
         const { host, hall, region } = settings;
-        const upstreams = this.#isLeaving ? [] : this.#shares.mark(this.#own.all);
+        const upstreams = this.#isLeaving ? [] : this.#learnedShares.mark(this.#ownUpstreams.all);
         return { gate, host, hall, region, incarnation, version: this.#version, upstreams };
     }
 
-    /** This daemon first, then all that it knows. */
+    /** The records of all daemons that are known, this daemon's own one first. */
     get members(): Member[] {
-        return [this.member, ...this.#others.members];
+        return [this.member, ...this.#memberList.members];
     }
 
-    /** All upstreams that there are, those beside this daemon too. */
+    /** All upstreams that are known, including those beside this daemon. */
     get upstreams(): Upstream[] {
-        return [...upstreamsOf({ ...this.member, upstreams: this.#own.all }), ...this.#others.upstreams];
+        return [...upstreamsOf({ ...this.member, upstreams: this.#ownUpstreams.all }), ...this.#memberList.upstreams];
     }
 
-    /** What a peer lacks whose copy of this list has come so far, or has none; this daemon's own record is always there. */
-    changesSince(have: RecordsMark | undefined): RecordChanges {
-        const { incarnation: life } = this.deps;
-        const { complete, members, gone } = this.#others.changesSince(have?.life === life ? have.at : undefined);
-        return { mark: { life, at: this.#others.changes }, complete, members: [this.member, ...members], gone };
+    /**
+     * Returns the changes that a peer lacks whose copy of this list is at the mark `after`, or the whole list if the
+     * peer has no copy or the changes are no longer known. This daemon's own record is always included.
+     */
+    changesSince(after: RecordsMark | undefined): RecordChanges {
+        const { incarnation } = this.deps;
+        const { complete, members, gone } = this.#memberList.changesSince(
+            after?.life === incarnation ? after.at : undefined,
+        );
+        return {
+            mark: { life: incarnation, at: this.#memberList.changeCount },
+            complete,
+            members: [this.member, ...members],
+            gone,
+        };
     }
 
-    /** Where upstreams of the service were found to slow down, of their slots; undefined while that is not known. */
+    /**
+     * Returns the median knee of the service's upstreams as a share of their slots; undefined while it is not known.
+     */
     usualShare(service: ServiceName): number | undefined {
-        return this.#shares.usual(service, this.#others.hosted);
+        return this.#learnedShares.usual(service, this.#memberList.hostedUpstreams);
     }
 
-    /** Records that an upstream beside this daemon says in its answers that it leaves for good. */
+    /** Records that an upstream beside this daemon states in its responses that it is leaving for good. */
     recordEnding(name: UpstreamName): void {
-        this.#own.recordEnding(name);
+        this.#ownUpstreams.recordEnding(name);
     }
 
-    /** Calls the listener at each change of the upstreams that there are. */
+    /** Sets the listener that is called after each change of the known upstreams. */
     onChange(listener: () => void): void {
         this.#listener = listener;
     }
 
-    /** Watches the store anew: what waits may wait on a connection that carries nothing any more. */
+    /** Starts the watches of the store again, since the present ones may be waiting on a dead connection. */
     renewWatches(): void {
-        this.#watch.renew();
+        this.#storeWatch.restart();
     }
 
+    /** Resolves when the daemon listens for announcements; the record is published in the background. */
     async start(): Promise<void> {
-        await this.#own.listen();
-        void this.#begin();
+        await this.#ownUpstreams.listen();
+        void this.#publishFirstRecord();
         this.gossip.start();
     }
 
-    /** Publishes the own record; where nobody was known before, the others may just have started too. */
-    async #begin(): Promise<void> {
-        await Promise.all([this.#own.find(), this.#records.readOld()]);
-        this.#nextVersion();
+    /**
+     * Publishes this daemon's record. If no other member is known, it reads the store again: others may just have
+     * started too.
+     */
+    async #publishFirstRecord(): Promise<void> {
+        await Promise.all([this.#ownUpstreams.find(), this.#registryWatcher.readStale()]);
+        this.#incrementVersion();
         this.#publisher.start();
-        if (this.#others.size === 0) {
-            await this.#records.lookAgain();
+        if (this.#memberList.size === 0) {
+            await this.#registryWatcher.rereadStale();
         }
     }
 
-    /** Tells peers and the store that this daemon serves no upstream any more; the daemon itself goes on. */
+    /**
+     * Notifies peers that this daemon no longer serves upstreams, and withdraws its record; the daemon itself keeps
+     * running.
+     */
     async startLeaving(): Promise<void> {
         this.#isLeaving = true;
-        this.#own.startLeaving();
-        this.#nextVersion();
+        this.#ownUpstreams.startLeaving();
+        this.#incrementVersion();
         this.gossip.announceRecord();
         await this.#publisher.stop();
     }
 
+    /** Notifies the relays that this daemon stops, and stops all timers, watches and listeners. */
     stop(): void {
         this.gossip.announceStop();
         this.gossip.stop();
-        this.#watch.set("nothing");
-        this.#own.stop();
+        this.#storeWatch.set("nothing");
+        this.#ownUpstreams.stop();
     }
 
-    #makePublisher(): RecordPublisher {
+    #createPublisher(): RecordPublisher {
         const { registry, clock } = this.deps;
         return new RecordPublisher({
             registry,
-            member: () => this.member,
-            isWatching: () => this.#watch.scope === "all",
-            onTrouble: () => this.#watch.recordFailure(),
-            onSuccess: () => this.#watch.recordAnswer(clock()),
+            ownRecord: () => this.member,
+            isWatching: () => this.#storeWatch.scope === "all",
+            onFailure: () => this.#storeWatch.recordFailure(),
+            onSuccess: () => this.#storeWatch.recordResponse(clock()),
         });
     }
 
-    #makeRecords(): RegistryWatcher {
+    #createRegistryWatcher(): RegistryWatcher {
         const { self, registry, clock, onCrashRecords } = this.deps;
         return new RegistryWatcher({
             self,
             onCrashRecords,
             registry,
-            members: this.#others,
+            memberList: this.#memberList,
             clock,
-            onOwnGone: () => this.#publisher.publishSoon(),
-            onOwn: own => this.#shares.recordOwn(own),
+            onOwnUnregistered: () => this.#publisher.publishSoon(),
+            onOwnRecord: record => this.#learnedShares.recordOwn(record),
         });
     }
 
-    #makeWatch(): MembershipWatch {
+    #createStoreWatch(): MembershipWatch {
         const { incarnation, watcher, clock, peer } = this.deps;
-        const members = this.#others;
+        const memberList = this.#memberList;
         return new MembershipWatch({
             incarnation,
-            members,
-            records: this.#records,
-            configuration: watcher,
-            follower: new RecordFollower({ members, clock, ask: (address, have) => peer.records(address, have) }),
+            memberList,
+            registryWatcher: this.#registryWatcher,
+            documentWatcher: watcher,
+            recordFollower: new RecordFollower({
+                memberList,
+                clock,
+                fetchChanges: (address, after) => peer.records(address, after),
+            }),
         });
     }
 
-    #makeGossip(): Gossip {
+    #createGossip(): Gossip {
         const { self, settings, configuration, evacuations, puller, peer, send, clock, random } = this.deps;
         return new Gossip({
             self,
-            members: this.#others,
-            member: () => this.member,
+            memberList: this.#memberList,
+            ownRecord: () => this.member,
             relays: () => relaysOf(this.members, settings.hall, self),
-            revision: () => configuration.revision,
-            pull: (revision, from) => puller.pull(revision, from),
+            configurationRevision: () => configuration.revision,
+            pullConfiguration: (revision, from) => puller.pull(revision, from),
             evacuations,
-            askOwn: address => peer.member(address),
-            askAll: address => peer.records(address, undefined),
+            fetchRecord: address => peer.member(address),
+            fetchAllRecords: address => peer.records(address, undefined),
             send,
             clock,
             random,
         });
     }
 
-    #tellNews(): void {
-        if (this.#shares.hasNews(this.#own.all, this.#others.hosted, this.deps.clock())) {
-            this.#tell();
+    /** Publishes the record if the knees of the upstreams have changed enough. */
+    #publishChangedShares(): void {
+        if (
+            this.#learnedShares.hasNews(this.#ownUpstreams.all, this.#memberList.hostedUpstreams, this.deps.clock())
+        ) {
+            this.#publishRecord();
         }
     }
 
-    /** Applied at this daemon before the upstream has its answer. */
-    #changed(): void {
+    /** Applies the change at this daemon; that comes before the response to the upstream's announcement. */
+    #onOwnUpstreamsChanged(): void {
         this.#listener();
-        this.#tell();
+        this.#publishRecord();
     }
 
-    /** A new version of this daemon's record, to peers and to the store. */
-    #tell(): void {
-        this.#nextVersion();
+    /** Sends a new version of this daemon's record to the relays and to the store. */
+    #publishRecord(): void {
+        this.#incrementVersion();
         this.gossip.announceRecord();
         this.#publisher.publishSoon();
     }
 
-    #nextVersion(): void {
+    #incrementVersion(): void {
         this.#version += 1;
-        this.#others.countOwnChange();
-        this.#shares.tell(this.#own.all, this.#others.hosted);
+        this.#memberList.countOwnChange();
+        this.#learnedShares.tell(this.#ownUpstreams.all, this.#memberList.hostedUpstreams);
     }
 }
--- a/src/membership/membershiperror.ts
+++ b/src/membership/membershiperror.ts
@@ -1,4 +1,4 @@
-/** The error of membership: what an upstream or a daemon says of itself can't be taken now. */
+/** Thrown if an announcement can't be accepted at present, or if this daemon has no records to return. */
 export class MembershipError extends Error {
     constructor(message: string, options?: ErrorOptions) {
         super(message, options);
--- a/src/membership/membershipwatch.ts
+++ b/src/membership/membershipwatch.ts
@@ -1,7 +1,9 @@
 /**
- * What a daemon watches in the store while it is its turn, where upstreams announce themselves: the configuration and the records.
+ * Watches the configuration and the daemons' records in the store while this daemon is a watcher, and follows a watcher
+ * of its hall otherwise.
  *
- * While it is not, it follows a watcher of its hall. Owns the loops; whose turn it is is decided by distribution/watcherelection.ts.
+ * It is used where upstreams announce themselves. Owns the loops; distribution/watcherelection.ts decides which daemons
+ * are watchers.
  */
 import type { DocumentWatcher } from "../distribution/documentwatcher.js";
 import { StoreWatch } from "../distribution/storewatch.js";
@@ -13,21 +15,21 @@
 import type { RecordFollower } from "./recordfollower.js";
 import type { RegistryWatcher } from "./registrywatcher.js";
 
-/** Two renewals of the own record, a watcher's (recordpublisher.ts), and half a second: by then the store does not answer. Milliseconds. */
-const REACHED_MS = 4500;
+/** Two of a watcher's renewal intervals (recordpublisher.ts) and a margin of half a second. */
+const STORE_UNREACHABLE_AFTER_MS = 4500;
 
 type WatchDependencies = {
     readonly incarnation: Incarnation;
-    readonly members: MemberList;
-    readonly records: RegistryWatcher;
-    readonly configuration: DocumentWatcher;
-    readonly follower: RecordFollower;
+    readonly memberList: MemberList;
+    readonly registryWatcher: RegistryWatcher;
+    readonly documentWatcher: DocumentWatcher;
+    readonly recordFollower: RecordFollower;
 };
 
-/** `recordAnswer` and `recordFailure` are called with what becomes of each renewal. */
+/** The result of each renewal of this daemon's record has to be reported with `recordResponse` or `recordFailure`. */
 export class MembershipWatch extends StoreWatch {
     #scope: WatchScope = "nothing";
-    #answeredAt = -Infinity;
+    #lastResponseAt = -Infinity;
     #hasFailed = false;
 
     constructor(private readonly deps: WatchDependencies) {
@@ -40,39 +42,42 @@
 
     set(scope: WatchScope): void {
         this.#scope = scope;
-        this.deps.configuration.set(scope !== "nothing");
-        this.deps.records.set(scope === "all");
+        this.deps.documentWatcher.set(scope !== "nothing");
+        this.deps.registryWatcher.setWatching(scope === "all");
     }
 
     isReached(now: number): boolean {
-        return now - this.#answeredAt < REACHED_MS;
+        return now - this.#lastResponseAt < STORE_UNREACHABLE_AFTER_MS;
     }
 
     get records(): RecordsMark | undefined {
-        const { records, members, incarnation } = this.deps;
-        return records.isFollowing ? { life: incarnation, at: members.changes } : undefined;
+        const { registryWatcher, memberList, incarnation } = this.deps;
+        return registryWatcher.isSynchronized ? { life: incarnation, at: memberList.changeCount } : undefined;
     }
 
-    follow(watcher: Address, records: RecordsMark): void {
-        void this.deps.follower.follow(watcher, records);
+    follow(watcher: Address, target: RecordsMark): void {
+        void this.deps.recordFollower.follow(watcher, target);
     }
 
-    /** Watches anew: what waits may wait on a connection that carries nothing any more. */
-    renew(): void {
-        this.deps.records.renew();
-        this.deps.configuration.renew();
+    /** Starts the watches again, since the present ones may be waiting on a dead connection. */
+    restart(): void {
+        this.deps.registryWatcher.restart();
+        this.deps.documentWatcher.renew();
     }
 
-    /** Records that the store has answered; watches that were waiting when it failed may wait for ever. */
-    recordAnswer(now: number): void {
-        this.#answeredAt = now;
+    /**
+     * Records a response of the store. The first one after a failure restarts the watches, since those that were
+     * waiting at the failure may wait forever.
+     */
+    recordResponse(now: number): void {
+        this.#lastResponseAt = now;
         if (this.#hasFailed) {
             this.#hasFailed = false;
-            this.renew();
+            this.restart();
         }
     }
 
-    /** Records that the store has not answered. */
+    /** Records that a renewal has failed. */
     recordFailure(): void {
         this.#hasFailed = true;
     }
--- a/src/membership/recordfollower.ts
+++ b/src/membership/recordfollower.ts
@@ -1,9 +1,9 @@
 /**
- * Follows the daemons' records at a watcher of the hall, in place of the store.
+ * Gets the changes of the daemons' records from a watcher of the hall instead of the store.
  *
- * Each watch that comes back is a call that the store charges, so a fleet in which all watch pays hosts times changes. A watcher's
- * heartbeat tells how far its list has come; what has changed since is asked for here, by a call within the hall. What that says counts
- * as the store's word.
+ * The store charges for each watch that returns. If all daemons watched it, the cost would be the number of hosts times
+ * the number of changes. A watcher's heartbeat carries the mark of its list; this module requests the changes up to
+ * that mark with a call within the hall. Records in the response count as records of the store.
  */
 import type { Address } from "../ids/address.js";
 import { log } from "../log/log.js";
@@ -14,75 +14,80 @@
 
 const logger = log("roster");
 
-/** `ask` gets what a watcher's list has beyond a mark, or all of it. */
 type FollowerDependencies = {
-    readonly members: MemberList;
-    readonly ask: (watcher: Address, have: RecordsMark | undefined) => Promise<RecordChanges>;
+    readonly memberList: MemberList;
+    /** Requests the changes of a watcher's list after a mark, or the whole list if there is no mark. */
+    readonly fetchChanges: (watcher: Address, after: RecordsMark | undefined) => Promise<RecordChanges>;
     readonly clock: Clock;
 };
 
-/** One question at a time; what a heartbeat tells meanwhile is asked for after it. */
+/** Sends one request at a time; a mark that arrives in the meantime is caught up with afterwards. */
 export class RecordFollower {
     #watcher: Address | undefined;
-    #have: RecordsMark | undefined;
-    #wanted: RecordsMark | undefined;
-    #isAsking = false;
+    #appliedMark: RecordsMark | undefined;
+    #targetMark: RecordsMark | undefined;
+    #isFetching = false;
 
     constructor(private readonly deps: FollowerDependencies) {}
 
-    /** Catches up with a watcher whose list has come so far. */
-    async follow(watcher: Address, wanted: RecordsMark): Promise<void> {
+    /** Catches up with a watcher whose list is at the mark `target`. */
+    async follow(watcher: Address, target: RecordsMark): Promise<void> {
         if (watcher !== this.#watcher) {
             this.#watcher = watcher;
-            this.#have = undefined;
-            logger.change("The records are followed at a watcher.", { watcher });
+            this.#appliedMark = undefined;
+            logger.change("This daemon gets the records from a watcher of its hall.", { watcher });
         }
-        this.#wanted = wanted;
-        if (this.#isAsking) {
+        this.#targetMark = target;
+        if (this.#isFetching) {
             return;
         }
-        this.#isAsking = true;
+        this.#isFetching = true;
         try {
             while (this.#isBehind()) {
-                await this.#ask(this.#watcher!);
+                await this.#fetchOnce(this.#watcher!);
             }
         }
         catch (err) {
-            logger.warn("The watcher did not return its records; its next heartbeat is waited for.", err, { watcher });
+            logger.warn("The watcher did not return its records; its next heartbeat starts another request.", err, {
+                watcher,
+            });
         }
         finally {
-            this.#isAsking = false;
+            this.#isFetching = false;
         }
     }
 
     #isBehind(): boolean {
-        const [have, wanted] = [this.#have, this.#wanted];
-        return wanted !== undefined && (have?.life !== wanted.life || have.at < wanted.at);
+        const [applied, target] = [this.#appliedMark, this.#targetMark];
+        return target !== undefined && (applied?.life !== target.life || applied.at < target.at);
     }
 
-    /** What was wanted may be of a life of the watcher that has ended: its answer is the newest there is. */
-    async #ask(watcher: Address): Promise<void> {
-        const changes = await this.deps.ask(watcher, this.#have);
+    /**
+     * Replaces a target of another incarnation by the mark in the response, since that incarnation of the watcher has
+     * ended.
+     */
+    async #fetchOnce(watcher: Address): Promise<void> {
+        const changes = await this.deps.fetchChanges(watcher, this.#appliedMark);
         if (watcher !== this.#watcher) {
             return;
         }
-        this.#have = changes.mark;
-        if (this.#wanted?.life !== changes.mark.life) {
-            this.#wanted = changes.mark;
+        this.#appliedMark = changes.mark;
+        if (this.#targetMark?.life !== changes.mark.life) {
+            this.#targetMark = changes.mark;
         }
         this.#apply(changes);
     }
 
     #apply({ complete, members, gone }: RecordChanges): void {
-        const { members: known, clock } = this.deps;
+        const { memberList, clock } = this.deps;
         const now = clock();
-        known.inOne(() => {
-            members.forEach(member => known.record(member, "store", now));
-            gone.forEach(gate => known.recordGone(gate, now));
+        memberList.batch(() => {
+            members.forEach(member => memberList.record(member, "store", now));
+            gone.forEach(gate => memberList.recordRemoteRemoval(gate, now));
             if (complete) {
-                const listed = new Set(members.map(member => member.gate));
-                known.members.filter(({ gate }) => !listed.has(gate)).forEach(({ gate }) =>
-                    known.recordGone(gate, now)
+                const listedGates = new Set(members.map(member => member.gate));
+                memberList.members.filter(({ gate }) => !listedGates.has(gate)).forEach(({ gate }) =>
+                    memberList.recordRemoteRemoval(gate, now)
                 );
             }
         });
--- a/src/membership/recordpublisher.ts
+++ b/src/membership/recordpublisher.ts
@@ -1,4 +1,4 @@
-/** Keeps this daemon's record in the registry. */
+/** Publishes this daemon's record in the registry, and renews it. */
 import { log } from "../log/log.js";
 import { StoreLoop } from "../store/storeloop.js";
 import type { Member } from "../wire/member.js";
@@ -6,32 +6,33 @@
 
 const logger = log("roster");
 
-/** A third of the lease, in milliseconds. */
-const RENEW_EVERY_MS = 3000;
-/** Others rely on a watcher's contact with the store, and each renewal shows whether it has any; milliseconds. */
-const RENEW_WATCHING_EVERY_MS = 2000;
+/** A third of the record's lease. */
+const RENEWAL_INTERVAL_MS = 3000;
+/** Shorter for a watcher: its followers rely on its contact with the store, and each renewal checks that contact. */
+const WATCHER_RENEWAL_INTERVAL_MS = 2000;
 
-/** What the publisher needs; `onTrouble` is called when the store has failed, `onSuccess` when it has answered. */
 type PublisherDependencies = {
     readonly registry: Registry;
-    readonly member: () => Member;
-    /** Whether this daemon watches the store for others. */
+    readonly ownRecord: () => Member;
+    /** Returns true while this daemon watches the store for others. */
     readonly isWatching: () => boolean;
-    readonly onTrouble: () => void;
+    /** Called after each call of the store that failed. */
+    readonly onFailure: () => void;
+    /** Called after each publication or renewal that succeeded. */
     readonly onSuccess: () => void;
 };
 
-/** One loop: publishes what has changed, renews what has not. */
+/** Runs one loop, which publishes the record if it has changed, and renews it otherwise. */
 export class RecordPublisher {
     readonly #loop: StoreLoop;
-    /** The version of the record that the store has; undefined when it must be written. */
-    #published: number | undefined;
+    /** The version of the record in the store; undefined if the record has to be published. */
+    #publishedVersion: number | undefined;
 
     constructor(private readonly deps: PublisherDependencies) {
         this.#loop = new StoreLoop({
             step: () => this.#step(),
-            failed: err => this.#failed(err),
-            pauseMs: () => deps.isWatching() ? RENEW_WATCHING_EVERY_MS : RENEW_EVERY_MS,
+            failed: err => this.#onStepFailed(err),
+            pauseMs: () => deps.isWatching() ? WATCHER_RENEWAL_INTERVAL_MS : RENEWAL_INTERVAL_MS,
         });
     }
 
@@ -39,44 +40,49 @@
         this.#loop.start();
     }
 
-    /** Publishes as soon as may be: the record has changed, or is gone. */
+    /**
+     * Publishes the record without waiting for the next renewal; called if it has changed or is gone from the store.
+     */
     publishSoon(): void {
-        this.#published = undefined;
+        this.#publishedVersion = undefined;
         this.#loop.wake();
     }
 
-    /** Stops, and takes the record back if the store answers soon. */
+    /** Stops the loop, and withdraws the record if the store responds in time. */
     async stop(): Promise<void> {
         this.#loop.stop();
         try {
             await this.deps.registry.withdraw();
         }
         catch (err) {
-            logger.warn("The record could not be taken back.", err);
+            logger.warn("This daemon's record could not be withdrawn; it stays until its lease expires.", err);
         }
     }
 
-    #failed(err: unknown): void {
-        logger.warn("The record could not be kept.", err);
-        this.deps.onTrouble();
+    #onStepFailed(err: unknown): void {
+        logger.warn(
+            "This daemon's record could not be published or renewed; the next attempt follows after a backoff.",
+            err,
+        );
+        this.deps.onFailure();
     }
 
     async #step(): Promise<void> {
-        const member = this.deps.member();
-        if (this.#published !== member.version || !await this.deps.registry.renew()) {
-            await this.#write(member);
+        const record = this.deps.ownRecord();
+        if (this.#publishedVersion !== record.version || !await this.deps.registry.renew()) {
+            await this.#publish(record);
         }
         this.deps.onSuccess();
     }
 
-    /** Set before the call: a change that comes meanwhile must be written after it. */
-    async #write(member: Member): Promise<void> {
-        this.#published = member.version;
+    /** Sets the version before the call, so that a change during the call is published after it. */
+    async #publish(record: Member): Promise<void> {
+        this.#publishedVersion = record.version;
         try {
-            await this.deps.registry.publish(member);
+            await this.deps.registry.publish(record);
         }
         catch (err) {
-            this.#published = undefined;
+            this.#publishedVersion = undefined;
             throw err;
         }
     }
--- a/src/membership/registry.ts
+++ b/src/membership/registry.ts
@@ -1,22 +1,25 @@
-/** Where daemons find each other: the platform's store, as far as membership uses it. */
+/** Defines what membership uses of the platform's store, through which daemons find each other. */
 import type { CrashRecord } from "../policy/quarantine/crashrecord.js";
 import type { Member } from "../wire/member.js";
 import type { RegistryEvent } from "./registryevent.js";
 import type { RegistryList } from "./registrylist.js";
 
-/** All calls throw a StoreError. */
+/** All methods reject with a StoreError if the store fails. */
 export abstract class Registry {
-    /** Writes the daemon's record, for as long as it is renewed. */
+    /** Writes the daemon's record under a lease; it expires if it is not renewed. */
     abstract publish(member: Member): Promise<void>;
-    /** Renews the record; false when it is gone and must be published again. */
+    /** Renews the record's lease; resolves with false if the record is gone and has to be published again. */
     abstract renew(): Promise<boolean>;
-    /** Takes the record back. */
+    /** Deletes the daemon's record. */
     abstract withdraw(): Promise<void>;
-    /** Keeps what is known of a quarantined request for so long, in milliseconds; what was kept of it before is replaced. */
+    /** Stores the crash record of a quarantined request for `keepMs` milliseconds, in place of an earlier one. */
     abstract keepCrashes(record: CrashRecord, keepMs: number): Promise<void>;
-    /** All records, and where to watch from; stale ones cost the store less and may be seconds old: nothing is watched from there. */
+    /**
+     * Returns all records. A stale list costs the store less, but may be seconds old; its position (`at`) must not be
+     * used for a watch.
+     */
     abstract list(age: "newest" | "stale"): Promise<RegistryList>;
-    /** Waits for changes after `after`; throws a HistoryError when they are no longer kept. */
+    /** Waits for changes after the position `after`; rejects with a HistoryError if the store no longer has them. */
     abstract watch(
         after: number,
         signal: AbortSignal,
--- a/src/membership/registrywatcher.ts
+++ b/src/membership/registrywatcher.ts
@@ -1,4 +1,4 @@
-/** Follows the records of all daemons in the store. */
+/** Reads and watches the records of all daemons in the store. */
 import type { Address } from "../ids/address.js";
 import { log } from "../log/log.js";
 import type { CrashRecord } from "../policy/quarantine/crashrecord.js";
@@ -14,47 +14,58 @@
 
 const logger = log("roster");
 
-/** Changes often come many at once, and each watch is a call that costs; milliseconds. */
-const GATHER_MS = 250;
+/** The pause before the next watch: changes often come in groups, and the store charges for each watch that returns. */
+const BATCH_DELAY_MS = 250;
 
-/** How often one that knew nobody looks for others, at a tenth of a call each, before it watches the store by itself. */
-const ALONE_LOOKS = 3;
-/** Milliseconds; all looks are over before a daemon that knows nobody watches (daemon/membershipgroup.ts). */
-const ALONE_LOOK_EVERY_MS = 1000;
+/**
+ * How often a daemon that knows no other member reads the stale list again before it watches the store. Each read costs
+ * a tenth of a call.
+ */
+const REREAD_COUNT = 3;
+/** All these reads end before a daemon that knows no other member starts to watch (daemon/membershipgroup.ts). */
+const REREAD_INTERVAL_MS = 1000;
 
-/** What the watcher needs; `onOwnGone` is called when this daemon's own record is gone, `onOwn` with one that is found. */
 type WatcherDependencies = {
     readonly self: Address;
     readonly registry: Registry;
-    readonly members: MemberList;
+    readonly memberList: MemberList;
     readonly clock: Clock;
-    readonly onOwnGone: () => void;
-    readonly onOwn: (member: Member) => void;
-    /** Told of what the store keeps of quarantined requests. */
+    /** Called if this daemon's own record is gone from the store. */
+    readonly onOwnUnregistered: () => void;
+    /** Called with this daemon's own record if a list contains it; it may be of an earlier incarnation. */
+    readonly onOwnRecord: (member: Member) => void;
+    /** Called with the crash records of quarantined requests in the store. */
     readonly onCrashRecords: (records: readonly CrashRecord[]) => void;
 };
 
-/** Reads all records once; then, while it is this daemon's turn, all records and what changes. */
+/** Reads the stale list at the start; while this daemon is a watcher, reads the newest list and watches its changes. */
 export class RegistryWatcher {
     readonly #loop: StoreLoop;
-    #at: number | undefined;
+    /**
+     * The position in the store's history up to which changes were applied; undefined if the list must be read again.
+     */
+    #watchedUpTo: number | undefined;
 
     constructor(private readonly deps: WatcherDependencies) {
         this.#loop = new StoreLoop({
             step: signal => this.#step(signal),
-            failed: err => logger.warn("The records could not be followed.", err),
-            pauseMs: () => GATHER_MS,
+            failed: err =>
+                logger.warn(
+                    "The records in the store could not be read or watched; the next attempt follows after a backoff.",
+                    err,
+                ),
+            pauseMs: () => BATCH_DELAY_MS,
         });
     }
 
-    /** True when the list of daemons is the store's, as far as it has answered. */
-    get isFollowing(): boolean {
-        return this.#loop.running && this.#at !== undefined;
+    /** True while this daemon watches the store and has read the newest list. */
+    get isSynchronized(): boolean {
+        return this.#loop.running && this.#watchedUpTo !== undefined;
     }
 
-    /** Starts or ends the watch. */
-    set(watch: boolean): void {
-        if (watch) {
+    /** Starts or stops the watch. */
+    setWatching(isWatching: boolean): void {
+        if (isWatching) {
             this.#loop.start();
         }
         else {
@@ -62,47 +73,52 @@
         }
     }
 
-    /** Watches anew: what waits may wait on a connection that carries nothing any more. */
-    renew(): void {
+    /** Starts the present watch again, since it may be waiting on a dead connection. */
+    restart(): void {
         this.#loop.renew();
     }
 
     /**
-     * Reads what the store has at a start, maybe seconds old, for a tenth of a call: who was there before is enough to find a watcher of
-     * the hall, which tells the rest. Resolves when the store has answered or failed.
+     * Reads the stale list at the start, which costs a tenth of a call. Its records may be seconds old, but are enough
+     * to find a watcher of the hall, which sends the rest. Resolves when the store has responded or failed.
      */
-    async readOld(): Promise<void> {
+    async readStale(): Promise<void> {
         try {
-            this.#applyAll(await this.deps.registry.list("stale"), false);
+            this.#applyList(await this.deps.registry.list("stale"), false);
         }
         catch (err) {
-            logger.warn("The records could not be read at the start.", err);
+            logger.warn(
+                "The records in the store could not be read at the start; other members may be missing from the list.",
+                err,
+            );
         }
     }
 
-    /** Reads the same a few times more: where nobody was known at the start, others may have started at the same moment. */
-    async lookAgain(): Promise<void> {
-        for (let look = 0; look < ALONE_LOOKS; look++) {
-            await sleep(ALONE_LOOK_EVERY_MS);
-            await this.readOld();
+    /**
+     * Reads the stale list a few more times: if no other member was known, others may have started at the same moment.
+     */
+    async rereadStale(): Promise<void> {
+        for (let read = 0; read < REREAD_COUNT; read++) {
+            await sleep(REREAD_INTERVAL_MS);
+            await this.readStale();
         }
     }
 
     async #step(signal: AbortSignal): Promise<void> {
-        if (this.#at === undefined || !await this.#watch(this.#at, signal)) {
-            this.#at = undefined;
+        if (this.#watchedUpTo === undefined || !await this.#watch(this.#watchedUpTo, signal)) {
+            this.#watchedUpTo = undefined;
             const list = await this.deps.registry.list("newest");
-            this.#applyAll(list, true);
-            this.#at = list.at;
+            this.#applyList(list, true);
+            this.#watchedUpTo = list.at;
         }
     }
 
-    /** False when the changes after `after` are no longer kept. */
+    /** Applies the next changes; resolves with false if the store no longer has the changes after `after`. */
     async #watch(after: number, signal: AbortSignal): Promise<boolean> {
         try {
             const { events, at } = await this.deps.registry.watch(after, signal);
-            this.deps.members.inOne(() => events.forEach(event => this.#apply(event)));
-            this.#at = at;
+            this.deps.memberList.batch(() => events.forEach(event => this.#applyEvent(event)));
+            this.#watchedUpTo = at;
             return true;
         }
         catch (err) {
@@ -113,40 +129,40 @@
         }
     }
 
-    /** A member that is not among the newest has no record any more. */
-    #applyAll({ members, crashes }: RegistryList, areNewest: boolean): void {
-        const { members: known, clock, self, onOwn, onCrashRecords } = this.deps;
+    /** Applies a list of all records; a member that the newest list lacks is no longer registered. */
+    #applyList({ members, crashes }: RegistryList, isNewest: boolean): void {
+        const { memberList, clock, self, onOwnRecord, onCrashRecords } = this.deps;
         onCrashRecords(crashes);
         const now = clock();
-        const own = members.find(member => member.gate === self);
-        if (own !== undefined) {
-            onOwn(own);
+        const ownRecord = members.find(member => member.gate === self);
+        if (ownRecord !== undefined) {
+            onOwnRecord(ownRecord);
         }
-        known.inOne(() => {
-            members.forEach(member => known.record(member, "store", now));
-            if (areNewest) {
-                const listed = new Set(members.map(member => member.gate));
-                known.members.filter(({ gate }) => !listed.has(gate)).forEach(({ gate }) =>
-                    known.recordLapse(gate, now)
+        memberList.batch(() => {
+            members.forEach(member => memberList.record(member, "store", now));
+            if (isNewest) {
+                const listedGates = new Set(members.map(member => member.gate));
+                memberList.members.filter(({ gate }) => !listedGates.has(gate)).forEach(({ gate }) =>
+                    memberList.recordUnregistered(gate, now)
                 );
             }
         });
     }
 
-    #apply(event: RegistryEvent): void {
-        const { members, clock, self, onOwnGone, onCrashRecords } = this.deps;
+    #applyEvent(event: RegistryEvent): void {
+        const { memberList, clock, self, onOwnUnregistered, onCrashRecords } = this.deps;
         if (event.type === "crashes") {
             onCrashRecords([event.record]);
             return;
         }
         if (event.type === "written") {
-            members.record(event.member, "store", clock());
+            memberList.record(event.member, "store", clock());
             return;
         }
         if (event.gate === self) {
-            onOwnGone();
+            onOwnUnregistered();
             return;
         }
-        members.recordLapse(event.gate, clock());
+        memberList.recordUnregistered(event.gate, clock());
     }
 }
--- a/src/membership/relaysof.ts
+++ b/src/membership/relaysof.ts
@@ -1,4 +1,4 @@
-/** Who tells the rest of a change. */
+/** Selects the daemons that propagate a change to their halls. */
 import { hallMembers } from "../distribution/hallmembers.js";
 import { otherHalls } from "../distribution/otherhalls.js";
 import type { Place } from "../distribution/place.js";
@@ -6,13 +6,16 @@
 import type { Address } from "../ids/address.js";
 import type { HallName } from "../ids/hallname.js";
 
-/** Of the own hall, which no link between halls has to carry. */
-const OWN_RELAYS = 2;
-/** Of each other hall; the store tells the watchers there too. */
-const OTHER_RELAYS = 1;
+/** The number of relays in the own hall; messages to them use no link between halls. */
+const OWN_HALL_RELAYS = 2;
+/** The number of relays in each other hall, where the watchers are notified by the store as well. */
+const RELAYS_PER_OTHER_HALL = 1;
 
-/** The first in rank of each hall, the own one first: they watch the store while they can, and tell their halls. */
+/**
+ * Returns the highest-ranked daemons of each hall except `self`, those of the own hall first. They watch the store
+ * while they can reach it, and notify their halls.
+ */
 export function relaysOf(places: readonly Place[], hall: HallName, self: Address): Address[] {
-    const own = rank(hallMembers(places, hall).filter(gate => gate !== self), hall).slice(0, OWN_RELAYS);
-    return [...own, ...otherHalls(places, hall, OTHER_RELAYS).flat()];
+    const own = rank(hallMembers(places, hall).filter(gate => gate !== self), hall).slice(0, OWN_HALL_RELAYS);
+    return [...own, ...otherHalls(places, hall, RELAYS_PER_OTHER_HALL).flat()];
 }
--- a/src/policy/membership/isnewerrecord.ts
+++ b/src/policy/membership/isnewerrecord.ts
@@ -16,9 +16,9 @@
 /** The known state of the daemon. */
 type Known = Version & {
     /** The time of the daemon's last message, in milliseconds on this daemon's clock; -Infinity if there was none. */
-    readonly heardAt: number;
+    readonly lastSeenAt: number;
     /** True if the store no longer has its record. */
-    readonly lapsed: boolean;
+    readonly isUnregistered: boolean;
 };
 
 /** Returns true if the reported version replaces the known one; `now` is in milliseconds on this daemon's clock. */
@@ -30,8 +30,8 @@
         case "itself":
             return true;
         case "store":
-            return now - known.heardAt > directPrecedenceMs;
+            return now - known.lastSeenAt > directPrecedenceMs;
         case "peer":
-            return known.lapsed;
+            return known.isUnregistered;
     }
 }
--- a/src/policy/membership/memberpresence.ts
+++ b/src/policy/membership/memberpresence.ts
@@ -11,15 +11,18 @@
 /** Times in milliseconds on the daemon's clock. */
 type MemberTimes = {
     /** The time of the member's last message. */
-    readonly heardAt: number;
+    readonly lastSeenAt: number;
     /** The time at which its record was missing first; undefined while the store has it. */
-    readonly lapsedAt: number | undefined;
+    readonly unregisteredAt: number | undefined;
 };
 
 /** Returns `present`, `doubtful` if the member has to be probed, or `gone` if it has not responded in time. */
-export function memberPresence({ heardAt, lapsedAt }: MemberTimes, now: number): "present" | "doubtful" | "gone" {
-    if (lapsedAt === undefined || heardAt >= lapsedAt) {
+export function memberPresence(
+    { lastSeenAt, unregisteredAt }: MemberTimes,
+    now: number,
+): "present" | "doubtful" | "gone" {
+    if (unregisteredAt === undefined || lastSeenAt >= unregisteredAt) {
         return "present";
     }
-    return now - lapsedAt >= PROBE_TIMEOUT_MS ? "gone" : "doubtful";
+    return now - unregisteredAt >= PROBE_TIMEOUT_MS ? "gone" : "doubtful";
 }
