--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -34,7 +34,6 @@
 
 type Hello = Extract<Message, { type: "hello"; }>;
 
-/** What gossip needs from its daemon. */
 type GossipDependencies = {
     readonly self: Address;
     readonly memberList: MemberList;
--- a/src/membership/memberlist.ts
+++ b/src/membership/memberlist.ts
@@ -18,12 +18,12 @@
 /** The number of removals that are remembered for peers that are behind; a peer that lacks more gets the whole list. */
 const MAX_REMOVALS = 256;
 
-/** What is known of one member; times are in milliseconds on this daemon's clock. */
+/** The known state of one member; times are in milliseconds on this daemon's clock. */
 type Entry = {
     member: Member;
     /** The time of the member's last message; -Infinity if there was none. */
     lastSeenAt: number;
-    /** The time at which its record was missing in the store first; undefined while the store has it. */
+    /** The time at which its record was first missing from the store; undefined while the store has it. */
     unregisteredAt: number | undefined;
     /** The number of the change that set this record. */
     changeNumber: number;
@@ -38,7 +38,7 @@
     readonly #listeners: (() => void)[] = [];
     /** The number of the change that removed each daemon, in ascending order. */
     readonly #removals = new Map<Address, number>();
-    /** The number of the change after which all removals are remembered. */
+    /** All removals after the change of this number are remembered. */
     #removalsCompleteAfter = 0;
     #changeCount = 0;
     /** The batch in progress, and whether it has changed anything so far. */
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -37,7 +37,6 @@
 import { relaysOf } from "./relaysof.js";
 import { upstreamsOf } from "./upstreamsof.js";
 
-/** What membership needs from the rest of the daemon. */
 type MembershipDependencies = {
     readonly self: Address;
     readonly incarnation: Incarnation;
--- a/src/membership/registry.ts
+++ b/src/membership/registry.ts
@@ -1,4 +1,4 @@
-/** Defines what membership uses of the platform's store, through which daemons find each other. */
+/** Declares the operations of the platform's store that membership uses; daemons find each other through its records. */
 import type { CrashRecord } from "../policy/quarantine/crashrecord.js";
 import type { Member } from "../wire/member.js";
 import type { RegistryEvent } from "./registryevent.js";
