--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -109,26 +109,14 @@
         return [...upstreamsOf({ ...this.member, upstreams: this.#ownUpstreams.all }), ...this.#memberList.upstreams];
     }
 
-    /**
-     * Returns the changes that a peer lacks whose copy of this list is at the mark `after`, or the whole list if the
-     * peer has no copy or the changes are no longer known. This daemon's own record is always included.
-     */
+    /** Returns the changes after the mark `after`, or the whole list; both include this daemon's own record. */
     changesSince(after: RecordsMark | undefined): RecordChanges {
-        const { incarnation } = this.deps;
-        const { complete, members, gone } = this.#memberList.changesSince(
-            after?.life === incarnation ? after.at : undefined,
-        );
-        return {
-            mark: { life: incarnation, at: this.#memberList.changeCount },
-            complete,
-            members: [this.member, ...members],
-            gone,
-        };
+        const { incarnation: life } = this.deps;
+        const { complete, members, gone } = this.#memberList.changesSince(after?.life === life ? after.at : undefined);
+        return { mark: { life, at: this.#memberList.changeCount }, complete, members: [this.member, ...members], gone };
     }
 
-    /**
-     * Returns the median knee of the service's upstreams as a share of their slots; undefined while it is not known.
-     */
+    /** Returns the median knee of the service's upstreams as a share of their slots, or undefined if not known. */
     usualShare(service: ServiceName): number | undefined {
         return this.#learnedShares.usual(service, this.#memberList.hostedUpstreams);
     }
@@ -155,10 +143,7 @@
         this.gossip.start();
     }
 
-    /**
-     * Publishes this daemon's record. If no other member is known, it reads the store again: others may just have
-     * started too.
-     */
+    /** Publishes this daemon's record; if it knows no other member, reads again: others may just have started. */
     async #publishFirstRecord(): Promise<void> {
         await Promise.all([this.#ownUpstreams.find(), this.#registryWatcher.readStale()]);
         this.#incrementVersion();
@@ -168,10 +153,7 @@
         }
     }
 
-    /**
-     * Notifies peers that this daemon no longer serves upstreams, and withdraws its record; the daemon itself keeps
-     * running.
-     */
+    /** Notifies peers that this daemon serves no upstream any more, and withdraws its record; it keeps running. */
     async startLeaving(): Promise<void> {
         this.#isLeaving = true;
         this.#ownUpstreams.startLeaving();
@@ -180,7 +162,6 @@
         await this.#publisher.stop();
     }
 
-    /** Notifies the relays that this daemon stops, and stops all timers, watches and listeners. */
     stop(): void {
         this.gossip.announceStop();
         this.gossip.stop();
@@ -220,11 +201,7 @@
             memberList,
             registryWatcher: this.#registryWatcher,
             documentWatcher: watcher,
-            recordFollower: new RecordFollower({
-                memberList,
-                clock,
-                fetchChanges: (address, after) => peer.records(address, after),
-            }),
+            follower: new RecordFollower({ memberList, clock, fetch: (gate, after) => peer.records(gate, after) }),
         });
     }
 
@@ -246,11 +223,8 @@
         });
     }
 
-    /** Publishes the record if the knees of the upstreams have changed enough. */
     #publishChangedShares(): void {
-        if (
-            this.#learnedShares.hasNews(this.#ownUpstreams.all, this.#memberList.hostedUpstreams, this.deps.clock())
-        ) {
+        if (this.#learnedShares.hasNews(this.#ownUpstreams.all, this.#memberList.hostedUpstreams, this.deps.clock())) {
             this.#publishRecord();
         }
     }
--- a/src/membership/membershipwatch.ts
+++ b/src/membership/membershipwatch.ts
@@ -23,7 +23,7 @@
     readonly memberList: MemberList;
     readonly registryWatcher: RegistryWatcher;
     readonly documentWatcher: DocumentWatcher;
-    readonly recordFollower: RecordFollower;
+    readonly follower: RecordFollower;
 };
 
 /** The result of each renewal of this daemon's record has to be reported with `recordResponse` or `recordFailure`. */
@@ -56,7 +56,7 @@
     }
 
     follow(watcher: Address, target: RecordsMark): void {
-        void this.deps.recordFollower.follow(watcher, target);
+        void this.deps.follower.follow(watcher, target);
     }
 
     /** Starts the watches again, since the present ones may be waiting on a dead connection. */
--- a/src/membership/recordfollower.ts
+++ b/src/membership/recordfollower.ts
@@ -17,7 +17,7 @@
 type FollowerDependencies = {
     readonly memberList: MemberList;
     /** Requests the changes of a watcher's list after a mark, or the whole list if there is no mark. */
-    readonly fetchChanges: (watcher: Address, after: RecordsMark | undefined) => Promise<RecordChanges>;
+    readonly fetch: (watcher: Address, after: RecordsMark | undefined) => Promise<RecordChanges>;
     readonly clock: Clock;
 };
 
@@ -67,7 +67,7 @@
      * ended.
      */
     async #fetchOnce(watcher: Address): Promise<void> {
-        const changes = await this.deps.fetchChanges(watcher, this.#appliedMark);
+        const changes = await this.deps.fetch(watcher, this.#appliedMark);
         if (watcher !== this.#watcher) {
             return;
         }
