--- a/src/distribution/changepublisher.ts
+++ b/src/distribution/changepublisher.ts
@@ -1,8 +1,8 @@
 /**
- * Puts changes into the store by compare-and-swap.
+ * Writes operators' changes of the configuration to the store by compare-and-swap.
  *
- * A lost answer is resolved by reading back: the document keeps the ids of its last changes, so that the same change,
- * tried again, either is found there or is written once.
+ * If the response to a write is lost, the publisher reads the document again. The document keeps the ids of its latest
+ * changes, so a retried change is either found there or written once.
  */
 import { applyChanges } from "../config/applychanges.js";
 import { ConfigError } from "../config/configerror.js";
@@ -21,20 +21,20 @@
 
 const logger = log("config");
 
-/** Of one change: with the pauses between them about three seconds. */
-const MAX_TRIES = 8;
-/** Of the document: what the store takes as one value. */
-const MAX_BYTES = 1024 * 1024;
+/** Attempts for one change; with the pauses between them they take about three seconds. */
+const MAX_ATTEMPTS = 8;
+/** Largest encoded document: the store's limit for one value. */
+const MAX_DOCUMENT_BYTES = 1024 * 1024;
 
-/** Waits before another attempt; given by the daemon, so that this class holds no timers. */
+/** Resolves when the given attempt may start. The daemon provides it, so that this class holds no timers. */
 type Pause = (attempt: number) => Promise<void>;
 
-const storeIssue = (err: unknown): Issue => ({ code: "store", path: "", message: (err as Error).message });
+const toStoreIssue = (err: unknown): Issue => ({ code: "store", path: "", message: (err as Error).message });
 
-const isKnown = (document: Document, id: ChangeId): number | undefined =>
+const revisionOf = (document: Document, id: ChangeId): number | undefined =>
     document.changes.find(change => change.id === id)?.revision;
 
-/** Serves the operators' changes at this daemon. */
+/** Applies and looks up the changes that operators send to this daemon. */
 export class ChangePublisher {
     constructor(
         private readonly store: Store,
@@ -42,20 +42,20 @@
         private readonly pause: Pause,
     ) {}
 
-    /** Makes the change, or returns why not; never throws for what the store or the operator does. */
+    /** Applies a change and returns its result; does not throw for failures of the store or invalid changes. */
     async apply(request: ChangeRequest): Promise<ChangeResult> {
-        let written = false;
-        let last: unknown;
-        for (let attempt = 0; attempt < MAX_TRIES; attempt++) {
+        let mayBeWritten = false;
+        let lastError: unknown;
+        for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
             if (attempt > 0) {
                 await this.pause(attempt);
             }
             try {
-                const result = await this.#attempt(request, () => written = true);
+                const result = await this.#tryApply(request, () => mayBeWritten = true);
                 if (result !== undefined) {
                     return result;
                 }
-                written = false;
+                mayBeWritten = false;
             }
             catch (err) {
                 if (err instanceof ConfigError) {
@@ -64,55 +64,61 @@
                 if (!(err instanceof StoreError)) {
                     throw err;
                 }
-                logger.warn("The store failed.", err);
-                last = err;
+                logger.warn("A store request failed while a change was being applied.", err);
+                lastError = err;
             }
         }
-        return { type: written ? "unknown" : "not-applied", issues: [storeIssue(last)] };
+        return { type: mayBeWritten ? "unknown" : "not-applied", issues: [toStoreIssue(lastError)] };
     }
 
-    /** The revision that a change made; undefined when it is not among the last ones. Throws a StoreError. */
+    /**
+     * Returns the revision that a change produced, or undefined if it is not among the latest changes. Throws a
+     * StoreError.
+     */
     async find(id: ChangeId): Promise<number | undefined> {
         const { value } = await this.store.read();
-        return isKnown(decodeDocument(value), id);
+        return revisionOf(decodeDocument(value), id);
     }
 
-    /** Returns undefined when another change came between and this one may be tried again. */
-    async #attempt(request: ChangeRequest, writing: () => void): Promise<ChangeResult | undefined> {
+    /**
+     * Makes one attempt; returns undefined if another change was written meanwhile, so that this one can be retried.
+     */
+    async #tryApply(request: ChangeRequest, onWriteStart: () => void): Promise<ChangeResult | undefined> {
         const { value, version } = await this.store.read();
         const document = decodeDocument(value);
         this.configuration.apply(document);
-        const known = isKnown(document, request.id);
-        if (known !== undefined) {
-            return { type: "accepted", revision: known, difference: [] };
+        const knownRevision = revisionOf(document, request.id);
+        if (knownRevision !== undefined) {
+            return { type: "accepted", revision: knownRevision, difference: [] };
         }
         if (request.baseRevision !== 0 && request.baseRevision !== document.revision) {
             return { type: "conflict", revision: document.revision, other: document.changes.at(-1) };
         }
-        const changed = applyChanges(document, request.id, request.changes);
-        const difference = diffDocuments(document, changed);
+        const updated = applyChanges(document, request.id, request.changes);
+        const difference = diffDocuments(document, updated);
         if (request.dryRun) {
             return { type: "dry-run", revision: document.revision, difference };
         }
-        return await this.#write(changed, version, difference, writing);
+        return await this.#write(updated, version, difference, onWriteStart);
     }
 
+    /** Writes the document; returns undefined if its version in the store is no longer `version`. */
     async #write(
-        changed: Document,
+        updated: Document,
         version: number,
         difference: string[],
-        writing: () => void,
+        onWriteStart: () => void,
     ): Promise<ChangeResult | undefined> {
-        const value = encodeDocument(changed);
-        if (Buffer.byteLength(value) > MAX_BYTES) {
-            const message = `the document would be larger than ${MAX_BYTES} bytes`;
+        const value = encodeDocument(updated);
+        if (Buffer.byteLength(value) > MAX_DOCUMENT_BYTES) {
+            const message = `the document would be larger than ${MAX_DOCUMENT_BYTES} bytes`;
             throw new ConfigError([{ code: "too-large", path: "", message }]);
         }
-        writing();
+        onWriteStart();
         if (!await this.store.write(value, version)) {
             return undefined;
         }
-        this.configuration.apply(changed);
-        return { type: "accepted", revision: changed.revision, difference };
+        this.configuration.apply(updated);
+        return { type: "accepted", revision: updated.revision, difference };
     }
 }
--- a/src/distribution/changerequest.ts
+++ b/src/distribution/changerequest.ts
@@ -1,8 +1,8 @@
-/** A change that an operator asks for. */
+/** A change of the configuration that an operator requests. */
 import type { Change } from "../config/change.js";
 import type { ChangeId } from "../ids/changeid.js";
 
-/** `baseRevision` 0 means the newest, whatever it is. */
+/** The changes apply to the revision `baseRevision` only; 0 stands for the newest revision. */
 export type ChangeRequest = {
     readonly id: ChangeId;
     readonly baseRevision: number;
--- a/src/distribution/changeresult.ts
+++ b/src/distribution/changeresult.ts
@@ -1,8 +1,11 @@
-/** What became of a change. */
+/** The result of a change that an operator requested. */
 import type { ChangeRecord } from "../config/changerecord.js";
 import type { Issue } from "../config/issue.js";
 
-/** `unknown` means: ask again with the same change id; it can't take effect twice. */
+/**
+ * `unknown`: the change may or may not have been written. The operator can send it again with the same change id; it
+ * can't take effect twice.
+ */
 export type ChangeResult =
     | { readonly type: "accepted"; readonly revision: number; readonly difference: readonly string[]; }
     | { readonly type: "dry-run"; readonly revision: number; readonly difference: readonly string[]; }
--- a/src/distribution/changethrottle.ts
+++ b/src/distribution/changethrottle.ts
@@ -1,17 +1,19 @@
-/** Lets changes of a value pass at most so often. */
+/** Limits how often changes of a value are propagated. */
+
+/** Lets a changed value pass at most once in an interval. Times are in milliseconds. */
 export class ChangeThrottle<Value> {
-    #passedAt = -Infinity;
+    #lastPassedAt = -Infinity;
 
-    /** `passed` is the value that needs not pass; `everyMs` in milliseconds. */
-    constructor(private readonly everyMs: number, private passed: Value) {}
+    /** `lastPassed` is the initial value, which counts as passed. */
+    constructor(private readonly intervalMs: number, private lastPassed: Value) {}
 
-    /** True when the value differs from the one that passed last, which was long enough ago; then it passes. */
+    /** Returns true, and records the value as passed, if it differs from the last one and the interval has elapsed. */
     pass(value: Value, now: number): boolean {
-        if (value === this.passed || now - this.#passedAt < this.everyMs) {
+        if (value === this.lastPassed || now - this.#lastPassedAt < this.intervalMs) {
             return false;
         }
-        this.passed = value;
-        this.#passedAt = now;
+        this.lastPassed = value;
+        this.#lastPassedAt = now;
         return true;
     }
 }
--- a/src/distribution/configurationpuller.ts
+++ b/src/distribution/configurationpuller.ts
@@ -1,4 +1,4 @@
-/** Gets what is newer from a peer. */
+/** Pulls newer revisions of the configuration from peers. */
 import { parse } from "../config/parse.js";
 import { Update } from "../config/update.js";
 import type { Address } from "../ids/address.js";
@@ -10,10 +10,10 @@
 
 const logger = log("config");
 
-/** For which a request waits for a newer configuration, in milliseconds: a call to a peer, and a margin. */
-const SOON_MS = 250;
+/** Longest time for which a request waits for a newer configuration: a call to a peer and a margin. */
+const REQUEST_WAIT_MS = 250;
 
-/** One pull at a time; what is asked for meanwhile shares it. */
+/** Runs one pull at a time; callers that ask for another one meanwhile wait for the pull in progress. */
 export class ConfigurationPuller {
     #pulling: Promise<void> | undefined;
 
@@ -23,23 +23,23 @@
         private readonly metrics: Metrics,
     ) {}
 
-    /** Resolves when the peer was asked, whatever came of it; does nothing when `revision` is not newer. */
+    /** Pulls from a peer if `revision` is newer. Resolves when the pull has ended, also if it failed. */
     async pull(revision: number, from: Address): Promise<void> {
         if (revision <= this.configuration.revision) {
             return;
         }
-        this.#pulling ??= this.#ask(from).finally(() => this.#pulling = undefined);
+        this.#pulling ??= this.#pullFrom(from).finally(() => this.#pulling = undefined);
         await this.#pulling;
     }
 
-    /** The same, but a request waits for it: resolves after a quarter of a second at the latest. */
+    /** Pulls as `pull` does, but resolves after REQUEST_WAIT_MS at the latest, because a request waits for it. */
     async pullSoon(revision: number, from: Address | undefined): Promise<void> {
         if (revision > this.configuration.revision && from !== undefined) {
-            await Promise.race([this.pull(revision, from), sleep(SOON_MS)]);
+            await Promise.race([this.pull(revision, from), sleep(REQUEST_WAIT_MS)]);
         }
     }
 
-    async #ask(from: Address): Promise<void> {
+    async #pullFrom(from: Address): Promise<void> {
         try {
             const update = await this.peer.update(from, this.configuration.revision);
             if (update !== undefined) {
@@ -48,7 +48,7 @@
             }
         }
         catch (err) {
-            logger.warn("The peer gave no newer revision.", err, { peer: from });
+            logger.warn("Pulling a newer configuration from a peer failed.", err, { peer: from });
         }
     }
 }
--- a/src/distribution/configurationwatch.ts
+++ b/src/distribution/configurationwatch.ts
@@ -1,9 +1,9 @@
-/** The watch of a daemon that knows the others from the configuration alone. */
+/** The store watch of a daemon that learns of the other daemons from the configuration only. */
 import type { DocumentWatcher } from "./documentwatcher.js";
 import { StoreWatch } from "./storewatch.js";
 import type { WatchScope } from "./watchscope.js";
 
-/** The watch of the configuration; there are no records. */
+/** Watches the configuration; there are no records of daemons to watch or to follow. */
 export class ConfigurationWatch extends StoreWatch {
     readonly records = undefined;
 
@@ -19,12 +19,12 @@
         this.watcher.set(scope !== "nothing");
     }
 
-    /** Nothing but the watch itself would tell. */
+    /** Returns true always: apart from the watch itself, nothing shows whether the store responds. */
     isReached(): boolean {
         return true;
     }
 
     follow(): void {
-        // The configuration names the upstreams: there is nothing to catch up with.
+        // The configuration names the upstreams, so there are no records to pull.
     }
 }
--- a/src/distribution/currentconfiguration.test.ts
+++ b/src/distribution/currentconfiguration.test.ts
@@ -8,12 +8,12 @@
 import type { ChangeId } from "../ids/changeid.js";
 import { CurrentConfiguration } from "./currentconfiguration.js";
 
-const change = (document: Document, id: string, name: string): Document =>
+const withService = (document: Document, id: string, name: string): Document =>
     applyChanges(document, id as ChangeId, [{ type: "putService", service: parse(Service, { name }) }]);
 
-test("configuration: moves forward only, and patches take a peer along", () => {
-    const first = change(emptyDocument, "c1", "a");
-    const second = change(first, "c2", "b");
+test("configuration: the revision only increases, and patches bring a peer up to date", () => {
+    const first = withService(emptyDocument, "c1", "a");
+    const second = withService(first, "c2", "b");
     const [ahead, behind] = [new CurrentConfiguration(), new CurrentConfiguration()];
     ahead.apply(first);
     behind.apply(first);
@@ -27,11 +27,11 @@
     assert.equal(ahead.updateFor(2), undefined);
 });
 
-test("configuration: is fresh only while the store's word is", () => {
+test("configuration: is fresh only while the store's confirmation of its revision is recent", () => {
     const configuration = new CurrentConfiguration();
-    configuration.apply(change(emptyDocument, "c1", "a"));
+    configuration.apply(withService(emptyDocument, "c1", "a"));
     configuration.confirm(2, 0);
-    assert.equal(configuration.fresh(1), false, "there is a newer one");
+    assert.equal(configuration.fresh(1), false, "the store has a newer revision");
     configuration.confirm(1, 0);
     assert.equal(configuration.fresh(11_999), true);
     assert.equal(configuration.fresh(12_000), false);
--- a/src/distribution/currentconfiguration.ts
+++ b/src/distribution/currentconfiguration.ts
@@ -1,7 +1,8 @@
 /**
- * The configuration that this daemon applies; its revision only ever rises.
+ * Holds the configuration that this daemon applies; its revision never decreases.
  *
- * Owns the document, the time at which it was last known to be the newest, and the last patches for peers that are behind.
+ * Owns the document, the time at which it was last known to be the newest, and the latest patches for peers with an
+ * older revision.
  */
 import { applyPatch } from "../config/applypatch.js";
 import type { Document } from "../config/document.js";
@@ -13,13 +14,13 @@
 
 const logger = log("config");
 
-/** Patches kept for peers that are behind: two hours of changes at 720 a day. */
-const KEPT_PATCHES = 64;
+/** Patches kept for peers with an older revision: two hours of changes at 720 a day. */
+const MAX_PATCHES = 64;
 
-/** Milliseconds: six rounds of heartbeats. After that, nothing proves that the document is the newest. */
-const FRESH_MS = 12_000;
+/** Six rounds of heartbeats. Without a confirmation for so long, the document may be stale. */
+const MAX_FRESH_AGE_MS = 12_000;
 
-/** Listeners are called after each change, in the order in which they came. */
+/** Calls its listeners after each change, in the order in which they were added. */
 export class CurrentConfiguration {
     readonly #patches: Patch[] = [];
     readonly #listeners: ((document: Document) => void)[] = [];
@@ -34,61 +35,69 @@
         return this.#document.revision;
     }
 
+    /** Adds a listener that is called with each new document. */
     onChange(listener: (document: Document) => void): void {
         this.#listeners.push(listener);
     }
 
-    /** Milliseconds since the store was known to have nothing newer. */
+    /**
+     * Returns the milliseconds since this revision was last known to be the newest in the store; Infinity if it never
+     * was.
+     */
     ageMs(now: number): number {
         return now - this.#confirmedAt;
     }
 
+    /** Returns true if the revision was known to be the newest recently enough. */
     fresh(now: number): boolean {
-        return this.ageMs(now) < FRESH_MS;
+        return this.ageMs(now) < MAX_FRESH_AGE_MS;
     }
 
-    /** Records that at time `at` the store's newest revision was `revision`. */
-    confirm(revision: number, at: number): void {
+    /** Records that `revision` was the newest one in the store at the time `confirmedAt`. */
+    confirm(revision: number, confirmedAt: number): void {
         if (revision <= this.revision) {
-            this.#confirmedAt = Math.max(this.#confirmedAt, at);
+            this.#confirmedAt = Math.max(this.#confirmedAt, confirmedAt);
         }
     }
 
-    /** Applies a document; false when it is not newer. */
+    /** Applies a document; returns false if it is not newer. */
     apply(document: Document): boolean {
         if (document.revision <= this.revision) {
             return false;
         }
         if (this.revision > 0) {
             this.#patches.push(makePatch(this.#document, document));
-            this.#patches.splice(0, this.#patches.length - KEPT_PATCHES);
+            this.#patches.splice(0, this.#patches.length - MAX_PATCHES);
         }
-        logger.change("A revision is applied.", { revision: document.revision, before: this.revision });
+        logger.change("A new configuration revision is applied.", {
+            revision: document.revision,
+            before: this.revision,
+        });
         this.#document = document;
         this.#listeners.forEach(listener => listener(document));
         return true;
     }
 
-    /** Applies what a peer gave; false when nothing in it was newer. */
+    /** Applies an update from a peer; returns false if it contained nothing newer. */
     applyUpdate(update: Update): boolean {
         if (update.type === "full") {
             return this.apply(update.document);
         }
-        const before = this.revision;
+        const previousRevision = this.revision;
         for (const patch of update.patches) {
             this.apply(applyPatch(this.#document, patch) ?? this.#document);
         }
-        return this.revision > before;
+        return this.revision > previousRevision;
     }
 
-    /** What a peer lacks that has revision `have`. */
-    updateFor(have: number): Update | undefined {
-        if (have >= this.revision) {
+    /** Returns the update for a peer that has the revision `peerRevision`, or undefined if the peer needs none. */
+    updateFor(peerRevision: number): Update | undefined {
+        if (peerRevision >= this.revision) {
             return undefined;
         }
-        const first = this.#patches.findIndex(patch => patch.from === have);
-        return first < 0
+        const firstIndex = this.#patches.findIndex(patch => patch.from === peerRevision);
+        return firstIndex < 0
             ? { type: "full", document: this.#document }
-            : { type: "patches", patches: this.#patches.slice(first) };
+            : { type: "patches", patches: this.#patches.slice(firstIndex) };
     }
 }
--- a/src/distribution/decodedocument.ts
+++ b/src/distribution/decodedocument.ts
@@ -1,9 +1,12 @@
-/** Reads the document from the store's value. */
+/** Decodes the configuration document from its value in the store. */
 import { Document } from "../config/document.js";
 import { emptyDocument } from "../config/emptydocument.js";
 import { parse } from "../config/parse.js";
 
-/** An empty value is the empty document; throws a ConfigError, or a SyntaxError for what is no JSON. */
+/**
+ * Returns the document, the empty one for an empty value. Throws a ConfigError, or a SyntaxError if the value is not
+ * JSON.
+ */
 export function decodeDocument(value: string): Document {
     return value === "" ? emptyDocument : parse(Document, JSON.parse(value));
 }
--- a/src/distribution/documentwatcher.ts
+++ b/src/distribution/documentwatcher.ts
@@ -1,4 +1,4 @@
-/** Watches the document in the store, and what stands beside it of halls, while it is this daemon's turn. */
+/** Watches the configuration document and the evacuated halls in the store while this daemon is a watcher. */
 import type { Evacuations } from "../evacuation/evacuations.js";
 import { log } from "../log/log.js";
 import type { Store } from "../store/store.js";
@@ -9,7 +9,7 @@
 
 const logger = log("config");
 
-/** A loop of waiting watches; each answer confirms the revision. */
+/** Repeats a long-polling watch; each response confirms the revision. */
 export class DocumentWatcher {
     readonly #loop: StoreLoop;
     #version = 0;
@@ -23,7 +23,9 @@
         this.#loop = new StoreLoop({
             step: signal => this.#watchOnce(signal),
             failed: err =>
-                logger.warn("The watch of the configuration failed.", err, { revision: configuration.revision }),
+                logger.warn("A watch of the configuration in the store failed; it is retried.", err, {
+                    revision: configuration.revision,
+                }),
             pauseMs: () => 0,
         });
     }
@@ -32,25 +34,27 @@
         return this.#loop.running;
     }
 
-    /** Starts or ends the loop. */
+    /** Starts or stops the loop. */
     set(watch: boolean): void {
         if (!watch) {
             this.#loop.stop();
         }
         else if (!this.#loop.running) {
-            logger.change("This daemon watches the store.");
+            logger.change("This daemon has started to watch the configuration in the store.");
             this.#loop.start();
         }
     }
 
-    /** Watches anew: what waits may wait on a connection that carries nothing any more. */
+    /** Replaces the pending watch by a new one: its connection may be broken without an error. */
     renew(): void {
         this.#loop.renew();
     }
 
-    /** The time before the call is what is confirmed: the answer may have been on its way for long. */
+    /**
+     * Confirms the revision as of the time before the request, because the response may have been in transit for long.
+     */
     async #watchOnce(signal: AbortSignal): Promise<void> {
-        const askedAt = this.clock();
+        const requestedAt = this.clock();
         const { document, halls } = await this.store.watch(this.#version, signal);
         if (halls !== undefined) {
             this.evacuations.recordStore(halls);
@@ -60,6 +64,6 @@
             this.#version = document.version;
             this.configuration.apply(decoded);
         }
-        this.configuration.confirm(this.configuration.revision, askedAt);
+        this.configuration.confirm(this.configuration.revision, requestedAt);
     }
 }
--- a/src/distribution/encodedocument.ts
+++ b/src/distribution/encodedocument.ts
@@ -1,7 +1,7 @@
-/** The document's form in the store. */
+/** Encodes the configuration document for the store. */
 import type { Document } from "../config/document.js";
 
-/** JSON. */
+/** Returns the document as JSON. */
 export function encodeDocument(document: Document): string {
     return JSON.stringify(document);
 }
--- a/src/distribution/hallheartbeats.test.ts
+++ b/src/distribution/hallheartbeats.test.ts
@@ -16,52 +16,52 @@
 
 const HALL = "a" as HallName;
 const TICK_MS = 50;
-const LIFE = "life" as Incarnation;
+const INCARNATION = "incarnation" as Incarnation;
 
 class FakeWatch extends StoreWatch {
     scope: WatchScope = "nothing";
-    records: RecordsMark | undefined = { life: LIFE, at: 1 };
-    reached = true;
-    readonly followed: string[] = [];
+    records: RecordsMark | undefined = { life: INCARNATION, at: 1 };
+    isReachable = true;
+    readonly followedWatchers: string[] = [];
 
     set(scope: WatchScope): void {
         this.scope = scope;
     }
 
     isReached(): boolean {
-        return this.reached;
+        return this.isReachable;
     }
 
     follow(watcher: Address): void {
-        this.followed.push(watcher);
+        this.followedWatchers.push(watcher);
     }
 }
 
-const halls: readonly Place[] = [
-    ...Array.from({ length: 8 }, (_, at) => ({ gate: `10.0.0.${at}:1` as Address, hall: HALL })),
-    ...Array.from({ length: 4 }, (_, at) => ({ gate: `10.0.1.${at}:1` as Address, hall: "b" as HallName })),
+const locations: readonly Place[] = [
+    ...Array.from({ length: 8 }, (_, index) => ({ gate: `10.0.0.${index}:1` as Address, hall: HALL })),
+    ...Array.from({ length: 4 }, (_, index) => ({ gate: `10.0.1.${index}:1` as Address, hall: "b" as HallName })),
 ];
-const ranked = rank(halls.filter(place => place.hall === HALL).map(place => place.gate), HALL);
+const rankedMembers = rank(locations.filter(location => location.hall === HALL).map(location => location.gate), HALL);
 
-type Mocked = { mock: { timers: { enable(): void; tick(ms: number): void; }; }; };
+type TestWithTimers = { mock: { timers: { enable(): void; tick(ms: number): void; }; }; };
 
-/** A daemon of hall `a`, by its rank, whose time passes with `pass`. */
-const daemonAt = (t: Mocked, place: number) => {
+/** Creates the daemon of hall `a` at the given index in rank; `advance` moves its clock. */
+const createDaemon = (t: TestWithTimers, rankIndex: number) => {
     t.mock.timers.enable();
     let now = 0;
     const watch = new FakeWatch();
     const sent: { readonly to: Address; readonly message: Message; }[] = [];
     const heartbeats = new HallHeartbeats({
-        self: ranked[place]!,
+        self: rankedMembers[rankIndex]!,
         hall: HALL,
         host: "h" as never,
         clock: () => now,
         random: () => 0,
         configuration: new CurrentConfiguration(),
         puller: { pull: async () => {} } as never,
-        election: new WatcherElection(ranked[place]!, 0),
+        election: new WatcherElection(rankedMembers[rankIndex]!, 0),
         watch,
-        places: () => halls,
+        places: () => locations,
         leavingHosts: { names: [], refresh: async () => {} } as never,
         send: (to, message) => sent.push({ to, message }) > 0,
         onWatch: () => {},
@@ -73,66 +73,69 @@
     });
     heartbeats.followPlaces();
     heartbeats.start();
-    const pass = (ms: number): void => {
+    const advance = (ms: number): void => {
         for (const until = now + ms; now < until;) {
             now += TICK_MS;
             t.mock.timers.tick(TICK_MS);
         }
     };
-    const deliver = (from: number, more: object = {}): void =>
+    const deliver = (senderIndex: number, overrides: object = {}): void =>
         heartbeats.receive({
             type: "beat",
-            from: ranked[from]!,
+            from: rankedMembers[senderIndex]!,
             revision: 0,
             ageMs: 0,
             watching: true,
             leaving: [],
-            records: { life: LIFE, at: 5 },
-            ...more,
+            records: { life: INCARNATION, at: 5 },
+            ...overrides,
         });
-    return { watch, sent, pass, deliver, stop: () => heartbeats.stop() };
+    return { watch, sent, advance, deliver, stop: () => heartbeats.stop() };
 };
 
-test("heartbeats: two of a hall watch, and each tells its own half of it of a change at once", t => {
-    const first = daemonAt(t as never, 0);
-    first.pass(200);
+test("heartbeats: each of two watchers notifies its followers at once of changes in the list of daemons", t => {
+    const first = createDaemon(t as never, 0);
+    first.advance(200);
     first.deliver(1);
-    first.pass(2000);
+    first.advance(2000);
     first.sent.length = 0;
-    first.watch.records = { life: LIFE, at: 2 };
-    first.pass(TICK_MS);
-    const told = first.sent.map(({ to }) => to);
-    const own = ranked.filter((_, at) => at % 2 === 0 && at > 0);
-    own.forEach(gate => assert.ok(told.includes(gate), `${gate} is told`));
-    assert.ok(ranked.filter((_, at) => at % 2 === 1).some(gate => !told.includes(gate)), "the rest is the other's");
+    first.watch.records = { life: INCARNATION, at: 2 };
+    first.advance(TICK_MS);
+    const notified = first.sent.map(({ to }) => to);
+    const followers = rankedMembers.filter((_, index) => index % 2 === 0 && index > 0);
+    followers.forEach(gate => assert.ok(notified.includes(gate), `${gate} is notified`));
+    assert.ok(
+        rankedMembers.filter((_, index) => index % 2 === 1).some(gate => !notified.includes(gate)),
+        "the rest of the hall is left to the other watcher",
+    );
     first.stop();
 });
 
-test("heartbeats: who is not first in rank follows its watcher, and the other one when that is silent", t => {
-    const third = daemonAt(t as never, 2);
+test("heartbeats: a follower changes to the other watcher when its own one is unresponsive", t => {
+    const third = createDaemon(t as never, 2);
     third.deliver(0);
     third.deliver(1);
-    assert.deepEqual(third.watch.followed, [ranked[0]]);
-    third.watch.reached = false;
+    assert.deepEqual(third.watch.followedWatchers, [rankedMembers[0]]);
+    third.watch.isReachable = false;
     for (let round = 0; round < 4; round++) {
-        third.pass(2000);
+        third.advance(2000);
         third.deliver(1);
     }
-    assert.equal(third.watch.followed.at(-1), ranked[1]);
-    assert.equal(third.watch.scope, "nothing", "it can't reach the store itself");
-    third.watch.reached = true;
-    third.pass(1000);
-    assert.equal(third.watch.scope, "all", "one watcher is too few");
+    assert.equal(third.watch.followedWatchers.at(-1), rankedMembers[1]);
+    assert.equal(third.watch.scope, "nothing", "the store does not respond to this daemon");
+    third.watch.isReachable = true;
+    third.advance(1000);
+    assert.equal(third.watch.scope, "all", "a hall needs two watchers");
     third.stop();
 });
 
-test("heartbeats: one whom the store does not answer says that it does not watch, and follows one whom it does", t => {
-    const first = daemonAt(t as never, 0);
-    first.watch.reached = false;
-    first.pass(400);
+test("heartbeats: a watcher with an unresponsive store reports that it does not watch, and follows another one", t => {
+    const first = createDaemon(t as never, 0);
+    first.watch.isReachable = false;
+    first.advance(400);
     first.deliver(2);
-    const beats = first.sent.flatMap(({ message }) => message.type === "beat" ? [message.watching] : []);
-    assert.ok(beats.length > 0 && beats.every(watching => !watching));
-    assert.deepEqual(first.watch.followed, [ranked[2]]);
+    const reportedWatching = first.sent.flatMap(({ message }) => message.type === "beat" ? [message.watching] : []);
+    assert.ok(reportedWatching.length > 0 && reportedWatching.every(watching => !watching));
+    assert.deepEqual(first.watch.followedWatchers, [rankedMembers[2]]);
     first.stop();
 });
--- a/src/distribution/hallheartbeats.ts
+++ b/src/distribution/hallheartbeats.ts
@@ -1,9 +1,11 @@
 /**
- * Heartbeats of those daemons of a hall that watch the store: they carry the revision, how long ago the store confirmed it, how far
- * their list of daemons has come, and which halls are evacuated.
+ * Sends the heartbeats of a daemon that watches the store for its hall, and applies those that it receives.
  *
- * Owns the timers; who watches is decided by watcherelection.ts, who is told when by heartbeatsender.ts. A daemon that receives a
- * higher revision pulls it from the sender, and from its own watcher what has changed in the list.
+ * A heartbeat carries the configuration revision, the time since the store confirmed it, the position of the sender's
+ * list of daemons, and the evacuated halls. A daemon that receives a higher revision pulls the configuration from the
+ * sender. It pulls changes of the list of daemons from the watcher that it follows.
+ *
+ * Owns the timers. watcherelection.ts decides which daemons watch, heartbeatsender.ts who gets a heartbeat when.
  */
 import type { Message } from "../datagram/message.js";
 import type { Evacuations } from "../evacuation/evacuations.js";
@@ -27,28 +29,28 @@
 import type { WatcherElection } from "./watcherelection.js";
 import type { WatchScope } from "./watchscope.js";
 
-/** How often heartbeats that are due are sent by one that watches: a round of 2 s in 40 parts. */
+/** Interval at which a watcher sends the heartbeats that are due: divides a round of 2 s into 40 parts. */
 const TICK_MS = 50;
-/** How often it is asked whose turn it is: about the time by which those further back in rank wait longer each. Milliseconds. */
-const ELECT_EVERY_MS = 200;
-/** How often a watcher reads the platform's list of hosts, which lags by more than that; docs/CAPACITY.md reckons with it. */
-const HOSTS_EVERY_MS = 1000;
-/** An age is sent as a number, and this stands for never. */
+/** Interval between evaluations of what this daemon watches; equals the delay that each rank adds (RANK_DELAY_MS). */
+const ELECTION_INTERVAL_MS = 200;
+/** Interval between reads of the platform's host list, which itself lags by more; docs/CAPACITY.md uses this value. */
+const HOST_LIST_INTERVAL_MS = 1000;
+/** Age that is sent if the store has never confirmed the revision, since the field has to be a finite number. */
 const NEVER_MS = 1e9;
 /**
- * Changes of the list of daemons are told at most so often, in milliseconds: where many daemons start at once, each of its part of the
- * hall asks a watcher for some of them at a time: four times in the two seconds that such a start takes.
+ * Minimum time between two notices of changes in the list of daemons. Each notice makes all followers request them.
+ * When many daemons start at once, which takes two seconds, this limits each follower to four requests.
  */
-const TELL_RECORDS_EVERY_MS = 500;
+const RECORDS_NOTICE_INTERVAL_MS = 500;
 /**
- * What is known of requests under which several upstreams have crashed is told at most so often, and not with the next round only: an
- * upstream is back after a second. Milliseconds.
+ * Minimum time between two notices of changes in the records of requests under which several upstreams have crashed.
+ * Shorter than a round of heartbeats, because a crashed upstream is back, and can be crashed again, after one second.
  */
-const TELL_SUSPECTS_EVERY_MS = 250;
-/** Of another hall, one of so many is told in each round: those that watch there. */
-const RELAYS = 2;
+const SUSPECTS_NOTICE_INTERVAL_MS = 250;
+/** Number of likely watchers of another hall, the first in rank; one of them gets a heartbeat in each round. */
+const MAX_CANDIDATES = 2;
 
-/** The tasks that heartbeats go between. */
+/** The state that heartbeats carry and update, and the callbacks for received changes. */
 type HeartbeatDependencies = {
     readonly self: Address;
     readonly hall: HallName;
@@ -59,45 +61,46 @@
     readonly puller: ConfigurationPuller;
     readonly election: WatcherElection;
     readonly watch: StoreWatch;
-    /** Where all daemons are, this one too. */
+    /** Returns the location of every known daemon, including this one. */
     readonly places: () => readonly Place[];
     readonly leavingHosts: LeavingHosts;
-    /** Of what this daemon knows of requests that crash upstreams; what is heard of others' marks is told. */
+    /** Returns a digest of the records of requests that crashed upstreams, or undefined if there are none. */
     readonly crashMark: () => number | undefined;
-    /** The same of those under which several have crashed. */
+    /** Returns a digest of the records of requests that crashed several upstreams, or undefined if there are none. */
     readonly suspectMark: () => number | undefined;
+    /** Called with the digest of crash records that a received heartbeat carries. */
     readonly onCrashMark: (from: Address, mark: number | undefined) => void;
     readonly evacuations: Evacuations;
     readonly send: (to: Address, message: Message) => boolean;
-    /** Called when what this daemon watches in the store has changed. */
+    /** Called when the scope that this daemon watches in the store has changed. */
     readonly onWatch: () => void;
-    /** Told whether this daemon's own host is on the platform's list of those that leave. */
+    /** Called with whether this daemon's own host is leaving according to the platform's host list. */
     readonly onHostLeaving: (leaving: boolean) => void;
 };
 
-/** Started once, stopped once. */
+/** Sends and applies the heartbeats of one daemon. `start` and `stop` are each called once. */
 export class HallHeartbeats {
     readonly #sender: HeartbeatSender;
     readonly #tickers = [
-        new Ticker(ELECT_EVERY_MS, () => this.#elect()),
-        new Ticker(HOSTS_EVERY_MS, () => void this.#askHosts()),
+        new Ticker(ELECTION_INTERVAL_MS, () => this.#updateScope()),
+        new Ticker(HOST_LIST_INTERVAL_MS, () => void this.#refreshLeavingHosts()),
     ];
-    readonly #beats = new Ticker(TICK_MS, () => this.#tick());
-    readonly #records = new ChangeThrottle(TELL_RECORDS_EVERY_MS, 0);
-    readonly #suspects = new ChangeThrottle<number | undefined>(TELL_SUSPECTS_EVERY_MS, undefined);
+    readonly #heartbeatTicker = new Ticker(TICK_MS, () => this.#tick());
+    readonly #recordsThrottle = new ChangeThrottle(RECORDS_NOTICE_INTERVAL_MS, 0);
+    readonly #suspectsThrottle = new ChangeThrottle<number | undefined>(SUSPECTS_NOTICE_INTERVAL_MS, undefined);
 
     constructor(private readonly deps: HeartbeatDependencies) {
-        this.#sender = new HeartbeatSender(() => this.#audience(), to => deps.send(to, this.#beat()));
+        this.#sender = new HeartbeatSender(() => this.#recipients(), to => deps.send(to, this.#createHeartbeat()));
         deps.configuration.onChange(() => this.#sender.sendSoon());
         deps.evacuations.onChange(() => this.#sender.sendSoon());
     }
 
-    /** True while it is this daemon's turn to watch the store. */
+    /** True while this daemon is one of the watchers of its hall. */
     get watching(): boolean {
         return this.deps.watch.scope === "all";
     }
 
-    /** True while it reads from the store which halls are evacuated. */
+    /** True while this daemon reads the evacuated halls from the store. */
     get watchesEvacuations(): boolean {
         return this.deps.watch.scope !== "nothing";
     }
@@ -108,60 +111,63 @@
 
     stop(): void {
         this.#tickers.forEach(ticker => ticker.stop());
-        this.#watch("nothing");
+        this.#setScope("nothing");
     }
 
-    /** Applies who is where; to be called when that has changed. */
+    /** Updates the members of the hall; the owner calls it when the location of a daemon has changed. */
     followPlaces(): void {
         const { election, hall, places } = this.deps;
         election.setMembers(rank(hallMembers(places(), hall), hall));
     }
 
-    /** Applies a heartbeat that was received. */
-    receive(beat: Extract<Message, { type: "beat"; }>): void {
+    /** Applies a received heartbeat. */
+    receive(heartbeat: Extract<Message, { type: "beat"; }>): void {
         const { clock, configuration, election, puller, host, evacuations } = this.deps;
         const now = clock();
-        evacuations.recordWord(beat.evacuated);
-        election.recordHeartbeat(beat.from, beat.watching, now);
-        configuration.confirm(beat.revision, now - beat.ageMs);
-        void puller.pull(beat.revision, beat.from).then(() => configuration.confirm(beat.revision, now - beat.ageMs));
-        if (beat.watching && !this.watching) {
-            this.deps.onHostLeaving(beat.leaving.includes(host));
+        evacuations.recordWord(heartbeat.evacuated);
+        election.recordHeartbeat(heartbeat.from, heartbeat.watching, now);
+        configuration.confirm(heartbeat.revision, now - heartbeat.ageMs);
+        void puller.pull(heartbeat.revision, heartbeat.from).then(() =>
+            configuration.confirm(heartbeat.revision, now - heartbeat.ageMs)
+        );
+        if (heartbeat.watching && !this.watching) {
+            this.deps.onHostLeaving(heartbeat.leaving.includes(host));
         }
-        this.#followRecords(beat, now);
-        this.deps.onCrashMark(beat.from, beat.crashes);
+        this.#followWatcher(heartbeat, now);
+        this.deps.onCrashMark(heartbeat.from, heartbeat.crashes);
     }
 
-    #followRecords({ from, records }: Extract<Message, { type: "beat"; }>, now: number): void {
+    #followWatcher({ from, records }: Extract<Message, { type: "beat"; }>, now: number): void {
         const { election, watch, self } = this.deps;
-        const source = election.sourceOf(self, now) ?? from;
-        if (records !== undefined && source === from && !this.#isWatching(now)) {
+        const watcher = election.watcherFor(self, now) ?? from;
+        if (records !== undefined && watcher === from && !this.#isActiveWatcher(now)) {
             watch.follow(from, records);
         }
     }
 
-    #isWatching(now: number): boolean {
+    /** Returns true if this daemon is a watcher and the store responds to it. */
+    #isActiveWatcher(now: number): boolean {
         const { watch } = this.deps;
         return this.watching && watch.isReached(now);
     }
 
-    #elect(): void {
+    #updateScope(): void {
         const { clock, election, watch } = this.deps;
         const now = clock();
-        this.#watch(election.scopeOf(now, watch.isReached(now)));
+        this.#setScope(election.scopeAt(now, watch.isReached(now)));
     }
 
-    #watch(scope: WatchScope): void {
+    #setScope(scope: WatchScope): void {
         const { watch } = this.deps;
         if (watch.scope === scope) {
             return;
         }
         watch.set(scope);
         if (scope === "nothing") {
-            this.#beats.stop();
+            this.#heartbeatTicker.stop();
         }
         else {
-            this.#beats.start();
+            this.#heartbeatTicker.start();
         }
         this.deps.onWatch();
     }
@@ -169,28 +175,28 @@
     #tick(): void {
         const { clock, election, self } = this.deps;
         const now = clock();
-        election.recordHeartbeat(self, this.#isWatching(now), now);
-        this.#tellRecords(now);
-        this.#tellSuspects(now);
+        election.recordHeartbeat(self, this.#isActiveWatcher(now), now);
+        this.#notifyRecordChange(now);
+        this.#notifySuspectChange(now);
         this.#sender.tick(now);
     }
 
-    /** Each watcher tells its part of the hall at once; the rest get to know with their next heartbeat. */
-    #tellRecords(now: number): void {
+    /** Sends heartbeats at once to this daemon's followers; the rest of the hall gets the change in the next round. */
+    #notifyRecordChange(now: number): void {
         const { hall, places, watch } = this.deps;
-        if (this.#records.pass(watch.records?.at ?? 0, now)) {
-            this.#sender.sendSoon(this.#halves(hallMembers(places(), hall), now).own);
+        if (this.#recordsThrottle.pass(watch.records?.at ?? 0, now)) {
+            this.#sender.sendSoon(this.#partitionHall(hallMembers(places(), hall), now).followers);
         }
     }
 
-    /** To all at once: an upstream that may crash in the meantime is dearer than a heartbeat. */
-    #tellSuspects(now: number): void {
-        if (this.#suspects.pass(this.deps.suspectMark(), now)) {
+    /** Sends heartbeats to all recipients at once: another crashed upstream costs more than a few early heartbeats. */
+    #notifySuspectChange(now: number): void {
+        if (this.#suspectsThrottle.pass(this.deps.suspectMark(), now)) {
             this.#sender.sendSoon();
         }
     }
 
-    async #askHosts(): Promise<void> {
+    async #refreshLeavingHosts(): Promise<void> {
         const { leavingHosts, host, onHostLeaving } = this.deps;
         if (!this.watching) {
             return;
@@ -203,24 +209,27 @@
         }
     }
 
-    /** The own half of the hall first: where the budget cuts a round short, the other watcher has told the other one. */
-    #audience(): Address[] {
+    /** Returns the recipients, followers first: if the send budget runs out, the other watcher reaches the rest. */
+    #recipients(): Address[] {
         const { hall, random, places, clock } = this.deps;
-        const all = places();
-        const elsewhere = otherHalls(all, hall, RELAYS).flatMap(relays => sample(relays, 1, random));
-        const { own, rest } = this.#halves(hallMembers(all, hall), clock());
-        return [...own, ...elsewhere, ...rest];
+        const daemons = places();
+        const remote = otherHalls(daemons, hall, MAX_CANDIDATES).flatMap(gates => sample(gates, 1, random));
+        const { followers, rest } = this.#partitionHall(hallMembers(daemons, hall), clock());
+        return [...followers, ...remote, ...rest];
     }
 
-    /** Those of the hall that this daemon tells, and those that another watcher does; without this daemon. */
-    #halves(inHall: readonly Address[], now: number): { readonly own: Address[]; readonly rest: Address[]; } {
+    /** Splits the other daemons of the hall into this daemon's followers and those of another watcher (`rest`). */
+    #partitionHall(
+        members: readonly Address[],
+        now: number,
+    ): { readonly followers: Address[]; readonly rest: Address[]; } {
         const { election, self } = this.deps;
-        const others = inHall.filter(gate => gate !== self);
-        const isOwn = (gate: Address): boolean => election.sourceOf(gate, now) === self;
-        return { own: others.filter(isOwn), rest: others.filter(gate => !isOwn(gate)) };
+        const others = members.filter(gate => gate !== self);
+        const isFollower = (gate: Address): boolean => election.watcherFor(gate, now) === self;
+        return { followers: others.filter(isFollower), rest: others.filter(gate => !isFollower(gate)) };
     }
 
-    #beat(): Message {
+    #createHeartbeat(): Message {
         const { self, configuration, clock, watch, leavingHosts, crashMark, evacuations } = this.deps;
         const now = clock();
         const crashes = crashMark();
@@ -230,7 +239,7 @@
             from: self,
             revision: configuration.revision,
             ageMs: Math.min(NEVER_MS, Math.max(0, Math.round(configuration.ageMs(now)))),
-            watching: this.#isWatching(now),
+            watching: this.#isActiveWatcher(now),
             leaving: leavingHosts.names.slice(0, 64),
             ...watch.records !== undefined && { records: watch.records },
             ...crashes !== undefined && { crashes },
--- a/src/distribution/hallmembers.ts
+++ b/src/distribution/hallmembers.ts
@@ -1,10 +1,10 @@
-/** Who is in a data hall. */
+/** Selects the daemons of a data hall. */
 import type { Address } from "../ids/address.js";
 import type { HallName } from "../ids/hallname.js";
 import type { Place } from "./place.js";
 
-/** The gates of a hall, each once. */
-export function hallMembers(places: readonly Place[], hall: HallName): Address[] {
-    const inHall = places.filter(place => place.hall === hall);
-    return [...new Set(inHall.map(place => place.gate))];
+/** Returns the addresses of the daemons in a hall, without duplicates. */
+export function hallMembers(locations: readonly Place[], hall: HallName): Address[] {
+    const membersOfHall = locations.filter(location => location.hall === hall);
+    return [...new Set(membersOfHall.map(location => location.gate))];
 }
--- a/src/distribution/heartbeatsender.ts
+++ b/src/distribution/heartbeatsender.ts
@@ -1,45 +1,51 @@
-/** Sends a hall's heartbeats: a round of small datagrams, spread over its time so that no second is loaded. */
+/** Sends heartbeats in rounds. Spreads each round over the first half of its time, so that the load is even. */
 import type { Address } from "../ids/address.js";
 
-/** Between two heartbeats to the same daemon, in milliseconds; docs/CAPACITY.md reckons with it. */
+/** Time between two heartbeats to the same daemon; docs/CAPACITY.md uses this value. */
 const ROUND_MS = 2000;
-/** How often `tick` is called, in milliseconds. */
+/** Interval at which the owner calls `tick`. */
 const TICK_MS = 50;
 
-/** Sends one heartbeat; false when the budget is spent. */
-type SendBeat = (to: Address) => boolean;
+/** Sends one heartbeat; returns false if the send budget is spent. */
+type SendHeartbeat = (to: Address) => boolean;
 
-/** Holds to whom this round has not been sent yet. */
+/** Tracks the recipients that have not got a heartbeat in the present round. */
 export class HeartbeatSender {
-    /** First come, first sent: who has waited since an earlier change is not put back by a later one. */
+    /**
+     * Recipients of urgent heartbeats in order of insertion, so that a later change does not delay those that wait for
+     * an earlier one.
+     */
     readonly #urgent = new Set<Address>();
     #pending: Address[] = [];
-    #roundAt = -Infinity;
+    #roundStartedAt = -Infinity;
 
-    constructor(private readonly members: () => Address[], private readonly send: SendBeat) {}
+    constructor(private readonly recipients: () => Address[], private readonly send: SendHeartbeat) {}
 
-    /** Sends to these, or to all, as fast as the budget allows. */
-    sendSoon(to = this.members()): void {
-        to.forEach(gate => this.#urgent.add(gate));
+    /**
+     * Marks heartbeats to the given recipients, or to all, as urgent: the next ticks send them as fast as the budget
+     * allows.
+     */
+    sendSoon(recipients = this.recipients()): void {
+        recipients.forEach(recipient => this.#urgent.add(recipient));
     }
 
-    /** Sends what is due; call it several times a round. */
+    /** Sends the urgent heartbeats, then those of the round that are due. */
     tick(now: number): void {
-        if (now - this.#roundAt >= ROUND_MS) {
-            this.#roundAt = now;
-            this.#pending = this.members();
+        if (now - this.#roundStartedAt >= ROUND_MS) {
+            this.#roundStartedAt = now;
+            this.#pending = this.recipients();
         }
-        for (const gate of this.#urgent) {
-            if (!this.send(gate)) {
+        for (const recipient of this.#urgent) {
+            if (!this.send(recipient)) {
                 return;
             }
-            this.#urgent.delete(gate);
+            this.#urgent.delete(recipient);
         }
-        const left = Math.max(1, this.#roundAt + ROUND_MS / 2 - now);
-        let due = Math.ceil(this.#pending.length * TICK_MS / left);
-        while (due > 0 && this.#pending.length > 0 && this.send(this.#pending[0]!)) {
+        const remainingMs = Math.max(1, this.#roundStartedAt + ROUND_MS / 2 - now);
+        let dueCount = Math.ceil(this.#pending.length * TICK_MS / remainingMs);
+        while (dueCount > 0 && this.#pending.length > 0 && this.send(this.#pending[0]!)) {
             this.#pending.shift();
-            due -= 1;
+            dueCount -= 1;
         }
     }
 }
--- a/src/distribution/leavinghosts.ts
+++ b/src/distribution/leavinghosts.ts
@@ -1,36 +1,40 @@
-/** Which hosts are leaving, by the platform's list; a watcher reads it for its whole hall. */
+/** Reads from the platform's host list which hosts are leaving; a watcher does so for its whole hall. */
 import type { HostName } from "../ids/hostname.js";
 import { log } from "../log/log.js";
 import type { Store } from "../store/store.js";
 
 const logger = log("config");
 
-/** Holds the last answer; an old one is better than none, since a host on the list only leaves. */
+/** Keeps the last list that was read. A stale list is better than none, because a leaving host does not come back. */
 export class LeavingHosts {
-    #leaving: HostName[] = [];
-    #asking = false;
+    #names: HostName[] = [];
+    #isRefreshing = false;
 
     constructor(private readonly store: Store) {}
 
+    /** Names of the hosts that were leaving at the last successful read. */
     get names(): readonly HostName[] {
-        return this.#leaving;
+        return this.#names;
     }
 
-    /** Asks once, unless an answer is still awaited. */
+    /** Reads the list, unless a read is already in progress. */
     async refresh(): Promise<void> {
-        if (this.#asking) {
+        if (this.#isRefreshing) {
             return;
         }
-        this.#asking = true;
+        this.#isRefreshing = true;
         try {
             const hosts = await this.store.hosts();
-            this.#leaving = hosts.filter(host => host.state === "leaving").map(host => host.name);
+            this.#names = hosts.filter(host => host.state === "leaving").map(host => host.name);
         }
         catch (err) {
-            logger.warn("The platform's list of hosts could not be read; it is read again in the next round.", err);
+            logger.warn(
+                "The platform's host list could not be read; the previous one stays in use until the next read.",
+                err,
+            );
         }
         finally {
-            this.#asking = false;
+            this.#isRefreshing = false;
         }
     }
 }
--- a/src/distribution/otherhalls.ts
+++ b/src/distribution/otherhalls.ts
@@ -1,13 +1,16 @@
-/** Who is elsewhere, and tells the rest of its hall. */
+/** Selects the daemons of other halls that propagate a change within their halls. */
 import type { Address } from "../ids/address.js";
 import type { HallName } from "../ids/hallname.js";
 import { hallMembers } from "./hallmembers.js";
 import type { Place } from "./place.js";
 import { rank } from "./rank.js";
 
-/** Of each hall but `hall`, the gates that are first in rank, as many as asked for: those that watch while they can. */
-export function otherHalls(places: readonly Place[], hall: HallName, count: number): Address[][] {
-    const halls = new Set(places.map(place => place.hall));
+/**
+ * Returns for each hall other than `hall` the addresses of the first `count` daemons in rank. These watch the store as
+ * long as it responds to them.
+ */
+export function otherHalls(locations: readonly Place[], hall: HallName, count: number): Address[][] {
+    const halls = new Set(locations.map(location => location.hall));
     halls.delete(hall);
-    return [...halls].map(other => rank(hallMembers(places, other), other).slice(0, count));
+    return [...halls].map(other => rank(hallMembers(locations, other), other).slice(0, count));
 }
--- a/src/distribution/place.ts
+++ b/src/distribution/place.ts
@@ -1,6 +1,6 @@
-/** Where a daemon is. */
+/** The location of a daemon. */
 import type { Address } from "../ids/address.js";
 import type { HallName } from "../ids/hallname.js";
 
-/** A daemon by its peer address, and its data hall. */
+/** A daemon's peer address and its data hall. */
 export type Place = { readonly gate: Address; readonly hall: HallName; };
--- a/src/distribution/storewatch.ts
+++ b/src/distribution/storewatch.ts
@@ -1,17 +1,24 @@
-/** What a daemon watches in the store while it is its turn, as heartbeats need to know of it. */
+/** Interface between the heartbeats and the watches of the store. */
 import type { Address } from "../ids/address.js";
 import type { RecordsMark } from "../wire/recordsmark.js";
 import type { WatchScope } from "./watchscope.js";
 
-/** Times are milliseconds on the daemon's clock. */
+/**
+ * Watches the store while this daemon is a watcher, and follows another watcher otherwise. Times are milliseconds on
+ * the daemon's clock.
+ */
 export abstract class StoreWatch {
+    /** The part of the store that is watched at present. */
     abstract get scope(): WatchScope;
-    /** Starts or ends the watches. */
+    /** Starts or stops the watches to match the scope. */
     abstract set(scope: WatchScope): void;
-    /** True while the store answers this daemon, as far as is known. */
+    /** Returns true while the store is known to respond to this daemon. */
     abstract isReached(now: number): boolean;
-    /** How far this daemon's list of daemons has come; undefined where there is none, or it does not come from the store. */
+    /**
+     * Position of this daemon's list of daemons; undefined if there is no such list, or if it does not come from the
+     * store.
+     */
     abstract get records(): RecordsMark | undefined;
-    /** Catches up with a watcher's list of daemons. */
+    /** Pulls from a watcher the changes of its list of daemons up to the position `records`. */
     abstract follow(watcher: Address, records: RecordsMark): void;
 }
--- a/src/distribution/watcherelection.test.ts
+++ b/src/distribution/watcherelection.test.ts
@@ -4,73 +4,81 @@
 import { HeartbeatSender } from "./heartbeatsender.js";
 import { WatcherElection } from "./watcherelection.js";
 
-const address = (name: string): Address => name as Address;
+const toAddress = (name: string): Address => name as Address;
 
-test("election: two watch, a silent one is replaced, a returned one steps in again", () => {
-    const ranked = ["g1", "g2", "g3"].map(address);
-    const third = new WatcherElection(address("g3"), 0);
+test("election: two daemons watch; an unresponsive one is replaced until its heartbeats arrive again", () => {
+    const ranked = ["g1", "g2", "g3"].map(toAddress);
+    const third = new WatcherElection(toAddress("g3"), 0);
     third.setMembers(ranked);
-    third.recordHeartbeat(address("g1"), true, 1000);
-    third.recordHeartbeat(address("g2"), true, 1000);
+    third.recordHeartbeat(toAddress("g1"), true, 1000);
+    third.recordHeartbeat(toAddress("g2"), true, 1000);
     assert.equal(third.shouldWatch(1000), false);
     assert.equal(third.shouldWatch(5900), false);
     assert.equal(third.shouldWatch(6500), true);
-    third.recordHeartbeat(address("g1"), true, 7000);
-    third.recordHeartbeat(address("g2"), true, 7000);
+    third.recordHeartbeat(toAddress("g1"), true, 7000);
+    third.recordHeartbeat(toAddress("g2"), true, 7000);
     assert.equal(third.shouldWatch(7000), false);
-    assert.equal(third.sourceOf(address("g3"), 7000), "g1");
-    assert.equal(third.sourceOf(address("g2"), 7000), "g2");
-    third.recordHeartbeat(address("g1"), false, 7000);
-    assert.equal(third.sourceOf(address("g3"), 7000), "g2", "one that says that it does not watch tells nobody");
-    const first = new WatcherElection(address("g1"), 0);
+    assert.equal(third.watcherFor(toAddress("g3"), 7000), "g1");
+    assert.equal(third.watcherFor(toAddress("g2"), 7000), "g2");
+    third.recordHeartbeat(toAddress("g1"), false, 7000);
+    assert.equal(
+        third.watcherFor(toAddress("g3"), 7000),
+        "g2",
+        "a daemon that reports that it does not watch has no followers",
+    );
+    const first = new WatcherElection(toAddress("g1"), 0);
     first.setMembers(ranked);
     assert.equal(first.shouldWatch(0), true);
 });
 
-test("election: one whom the store does not answer steps in for nobody, but for the first", () => {
-    const ranked = ["g1", "g2", "g3"].map(address);
-    const third = new WatcherElection(address("g3"), 0);
+test("election: a daemon that the store does not respond to watches only if it is among the first in rank", () => {
+    const ranked = ["g1", "g2", "g3"].map(toAddress);
+    const third = new WatcherElection(toAddress("g3"), 0);
     third.setMembers(ranked);
     assert.equal(third.shouldWatch(60_000, false), false);
     assert.equal(third.shouldWatch(60_000, true), true);
-    const second = new WatcherElection(address("g2"), 0);
+    const second = new WatcherElection(toAddress("g2"), 0);
     second.setMembers(ranked);
     assert.equal(second.shouldWatch(0, false), true);
 });
 
-test("election: one that knows nobody waits until others that start with it are in the store", () => {
-    const alone = new WatcherElection(address("g1"), 0, 4000);
-    alone.setMembers([address("g1")]);
+test("election: a daemon that knows no others watches only after the time to discover others", () => {
+    const alone = new WatcherElection(toAddress("g1"), 0, 4000);
+    alone.setMembers([toAddress("g1")]);
     assert.equal(alone.shouldWatch(5000, false), false);
     assert.equal(alone.shouldWatch(5100, true), false);
     assert.equal(alone.shouldWatch(9099, true), false);
     assert.equal(alone.shouldWatch(9100, true), true);
-    alone.setMembers(["g0", "g0b", "g1"].map(address));
-    alone.recordHeartbeat(address("g0"), true, 9200);
-    alone.recordHeartbeat(address("g0b"), true, 9200);
+    alone.setMembers(["g0", "g0b", "g1"].map(toAddress));
+    alone.recordHeartbeat(toAddress("g0"), true, 9200);
+    alone.recordHeartbeat(toAddress("g0b"), true, 9200);
     assert.equal(alone.shouldWatch(9200, true), false);
-    const withoutDocument = new WatcherElection(address("g1"), 0);
-    assert.equal(withoutDocument.shouldWatch(0), true, "where the watch is the only way to meet others");
+    const withoutDiscovery = new WatcherElection(toAddress("g1"), 0);
+    assert.equal(
+        withoutDiscovery.shouldWatch(0),
+        true,
+        "without discovery the watch is the only way to find others",
+    );
 });
 
-test("election: while a daemon waits for others, the first of those it knows watch the configuration", () => {
-    const alone = new WatcherElection(address("g2"), 0, 4000);
-    alone.setMembers([address("g2")]);
-    assert.equal(alone.scopeOf(5000, false), "nothing", "the store has not answered yet");
-    assert.equal(alone.scopeOf(5000), "nothing");
-    assert.equal(alone.scopeOf(6199), "nothing", "the others may be there at the first look");
-    assert.equal(alone.scopeOf(6200), "configuration");
-    alone.setMembers(["g0", "g1", "g2"].map(address));
-    assert.equal(alone.scopeOf(6300), "nothing", "two go before it");
-    alone.setMembers(["g1", "g2", "g3"].map(address));
-    assert.equal(alone.scopeOf(8999), "configuration");
-    assert.equal(alone.scopeOf(9000), "all");
+test("election: during discovery, a daemon among the first in rank watches the configuration", () => {
+    const alone = new WatcherElection(toAddress("g2"), 0, 4000);
+    alone.setMembers([toAddress("g2")]);
+    assert.equal(alone.scopeAt(5000, false), "nothing", "the store has not responded yet");
+    assert.equal(alone.scopeAt(5000), "nothing");
+    assert.equal(alone.scopeAt(6199), "nothing", "the first search may still find others");
+    assert.equal(alone.scopeAt(6200), "configuration");
+    alone.setMembers(["g0", "g1", "g2"].map(toAddress));
+    assert.equal(alone.scopeAt(6300), "nothing", "two daemons are ahead in rank");
+    alone.setMembers(["g1", "g2", "g3"].map(toAddress));
+    assert.equal(alone.scopeAt(8999), "configuration");
+    assert.equal(alone.scopeAt(9000), "all");
 });
 
-test("heartbeats: who has waited since an earlier change is not put back by a later one", () => {
+test("heartbeats: a later change does not delay recipients that wait for an earlier one", () => {
     const sent: string[] = [];
     let budget = 0;
-    const all = ["g1", "g2", "g3", "g4"].map(address);
+    const all = ["g1", "g2", "g3", "g4"].map(toAddress);
     const sender = new HeartbeatSender(() => all, to => budget-- > 0 && sent.push(to) > 0);
     for (let now = 0; now < 200; now += 50) {
         sender.sendSoon();
--- a/src/distribution/watcherelection.ts
+++ b/src/distribution/watcherelection.ts
@@ -1,103 +1,123 @@
 /**
- * Who of a hall watches the store: the first few in rank whose heartbeats arrive.
+ * Decides which daemons of a hall watch the store: the first few in rank whose heartbeats arrive.
  *
- * Nothing guards the role. Two too many cost the store some more waiting watches for a while; two too few are replaced
- * after a lapse. So no lease is needed, and one that wakes from a pause does no harm. Whoever does not watch is told by one of
- * those that do; each of them tells its part of the hall.
+ * The role needs no lease. Two watchers too many cost the store some additional pending watches for a while; two too
+ * few are replaced after HEARTBEAT_TIMEOUT_MS. A watcher that resumes after a pause of its process does no harm. Each
+ * daemon that does not watch follows one of the watchers, which notifies its followers of changes.
  */
 import type { Address } from "../ids/address.js";
 import type { WatchScope } from "./watchscope.js";
 
-/** Watchers of a hall: one may fail. */
-const WATCHERS = 2;
-/** A watcher without a heartbeat for so long is replaced; milliseconds, more than two rounds. */
-const LAPSE_MS = 5000;
-/** A new daemon listens for somewhat more than a round of heartbeats before it counts silence; milliseconds. */
-const GRACE_MS = 2500;
-/** Those further back in rank wait longer, so that a whole hall does not rush to the store; milliseconds each. */
-const STAGGER_MS = 200;
+/** Watchers of a hall: two, so that one may fail. */
+const WATCHERS_PER_HALL = 2;
+/** A watcher without a heartbeat for so long is replaced: more than two rounds of heartbeats. */
+const HEARTBEAT_TIMEOUT_MS = 5000;
 /**
- * One that knew nobody has looked for others by then (membership/registrywatcher.ts), and those that start together have found some of each
- * other. Without it a fleet that has just started would watch no configuration for 4 s, and a change in that time come as late. Milliseconds.
+ * Time after its start in which a daemon replaces no unresponsive watcher: somewhat more than a round of heartbeats.
  */
-const FIRST_LOOK_MS = 1200;
+const STARTUP_GRACE_MS = 2500;
+/**
+ * Additional wait for each rank before a daemon replaces a watcher, so that the whole hall does not watch the store at
+ * once.
+ */
+const RANK_DELAY_MS = 200;
+/**
+ * Time after which a daemon that knew no others has searched for them once (membership/registrywatcher.ts); by then,
+ * daemons that start together have found some of each other. The first in rank of these then watch the configuration.
+ * Otherwise a fleet that has just started would not watch it for 4 s, and would apply a change in that time as late.
+ */
+const FIRST_DISCOVERY_MS = 1200;
 
 /**
- * Decides for one daemon; `startedAt` and all times are on its clock. One that knows nobody when the store has answered it waits for
- * `aloneMs`, where there is another way to meet others that have just started; 0 where the watch is the only one.
+ * Decides for one daemon. `startedAt` and all times are milliseconds on its clock. A daemon that knows no others when
+ * the store first responds to it waits for `discoveryMs` before it watches, so that it can find others that have just
+ * started. 0 if the watch is the only way to find them.
  */
 export class WatcherElection {
-    readonly #heartbeats = new Map<Address, number>();
-    #ranked: readonly Address[] = [];
+    readonly #lastHeartbeatAt = new Map<Address, number>();
+    #rankedMembers: readonly Address[] = [];
     #ownRank = -1;
-    #enoughAt: number;
-
-    #mayWatchFrom: number | undefined;
+    /** When enough watchers ahead in rank were last known; at first, the end of the grace period. */
+    #lastSufficientAt: number;
+    /** Undefined until the store has responded. */
+    #discoveryEndsAt: number | undefined;
 
-    constructor(private readonly self: Address, startedAt: number, private readonly aloneMs = 0) {
-        this.#enoughAt = startedAt + GRACE_MS;
+    constructor(private readonly self: Address, startedAt: number, private readonly discoveryMs = 0) {
+        this.#lastSufficientAt = startedAt + STARTUP_GRACE_MS;
     }
 
-    /** Sets the hall's members, in rank. */
-    setMembers(ranked: readonly Address[]): void {
-        this.#ranked = ranked;
-        this.#ownRank = ranked.indexOf(this.self);
-        const known = new Set(ranked);
-        [...this.#heartbeats.keys()].filter(gate => !known.has(gate)).forEach(gate => this.#heartbeats.delete(gate));
+    /** Sets the members of the hall, in order of rank. */
+    setMembers(rankedMembers: readonly Address[]): void {
+        this.#rankedMembers = rankedMembers;
+        this.#ownRank = rankedMembers.indexOf(this.self);
+        const memberSet = new Set(rankedMembers);
+        [...this.#lastHeartbeatAt.keys()].filter(gate => !memberSet.has(gate)).forEach(gate =>
+            this.#lastHeartbeatAt.delete(gate)
+        );
     }
 
-    /** Records a heartbeat: its sender watches, or no longer does. */
+    /** Records a heartbeat, which says whether its sender is an active watcher. */
     recordHeartbeat(from: Address, watching: boolean, now: number): void {
         if (watching) {
-            this.#heartbeats.set(from, now);
+            this.#lastHeartbeatAt.set(from, now);
         }
         else {
-            this.#heartbeats.delete(from);
+            this.#lastHeartbeatAt.delete(from);
         }
     }
 
-    /** True when this daemon should watch; one whom the store does not answer steps in for nobody. */
-    shouldWatch(now: number, isStoreReached = true): boolean {
-        const isAlone = this.#ranked.length <= 1;
-        if (isStoreReached) {
-            this.#mayWatchFrom ??= isAlone ? now + this.aloneMs : now;
+    /**
+     * Returns true if this daemon should watch. A daemon to which the store does not respond does not replace another
+     * watcher.
+     */
+    shouldWatch(now: number, isStoreReachable = true): boolean {
+        const isAlone = this.#rankedMembers.length <= 1;
+        if (isStoreReachable) {
+            this.#discoveryEndsAt ??= isAlone ? now + this.discoveryMs : now;
         }
-        if (isAlone && this.#mayWatchFrom === undefined || now < (this.#mayWatchFrom ?? now)) {
+        if (isAlone && this.#discoveryEndsAt === undefined || now < (this.#discoveryEndsAt ?? now)) {
             return false;
         }
-        const better = this.#ownRank < 0 ? this.#ranked : this.#ranked.slice(0, this.#ownRank);
-        if (this.#fresh(better, now).length >= WATCHERS) {
-            this.#enoughAt = now;
+        const higherRanked = this.#ownRank < 0 ? this.#rankedMembers : this.#rankedMembers.slice(0, this.#ownRank);
+        if (this.#activeWatchers(higherRanked, now).length >= WATCHERS_PER_HALL) {
+            this.#lastSufficientAt = now;
             return false;
         }
-        return better.length < WATCHERS || isStoreReached && now - this.#enoughAt >= better.length * STAGGER_MS;
+        return higherRanked.length < WATCHERS_PER_HALL
+            || isStoreReachable && now - this.#lastSufficientAt >= higherRanked.length * RANK_DELAY_MS;
     }
 
-    /** What this daemon should watch: while it waits for others, the configuration at least, if it is among the first of those it knows. */
-    scopeOf(now: number, isStoreReached = true): WatchScope {
-        if (this.shouldWatch(now, isStoreReached)) {
+    /**
+     * Returns what this daemon should watch. While it waits to find others, that is the configuration if it is among
+     * the first in rank of the daemons that it knows.
+     */
+    scopeAt(now: number, isStoreReachable = true): WatchScope {
+        if (this.shouldWatch(now, isStoreReachable)) {
             return "all";
         }
-        const waitsUntil = this.#mayWatchFrom;
-        const isWaiting = waitsUntil !== undefined && now < waitsUntil
-            && now >= waitsUntil - this.aloneMs + FIRST_LOOK_MS;
-        return isWaiting && this.#ownRank < WATCHERS ? "configuration" : "nothing";
+        const discoveryEndsAt = this.#discoveryEndsAt;
+        const isDiscovering = discoveryEndsAt !== undefined && now < discoveryEndsAt
+            && now >= discoveryEndsAt - this.discoveryMs + FIRST_DISCOVERY_MS;
+        return isDiscovering && this.#ownRank < WATCHERS_PER_HALL ? "configuration" : "nothing";
     }
 
-    /** The watcher that tells a daemon of the hall what it has seen, or undefined while none is known. */
-    sourceOf(gate: Address, now: number): Address | undefined {
-        const watchers = this.#fresh(this.#ranked, now);
-        return watchers[Math.max(0, this.#ranked.indexOf(gate)) % watchers.length];
+    /** Returns the watcher that a daemon of the hall follows, or undefined if no active watcher is known. */
+    watcherFor(gate: Address, now: number): Address | undefined {
+        const watchers = this.#activeWatchers(this.#rankedMembers, now);
+        return watchers[Math.max(0, this.#rankedMembers.indexOf(gate)) % watchers.length];
     }
 
-    /** The watchers among them, as many as are needed. */
-    #fresh(among: readonly Address[], now: number): Address[] {
-        const fresh: Address[] = [];
-        for (const gate of among) {
-            if (now - (this.#heartbeats.get(gate) ?? -Infinity) < LAPSE_MS && fresh.push(gate) === WATCHERS) {
+    /** Returns the first active watchers among the candidates, WATCHERS_PER_HALL at most. */
+    #activeWatchers(candidates: readonly Address[], now: number): Address[] {
+        const active: Address[] = [];
+        for (const gate of candidates) {
+            if (
+                now - (this.#lastHeartbeatAt.get(gate) ?? -Infinity) < HEARTBEAT_TIMEOUT_MS
+                && active.push(gate) === WATCHERS_PER_HALL
+            ) {
                 break;
             }
         }
-        return fresh;
+        return active;
     }
 }
--- a/src/distribution/watchscope.ts
+++ b/src/distribution/watchscope.ts
@@ -1,4 +1,7 @@
-/** How much of the store a daemon watches. */
+/** The part of the store that a daemon watches. */
 
-/** `configuration`: the operators' document only, while it is not known yet who else is in the hall; `all`: the daemons' records too. */
+/**
+ * `configuration`: the configuration document only, while the other daemons of the hall are still being discovered;
+ * `all`: also the records of the daemons.
+ */
 export type WatchScope = "nothing" | "configuration" | "all";
