--- a/src/evacuation/evacuations.test.ts
+++ b/src/evacuation/evacuations.test.ts
@@ -4,10 +4,10 @@
 import type { HallsChange } from "../policy/halls/hallschange.js";
 import { Evacuations } from "./evacuations.js";
 
-const A = "a" as HallName;
-const KEEP_MS = 10_000;
+const HALL = "a" as HallName;
+const KEEP_AFTER_RESTORE_MS = 10_000;
 
-const said = (era: number, revision: number, evacuated: readonly HallName[] = []): HallsChange => ({
+const createChange = (era: number, revision: number, evacuated: readonly HallName[] = []): HallsChange => ({
     mark: { era, revision },
     complete: true,
     evacuated,
@@ -15,63 +15,63 @@
     unreadable: [],
 });
 
-test("evacuations: listeners are called at each change of the halls, and at nothing else", () => {
+test("evacuations: listeners are called only when the evacuated halls change", () => {
     const evacuations = new Evacuations();
-    const heard: string[] = [];
-    evacuations.onChange(() => heard.push(evacuations.halls.join()));
-    evacuations.recordStore(said(0, 1));
-    evacuations.recordStore(said(0, 2, [A]));
-    evacuations.recordStore(said(0, 3, [A]));
-    evacuations.recordStore(said(0, 4));
-    assert.deepEqual(heard, ["a", ""]);
+    const notified: string[] = [];
+    evacuations.onChange(() => notified.push(evacuations.halls.join()));
+    evacuations.recordStore(createChange(0, 1));
+    evacuations.recordStore(createChange(0, 2, [HALL]));
+    evacuations.recordStore(createChange(0, 3, [HALL]));
+    evacuations.recordStore(createChange(0, 4));
+    assert.deepEqual(notified, ["a", ""]);
 });
 
-test("evacuations: peers are told nothing until one has been heard of, and of its end then", () => {
+test("evacuations: nothing is sent to peers until an evacuation is known; then its end is sent too", () => {
     const evacuations = new Evacuations();
-    evacuations.recordStore(said(0, 7));
+    evacuations.recordStore(createChange(0, 7));
     assert.equal(evacuations.word, undefined);
-    const late = { mark: { era: 0, revision: 5 }, halls: [A] };
-    evacuations.recordWord(late);
+    const stale = { mark: { era: 0, revision: 5 }, halls: [HALL] };
+    evacuations.recordWord(stale);
     assert.deepEqual(evacuations.word, { mark: { era: 0, revision: 7 }, halls: [] });
-    assert.equal(evacuations.isAhead(late), true, "the peer that said so has to be told");
+    assert.equal(evacuations.isAhead(stale), true, "the peer has to be notified");
     assert.equal(evacuations.isAhead(evacuations.word), false);
 });
 
-test("evacuations: a hall stays evacuated for a while when the store comes back from a copy without it", t => {
+test("evacuations: a hall stays evacuated for a while after a restore of the store that lost its evacuation", t => {
     t.mock.timers.enable({ apis: ["setTimeout"] });
     const evacuations = new Evacuations();
-    evacuations.recordStore(said(0, 9, [A]));
-    evacuations.recordStore(said(1, 4));
-    assert.equal(evacuations.isEvacuated(A), true, "operators have not written it again yet");
-    t.mock.timers.tick(KEEP_MS - 1);
-    assert.equal(evacuations.isEvacuated(A), true);
+    evacuations.recordStore(createChange(0, 9, [HALL]));
+    evacuations.recordStore(createChange(1, 4));
+    assert.equal(evacuations.isEvacuated(HALL), true, "operators have not yet written the evacuation again");
+    t.mock.timers.tick(KEEP_AFTER_RESTORE_MS - 1);
+    assert.equal(evacuations.isEvacuated(HALL), true);
     t.mock.timers.tick(1);
-    assert.equal(evacuations.isEvacuated(A), false, "they have not in all this time");
+    assert.equal(evacuations.isEvacuated(HALL), false, "operators have not written the evacuation again in time");
 });
 
-test("evacuations: what operators write again after the copy holds on, and two eras within seconds lose nothing", t => {
+test("evacuations: two restores within seconds lose no evacuation, and one that is written again stays", t => {
     t.mock.timers.enable({ apis: ["setTimeout"] });
     const evacuations = new Evacuations();
-    evacuations.recordStore(said(0, 9, [A]));
-    evacuations.recordStore(said(1, 4));
-    t.mock.timers.tick(KEEP_MS / 2);
-    evacuations.recordStore(said(2, 3));
-    t.mock.timers.tick(KEEP_MS - 1);
-    assert.equal(evacuations.isEvacuated(A), true);
-    evacuations.recordStore(said(2, 5, [A]));
-    t.mock.timers.tick(KEEP_MS);
-    assert.equal(evacuations.isEvacuated(A), true);
-    evacuations.recordStore(said(2, 6));
-    assert.equal(evacuations.isEvacuated(A), false, "taken back in one era, it is at once");
+    evacuations.recordStore(createChange(0, 9, [HALL]));
+    evacuations.recordStore(createChange(1, 4));
+    t.mock.timers.tick(KEEP_AFTER_RESTORE_MS / 2);
+    evacuations.recordStore(createChange(2, 3));
+    t.mock.timers.tick(KEEP_AFTER_RESTORE_MS - 1);
+    assert.equal(evacuations.isEvacuated(HALL), true);
+    evacuations.recordStore(createChange(2, 5, [HALL]));
+    t.mock.timers.tick(KEEP_AFTER_RESTORE_MS);
+    assert.equal(evacuations.isEvacuated(HALL), true);
+    evacuations.recordStore(createChange(2, 6));
+    assert.equal(evacuations.isEvacuated(HALL), false, "within one era the end of an evacuation applies at once");
 });
 
-test("evacuations: more names than a datagram has room for are not told, and hold all the same", () => {
+test("evacuations: more names than fit in a datagram are not sent to peers, but apply", () => {
     const evacuations = new Evacuations();
-    const many = Array.from({ length: 100 }, (_, at) => `hall-${at}` as HallName);
-    evacuations.recordStore(said(0, 3, many));
-    const told = (): readonly HallName[] | undefined => evacuations.word?.halls;
-    assert.equal(told(), undefined);
+    const many = Array.from({ length: 100 }, (_, index) => `hall-${index}` as HallName);
+    evacuations.recordStore(createChange(0, 3, many));
+    const sentHalls = (): readonly HallName[] | undefined => evacuations.word?.halls;
+    assert.equal(sentHalls(), undefined);
     assert.equal(evacuations.isEvacuated(many[99]!), true);
-    evacuations.recordStore(said(0, 4, [A]));
-    assert.deepEqual(told(), [A]);
+    evacuations.recordStore(createChange(0, 4, [HALL]));
+    assert.deepEqual(sentHalls(), [HALL]);
 });
--- a/src/evacuation/evacuations.ts
+++ b/src/evacuation/evacuations.ts
@@ -1,9 +1,11 @@
 /**
- * Which halls are evacuated: operators ask that nothing new is sent to the upstreams there, until they take that back.
+ * Holds the halls that operators have evacuated: no new requests are sent to the upstreams there until the operators
+ * end the evacuation.
  *
- * Owns what this daemon knows of it. It comes from the store while this daemon watches it, or with heartbeats and greetings of peers, which
- * carry all of it: a few names at the most. Each word says how far the store had come; the later one holds, whoever brings it, so that an
- * older one that is still on its way changes nothing.
+ * Owns the state that this daemon knows. The state comes from the store while this daemon watches it, and from
+ * heartbeats and hellos of peers, which carry the complete state: a few names at most. Each state has its position in
+ * the history of the store. The latest position wins, whatever its source, so a stale state that arrives late changes
+ * nothing.
  */
 import type { HallName } from "../ids/hallname.js";
 import { log } from "../log/log.js";
@@ -15,113 +17,121 @@
 const logger = log("halls");
 
 /**
- * A store that has come back from a copy has lost what operators wrote last, until they have written it again. A hall that was evacuated
- * stays so for this long, whatever the copy says: to take no work for some seconds longer costs less than to take work that must not
- * come. Milliseconds.
+ * Time for which evacuated halls stay evacuated after a restore of the store from a backup, whatever the backup says.
+ * The backup lacks the operators' latest changes until they write them again. A hall without requests for some more
+ * seconds costs less than requests in a hall that must not get any.
  */
-const KEEP_AFTER_COPY_MS = 10_000;
+const KEEP_AFTER_RESTORE_MS = 10_000;
 
 /**
- * Characters of names that are told to peers: a datagram has room for about twice as many. With more halls than that evacuated, daemons learn
- * of it from the store only.
+ * Limit for the total length of the names that are sent to peers; a datagram holds about twice as many characters.
+ * Beyond the limit, daemons get the evacuated halls from the store only.
  */
-const MAX_TOLD = 700;
+const MAX_PROPAGATED_CHARS = 700;
 
-/** Nothing is evacuated, as far as is known. */
-const NOTHING: EvacuatedHalls = { mark: { era: 0, revision: 0 }, halls: [] };
+/** The initial state, earlier than any state of the store. */
+const NO_EVACUATIONS: EvacuatedHalls = { mark: { era: 0, revision: 0 }, halls: [] };
 
-/** Listeners are called after each change of the halls that are evacuated. */
+/** Calls its listeners after each change of the evacuated halls. */
 export class Evacuations {
     readonly #listeners: (() => void)[] = [];
-    #known = NOTHING;
-    /** An evacuation has been heard of, now or earlier: peers may have to be told. */
-    #isHeardOf = false;
-    /** Evacuated before the store came back from a copy. */
-    #kept: readonly HallName[] = [];
-    #release: NodeJS.Timeout | undefined;
-
-    /** Those that are evacuated now, in the order of their names. */
+    #known = NO_EVACUATIONS;
+    /** True once any evacuation is known, even if it has ended: peers may have to be notified. */
+    #hasSeenEvacuation = false;
+    /** Halls that were evacuated before the store was restored from a backup. */
+    #keptHalls: readonly HallName[] = [];
+    #keepTimer: NodeJS.Timeout | undefined;
+
+    /** The halls that are evacuated at present, sorted by name. */
     get halls(): readonly HallName[] {
-        return [...new Set([...this.#known.halls, ...this.#kept])].sort();
+        return [...new Set([...this.#known.halls, ...this.#keptHalls])].sort();
     }
 
-    /** What peers are told; undefined where no evacuation has been heard of, which is nearly always, or where it would fit into no datagram. */
+    /**
+     * The state that is sent to peers; undefined if no evacuation has ever been known, which is the usual case, or if
+     * it is too long.
+     */
     get word(): EvacuatedHalls | undefined {
-        return this.#isHeardOf && this.#isTellable ? this.#known : undefined;
+        return this.#hasSeenEvacuation && this.#fitsDatagram ? this.#known : undefined;
     }
 
-    get #isTellable(): boolean {
-        return this.#known.halls.join().length <= MAX_TOLD;
+    get #fitsDatagram(): boolean {
+        return this.#known.halls.join().length <= MAX_PROPAGATED_CHARS;
     }
 
     isEvacuated(hall: HallName): boolean {
-        return this.#known.halls.includes(hall) || this.#kept.includes(hall);
+        return this.#known.halls.includes(hall) || this.#keptHalls.includes(hall);
     }
 
+    /** Adds a listener that is called when the evacuated halls have changed. */
     onChange(listener: () => void): void {
         this.#listeners.push(listener);
     }
 
-    /** Applies what the store says. */
+    /** Applies a change that the store reports. */
     recordStore(change: HallsChange): void {
         const next = applyHallsChange(this.#known, change);
         if (next !== undefined) {
-            this.#set(next);
+            this.#setKnown(next);
         }
     }
 
-    /** Applies a peer's word. */
-    recordWord(word: EvacuatedHalls | undefined): void {
-        if (word === undefined) {
+    /** Applies the state that a peer sent; undefined if the peer sent none. */
+    recordWord(peerState: EvacuatedHalls | undefined): void {
+        if (peerState === undefined) {
             return;
         }
-        this.#isHeardOf = true;
-        if (isLaterPosition(word.mark, this.#known.mark)) {
-            this.#set(word);
+        this.#hasSeenEvacuation = true;
+        if (isLaterPosition(peerState.mark, this.#known.mark)) {
+            this.#setKnown(peerState);
         }
     }
 
-    /** True when the peer whose word it is knows less than this daemon, and something else. */
-    isAhead(word: EvacuatedHalls | undefined): boolean {
+    /** Returns true if the peer's state is older than this daemon's and names other halls. */
+    isAhead(peerState: EvacuatedHalls | undefined): boolean {
         const { mark, halls } = this.#known;
-        const theirs = word ?? NOTHING;
-        return this.#isHeardOf && isLaterPosition(mark, theirs.mark) && halls.join() !== theirs.halls.join();
+        const comparedState = peerState ?? NO_EVACUATIONS;
+        return this.#hasSeenEvacuation && isLaterPosition(mark, comparedState.mark)
+            && halls.join() !== comparedState.halls.join();
     }
 
     stop(): void {
-        clearTimeout(this.#release);
+        clearTimeout(this.#keepTimer);
     }
 
-    #set(next: EvacuatedHalls): void {
+    #setKnown(next: EvacuatedHalls): void {
         const before = this.halls;
         if (next.mark.era > this.#known.mark.era && before.length > 0) {
-            this.#keep(before);
+            this.#keepAfterRestore(before);
         }
         this.#known = next;
-        this.#isHeardOf ||= next.halls.length > 0;
-        this.#tell(before);
+        this.#hasSeenEvacuation ||= next.halls.length > 0;
+        this.#notifyIfChanged(before);
     }
 
-    #keep(halls: readonly HallName[]): void {
-        this.#kept = halls;
-        clearTimeout(this.#release);
-        this.#release = setTimeout(() => {
+    /** Keeps the halls evacuated for KEEP_AFTER_RESTORE_MS, including those still kept after an earlier restore. */
+    #keepAfterRestore(halls: readonly HallName[]): void {
+        this.#keptHalls = halls;
+        clearTimeout(this.#keepTimer);
+        this.#keepTimer = setTimeout(() => {
             const before = this.halls;
-            this.#kept = [];
-            this.#tell(before);
-        }, KEEP_AFTER_COPY_MS);
-        this.#release.unref();
+            this.#keptHalls = [];
+            this.#notifyIfChanged(before);
+        }, KEEP_AFTER_RESTORE_MS);
+        this.#keepTimer.unref();
     }
 
-    #tell(before: readonly HallName[]): void {
+    #notifyIfChanged(before: readonly HallName[]): void {
         const { halls } = this;
         if (halls.join() === before.join()) {
             return;
         }
         const { era, revision } = this.#known.mark;
-        logger.change("The halls that are evacuated have changed.", { halls, before, era, storeRevision: revision });
-        if (!this.#isTellable) {
-            logger.warn("The evacuated halls can't be told to peers.", "their names are too long together", { halls });
+        logger.change("The evacuated halls have changed.", { halls, before, era, storeRevision: revision });
+        if (!this.#fitsDatagram) {
+            logger.warn("The evacuated halls are not sent to peers.", "their names are too long for a datagram", {
+                halls,
+            });
         }
         this.#listeners.forEach(listener => listener());
     }
--- a/src/evacuation/unknownhalls.test.ts
+++ b/src/evacuation/unknownhalls.test.ts
@@ -3,18 +3,22 @@
 import type { HallName } from "../ids/hallname.js";
 import { UnknownHalls } from "./unknownhalls.js";
 
-const A = "a" as HallName;
-const NOWHERE = "nowhere" as HallName;
-const KNOWN = new Set([A]);
+const HALL_WITH_UPSTREAMS = "a" as HallName;
+const MISTYPED_HALL = "nowhere" as HallName;
+const HALLS_WITH_UPSTREAMS = new Set([HALL_WITH_UPSTREAMS]);
 
-// Guards against an operator's mistyped hall that no daemon tells of, since none watched all of the store when it was written.
-test("unknown halls: one that was written before anybody watched is told when somebody does, and once", () => {
+// Guards against a mistyped hall that no daemon reports, because none watched the store when it was written.
+test("unknown halls: a hall written before the daemon watches is reported once, when it starts to watch", () => {
     const halls = new UnknownHalls();
-    assert.deepEqual(halls.check([A, NOWHERE], KNOWN, false), []);
-    assert.deepEqual(halls.check([A, NOWHERE], KNOWN, true), [NOWHERE]);
-    assert.deepEqual(halls.check([A, NOWHERE], KNOWN, true), []);
-    assert.deepEqual(halls.check([A, NOWHERE], KNOWN, false), []);
-    assert.deepEqual(halls.check([A, NOWHERE], KNOWN, true), []);
-    assert.deepEqual(halls.check([A], KNOWN, true), []);
-    assert.deepEqual(halls.check([NOWHERE], KNOWN, true), [NOWHERE], "written again");
+    assert.deepEqual(halls.check([HALL_WITH_UPSTREAMS, MISTYPED_HALL], HALLS_WITH_UPSTREAMS, false), []);
+    assert.deepEqual(halls.check([HALL_WITH_UPSTREAMS, MISTYPED_HALL], HALLS_WITH_UPSTREAMS, true), [MISTYPED_HALL]);
+    assert.deepEqual(halls.check([HALL_WITH_UPSTREAMS, MISTYPED_HALL], HALLS_WITH_UPSTREAMS, true), []);
+    assert.deepEqual(halls.check([HALL_WITH_UPSTREAMS, MISTYPED_HALL], HALLS_WITH_UPSTREAMS, false), []);
+    assert.deepEqual(halls.check([HALL_WITH_UPSTREAMS, MISTYPED_HALL], HALLS_WITH_UPSTREAMS, true), []);
+    assert.deepEqual(halls.check([HALL_WITH_UPSTREAMS], HALLS_WITH_UPSTREAMS, true), []);
+    assert.deepEqual(
+        halls.check([MISTYPED_HALL], HALLS_WITH_UPSTREAMS, true),
+        [MISTYPED_HALL],
+        "the evacuation was written again",
+    );
 });
--- a/src/evacuation/unknownhalls.ts
+++ b/src/evacuation/unknownhalls.ts
@@ -1,28 +1,35 @@
 /**
- * Tells operators of evacuated halls in which there is no upstream: such a name is most likely mistyped.
+ * Logs a warning if an evacuated hall has no upstreams: its name is most likely mistyped.
  *
- * A daemon that watches the store says so, once for each name. One that does not watch yet may know too few daemons, so it is asked again
- * when it begins to.
+ * Only a daemon that watches the store logs it, once for each name. A daemon that does not watch yet may not know all
+ * daemons, so the check is repeated when it starts to watch.
  */
 import type { HallName } from "../ids/hallname.js";
 import { log } from "../log/log.js";
 
 const logger = log("halls");
 
-/** One for each daemon. */
+/** Remembers which halls a daemon has already reported. */
 export class UnknownHalls {
-    #told: ReadonlySet<HallName> = new Set();
+    #reported: ReadonlySet<HallName> = new Set();
 
-    /** To be called when one of these has changed; returns the names that were logged. */
-    check(evacuated: readonly HallName[], known: ReadonlySet<HallName>, isWatching: boolean): HallName[] {
-        const unknown = evacuated.filter(hall => !known.has(hall));
-        const untold = isWatching ? unknown.filter(hall => !this.#told.has(hall)) : [];
-        this.#told = new Set(isWatching ? unknown : unknown.filter(hall => this.#told.has(hall)));
-        if (untold.length > 0) {
-            logger.warn("A hall is evacuated in which there is no upstream.", "nothing is changed by that", {
-                unknown: untold,
-            });
+    /**
+     * Logs the halls that have not been reported yet and returns them. The owner calls it when one of the parameters
+     * has changed.
+     */
+    check(evacuated: readonly HallName[], hallsWithUpstreams: ReadonlySet<HallName>, isWatching: boolean): HallName[] {
+        const unknown = evacuated.filter(hall => !hallsWithUpstreams.has(hall));
+        const unreported = isWatching ? unknown.filter(hall => !this.#reported.has(hall)) : [];
+        this.#reported = new Set(isWatching ? unknown : unknown.filter(hall => this.#reported.has(hall)));
+        if (unreported.length > 0) {
+            logger.warn(
+                "Evacuated halls have no upstreams.",
+                "the names may be mistyped; the evacuation has no effect",
+                {
+                    unknown: unreported,
+                },
+            );
         }
-        return untold;
+        return unreported;
     }
 }
--- a/test/cold.test.ts
+++ b/test/cold.test.ts
@@ -76,7 +76,7 @@
         await eventually(
             "its hall is evacuated",
             async () =>
-                mesh.log.filter(line => line.includes("The halls that are evacuated have changed")).length
+                mesh.log.filter(line => line.includes("The evacuated halls have changed")).length
                     >= mesh.hosts.length,
         );
         await mesh.daemons.get("pages-1")!.end("SIGKILL");
