--- a/src/store/countstoreevents.ts
+++ b/src/store/countstoreevents.ts
@@ -1,12 +1,12 @@
-/** Counts what a client of the store tells of its calls. */
+/** Counts the calls to the store in the metrics. */
 import type { Metrics } from "../metrics/metrics.js";
 import type { StoreEvents } from "./storeevents.js";
 
-/** Calls by their kind, bytes as spent for control, silent connections by their kind. */
+/** Returns callbacks that count calls by kind, the bytes of control traffic, and unresponsive connections. */
 export function countStoreEvents(metrics: Metrics): StoreEvents {
     return {
-        called: kind => metrics.storeCalled(kind),
-        counted: bytes => metrics.spent("store", bytes),
-        onSilent: () => metrics.silentConnection("store"),
+        onCall: kind => metrics.storeCalled(kind),
+        onBytes: bytes => metrics.spent("store", bytes),
+        onUnresponsive: () => metrics.silentConnection("store"),
     };
 }
--- a/src/store/historyerror.ts
+++ b/src/store/historyerror.ts
@@ -1,10 +1,10 @@
-/** The error of a watch that can't go on. */
+/** Defines the error of a watch that can't continue. */
 import { StoreError } from "./storeerror.js";
 
-/** The store no longer has the changes that were asked for: read everything again. */
+/** Thrown when the store no longer has the requested changes. The caller must read the full state again. */
 export class HistoryError extends StoreError {
     constructor() {
-        super(false, "the store has forgotten its history");
+        super(false, "the store no longer has the requested changes");
         this.name = "HistoryError";
     }
 }
--- a/src/store/httpstore.ts
+++ b/src/store/httpstore.ts
@@ -1,4 +1,4 @@
-/** The document in the platform's key-value service over HTTP; docs/DESIGN.md describes the calls. */
+/** Keeps the configuration in the key-value service over HTTP; docs/DESIGN.md describes the calls. */
 import { z } from "zod";
 import { httpStatus } from "../http/httpstatus.js";
 import type { Address } from "../ids/address.js";
@@ -11,24 +11,24 @@
 
 const KEY_PATH = "/v1/kv/winglock";
 const HOSTS_PATH = "/v1/hosts";
-/** A write waits for a store that is slow but not down. */
+/** Long enough for a write to a store that is slow but not down. */
 const CALL_TIMEOUT_MS = 1500;
-/** One waiting watch, and calls beside it. */
-const CONNECTIONS = 4;
-/** How long the store lets a watch wait: a third of the time after which a configuration counts as unconfirmed. */
-const WATCH_MS = 5000;
+/** Maximum number of connections for calls and for watches each: one watch is pending while other calls are made. */
+const CONNECTION_LIMIT = 4;
+/** How long the store holds a watch open: a third of the time after which a configuration counts as unconfirmed. */
+const WATCH_WAIT_MS = 5000;
 
 const StoredValue = z.object({ value: z.string(), version: z.int().min(0) });
-const NOTHING: Stored = { value: "", version: 0 };
+const EMPTY_VALUE: Stored = { value: "", version: 0 };
 
-/** `told` is called with what happens to its calls. */
+/** The store as an HTTP service. `events` is notified of its calls. */
 export class HttpStore extends Store {
     readonly #client: StoreClient;
 
-    constructor(address: Address, localIp: string, told: StoreEvents) {
+    constructor(address: Address, localIp: string, events: StoreEvents) {
         super();
-        const bounds = { connections: CONNECTIONS, timeoutMs: CALL_TIMEOUT_MS };
-        this.#client = new StoreClient({ address, localIp, ...bounds, ...told });
+        const bounds = { connections: CONNECTION_LIMIT, timeoutMs: CALL_TIMEOUT_MS };
+        this.#client = new StoreClient({ address, localIp, ...bounds, ...events });
     }
 
     async read(): Promise<Stored> {
@@ -38,12 +38,12 @@
             path: KEY_PATH,
             empty: [httpStatus.notFound],
         })
-            ?? NOTHING;
+            ?? EMPTY_VALUE;
     }
 
     async write(value: string, version: number): Promise<boolean> {
         const path = `${KEY_PATH}?version=${version}`;
-        return await this.#client.isDone({
+        return await this.#client.tryCall({
             kind: "write",
             method: "PUT",
             path,
@@ -53,12 +53,12 @@
     }
 
     async watch(version: number, signal: AbortSignal): Promise<StoreNews> {
-        const path = `${KEY_PATH}?after=${version}&waitMs=${WATCH_MS}`;
+        const path = `${KEY_PATH}?after=${version}&waitMs=${WATCH_WAIT_MS}`;
         const document = await this.#client.call(StoredValue, {
             kind: "watch-configuration",
             method: "GET",
             path,
-            waitMs: WATCH_MS,
+            waitMs: WATCH_WAIT_MS,
             signal,
             empty: [httpStatus.noContent],
         });
--- a/src/store/store.ts
+++ b/src/store/store.ts
@@ -1,21 +1,29 @@
-/** The platform's key-value service, as far as winglock uses it. */
+/** Defines the operations of the key-value store that holds the configuration. */
 import type { Stored } from "./stored.js";
 import type { StoredHost } from "./storedhost.js";
 import type { StoreNews } from "./storenews.js";
 
-/** All calls throw a StoreError. */
+/** All methods that call the store throw a StoreError on failure. */
 export abstract class Store {
+    /** Returns the latest version of the configuration. */
     abstract read(): Promise<Stored>;
-    /** What the store had, maybe seconds ago, where that costs it less; else the newest. */
+    /**
+     * Returns the state of the store. It may be seconds old if such a read costs the store less; `isNewest` is true if
+     * it is the latest one.
+     */
     async readOld(): Promise<StoreNews & { readonly isNewest: boolean; }> {
         return { document: await this.read(), isNewest: true };
     }
-    /** Writes if the version is still `version`; false when it is not. */
+    /** Writes the value if the stored version is still `version`; returns false if it is not. */
     abstract write(value: string, version: number): Promise<boolean>;
-    /** Waits for a version above `version`, or for other news; there is none when nothing came in time. */
+    /**
+     * Waits for a version above `version` or for another change; the result has no change if none comes within the time
+     * limit.
+     */
     abstract watch(version: number, signal: AbortSignal): Promise<StoreNews>;
+    /** Returns the platform's hosts; empty if the store has no list of them. */
     abstract hosts(): Promise<StoredHost[]>;
-    /** Makes later calls on new connections: the old ones may have gone silent. */
+    /** Makes later calls on new connections, because the old ones may have become unresponsive. */
     abstract renewConnections(): void;
     abstract close(): Promise<void>;
 }
--- a/src/store/storeclient.test.ts
+++ b/src/store/storeclient.test.ts
@@ -8,21 +8,21 @@
 import { StoreClient } from "./storeclient.js";
 
 const TIMEOUT_MS = 100;
-const WATCH_MS = 20_000;
-const Answer = z.object({ at: z.int() });
+const WATCH_WAIT_MS = 20_000;
+const ResponseBody = z.object({ at: z.int() });
 
 type Serve = (path: string, res: ServerResponse, call: number) => void;
 
-/** Runs a body with a client of a store that answers each call as `serve` does, by its number. */
+/** Runs `body` with the client of a store whose responses `serve` sends; `call` is the number of the call, from 0. */
 const withClient = async (serve: Serve, body: (client: StoreClient) => Promise<void>): Promise<void> => {
     let calls = 0;
     const server = createServer((req, res) => serve(req.url ?? "", res, calls++));
     server.listen(0, "127.0.0.1");
     await once(server, "listening");
     const address = `127.0.0.1:${(server.address() as AddressInfo).port}` as Address;
-    const told = { called: () => {}, counted: () => {}, onSilent: () => {} };
+    const events = { onCall: () => {}, onBytes: () => {}, onUnresponsive: () => {} };
     const bounds = { connections: 4, timeoutMs: TIMEOUT_MS, eraHeader: "era" };
-    const client = new StoreClient({ address, localIp: "127.0.0.1", ...bounds, ...told });
+    const client = new StoreClient({ address, localIp: "127.0.0.1", ...bounds, ...events });
     try {
         await body(client);
     }
@@ -34,11 +34,11 @@
 };
 
 const find = (client: StoreClient): Promise<unknown> =>
-    client.callDated(Answer, { kind: "find", method: "GET", path: "/find" });
+    client.callDated(ResponseBody, { kind: "find", method: "GET", path: "/find" });
 const watch = (client: StoreClient): Promise<unknown> =>
-    client.call(Answer, { kind: "watch-records", method: "GET", path: "/watch", waitMs: WATCH_MS });
+    client.call(ResponseBody, { kind: "watch-records", method: "GET", path: "/watch", waitMs: WATCH_WAIT_MS });
 
-test("store client: a watch that waits on connections which carry nothing any more ends when a new one is answered", async () => {
+test("store client: a pending watch on an unresponsive connection ends once a call on a new connection succeeds", async () => {
     const serve: Serve = (path, res, call) => {
         if (path === "/find" && call > 1) {
             res.end(JSON.stringify({ at: 1 }));
@@ -46,22 +46,22 @@
     };
     await withClient(serve, async client => {
         const startedAt = performance.now();
-        const waiting = assert.rejects(watch(client), { message: "the store did not answer" });
+        const pending = assert.rejects(watch(client), { message: "the store did not respond" });
         await assert.rejects(find(client));
         await find(client);
-        await waiting;
-        assert.ok(performance.now() - startedAt < WATCH_MS / 10);
+        await pending;
+        assert.ok(performance.now() - startedAt < WATCH_WAIT_MS / 10);
     });
 });
 
-// Guards against watches that wait on silent connections while calls go on, over one that was opened after them.
-test("store client: when all that is open has gone silent, the next call finds it out, and what watches ends", async () => {
-    const rest = (): Promise<void> => new Promise(resolve => setTimeout(resolve, TIMEOUT_MS / 4));
-    const silent = new Set<unknown>();
-    const open = new Set<unknown>();
+// Guards against watches that stay pending on unresponsive connections while calls succeed on a newer connection.
+test("store client: the next call detects that all open connections are unresponsive, and pending watches end", async () => {
+    const pause = (): Promise<void> => new Promise(resolve => setTimeout(resolve, TIMEOUT_MS / 4));
+    const unresponsive = new Set<unknown>();
+    const sockets = new Set<unknown>();
     const serve: Serve = (path, res) => {
-        open.add(res.socket);
-        if (path === "/find" && !silent.has(res.socket)) {
+        sockets.add(res.socket);
+        if (path === "/find" && !unresponsive.has(res.socket)) {
             res.end(JSON.stringify({ at: 1 }));
         }
     };
@@ -70,15 +70,15 @@
             for (let call = 0; call < calls; call++) {
                 await find(client);
             }
-            await rest();
-            const waiting = [watch(client), watch(client)].map(each =>
-                assert.rejects(each, { message: "the store did not answer" })
+            await pause();
+            const pending = [watch(client), watch(client)].map(each =>
+                assert.rejects(each, { message: "the store did not respond" })
             );
-            await rest();
-            open.forEach(socket => silent.add(socket));
-            await assert.rejects(find(client), { message: "the store did not answer" }, `after ${calls} calls`);
+            await pause();
+            sockets.forEach(socket => unresponsive.add(socket));
+            await assert.rejects(find(client), { message: "the store did not respond" }, `after ${calls} calls`);
             await find(client);
-            await Promise.all(waiting);
+            await Promise.all(pending);
         });
     }
 });
--- a/src/store/storeclient.ts
+++ b/src/store/storeclient.ts
@@ -1,7 +1,6 @@
 /**
- * One daemon's client of a store that speaks HTTP: its connections, the time limits of calls, and what a failure proves.
- *
- * What is asked, and in which form, is for `Store` and `Registry` to say.
+ * Calls a store over HTTP. Owns the connections and the time limits of calls, and decides whether a failed call may
+ * have been executed. `Store` and `Registry` define the calls and their formats.
  */
 import type { z } from "zod";
 import { isConnectError } from "../http/connecterror.js";
@@ -17,27 +16,30 @@
 
 const logger = log("connections");
 
-/** How much later than asked for the answer to a watch may come. */
+/** How long after its waiting time the response to a watch may arrive. */
 const WATCH_SLACK_MS = 1500;
-/** The name of the error of a call that got no answer in time. */
-const TIMED_OUT = "TimeoutError";
-/** Refusals, for rate or outage, that prove that nothing was done. */
-const REFUSALS: ReadonlySet<number> = new Set([httpStatus.tooManyRequests, httpStatus.serviceUnavailable]);
+/** Name of the error of a call that timed out. */
+const TIMEOUT_ERROR = "TimeoutError";
+/** Statuses of a store that is rate limiting or unavailable; they prove that the call was not executed. */
+const REFUSAL_STATUSES: ReadonlySet<number> = new Set([httpStatus.tooManyRequests, httpStatus.serviceUnavailable]);
 
-/** `timeoutMs` bounds each call but watches. */
+/** `timeoutMs` limits each call except watches. */
 type ClientOptions = StoreEvents & {
     readonly address: Address;
     readonly localIp: string;
-    /** At the most, for calls and for watches each. */
+    /** Maximum number of connections for calls and for watches each. */
     readonly connections: number;
     readonly timeoutMs: number;
-    /** The header field by which the store says how often it has come back from a copy; undefined of one that does not. */
+    /**
+     * The response header with the store's era, which rises with each restore from a backup; undefined if the store
+     * does not send one.
+     */
     readonly eraHeader?: string;
 };
 
-/** `era` is 0 where the store says none. */
-type Dated<Value> = { readonly value: Value; readonly era: number; };
-type Answer = { readonly status: number; readonly text: string; readonly era: number; };
+/** `era` is 0 if the store does not send one. */
+type WithEra<Value> = { readonly value: Value; readonly era: number; };
+type StoreResponse = { readonly status: number; readonly text: string; readonly era: number; };
 
 type Call = {
     readonly kind: StoreCallKind;
@@ -45,57 +47,67 @@
     readonly path: string;
     readonly headers?: Record<string, string>;
     readonly body?: string;
-    /** Statuses that mean that there is no value; the caller knows which one of them it may be. */
+    /** Statuses that mean that there is no value; the result does not show which of them was received. */
     readonly empty?: readonly number[];
-    /** Of a watch: how long the store may let it wait, in milliseconds. */
+    /** For a watch: how long the store may hold it open, in milliseconds. */
     readonly waitMs?: number;
-    /** Calls the call off. */
+    /** Cancels the call. */
     readonly signal?: AbortSignal;
 };
 
-/** Calls go by connections of their own: one that rests is there before the watches, so that it shows when all that is open has gone silent. */
+/**
+ * Watches have connections of their own. A call then reuses an idle connection that is older than the pending watches,
+ * and so detects when all open connections have become unresponsive.
+ */
 type Connections = { readonly calls: StoreConnections; readonly watches: StoreConnections; };
 
-/** A call that gets no answer may have been done; the StoreError says what is proven. */
+/** A call without a response may have been executed; `StoreError.sent` is false if that is ruled out. */
 export class StoreClient {
     #connections: Connections;
-    #isRenewed = false;
-    /** The latest that the store has said. */
+    /** True from the renewal of the connections after a timeout until the first response. */
+    #isRenewedAfterTimeout = false;
+    /** The latest era in a response. */
     #era = 0;
-    /** Calls off each watch that waits, with the connections that it waits on. */
+    /** The controllers that cancel the pending watches, with the connections that these use. */
     readonly #watches = new Map<AbortController, Connections>();
 
     constructor(private readonly options: ClientOptions) {
         this.#connections = this.#connect();
     }
 
-    /** Makes later calls on new connections: the old ones may have gone silent. Calls under way end by their time limit. */
+    /**
+     * Makes later calls on new connections, because the old ones may have become unresponsive. Calls in progress end at
+     * the latest by their time limits.
+     */
     renewConnections(): void {
         const { calls, watches } = this.#connections;
         this.#connections = this.#connect();
         Promise.all([calls.close(), watches.close()]).catch((err: unknown) =>
-            logger.warn("Old connections to the store could not be ended.", err)
+            logger.warn("Closing the old connections to the store failed.", err)
         );
     }
 
     /**
-     * Returns the checked answer, or undefined when its status is one of `empty`. Throws a HistoryError for 410, a
-     * StoreError when no answer comes, the status is another one than 200, the answer can't be read, or it was given before the store came
-     * back from a copy as a later one has told.
+     * Returns the value of the response, or undefined if its status is one of `empty`. Throws a HistoryError for status
+     * 410. Throws a StoreError if there is no response, its status is not 200, it does not match the schema, or its era
+     * is older than that of an earlier response.
      */
     async call<Schema extends z.ZodType>(schema: Schema, call: Call): Promise<z.infer<Schema> | undefined> {
         return (await this.callDated(schema, call))?.value;
     }
 
-    /** The same, with the era of the store that has answered. */
-    async callDated<Schema extends z.ZodType>(schema: Schema, call: Call): Promise<Dated<z.infer<Schema>> | undefined> {
-        const answer = await this.#answer(call);
-        return answer === undefined ? undefined : { value: this.#read(schema, answer.text), era: answer.era };
+    /** Does the same as `call`, and returns the store's era with the value. */
+    async callDated<Schema extends z.ZodType>(
+        schema: Schema,
+        call: Call,
+    ): Promise<WithEra<z.infer<Schema>> | undefined> {
+        const response = await this.#request(call);
+        return response === undefined ? undefined : { value: this.#parse(schema, response.text), era: response.era };
     }
 
-    /** Makes a call whose answer has nothing to read; false when its status is one of `empty`. Throws as `call` does. */
-    async isDone(call: Call): Promise<boolean> {
-        return await this.#answer(call) !== undefined;
+    /** Makes a call without reading a value; returns false if its status is one of `empty`. Throws as `call` does. */
+    async tryCall(call: Call): Promise<boolean> {
+        return await this.#request(call) !== undefined;
     }
 
     async close(): Promise<void> {
@@ -103,10 +115,10 @@
         await Promise.all([calls.destroy(), watches.destroy()]);
     }
 
-    async #answer(call: Call): Promise<Answer | undefined> {
-        const answer = await this.#send(call);
-        const { status } = answer;
-        this.#refuseEarlier(answer.era);
+    async #request(call: Call): Promise<StoreResponse | undefined> {
+        const response = await this.#send(call);
+        const { status } = response;
+        this.#checkEra(response.era);
         if (call.empty?.includes(status)) {
             return undefined;
         }
@@ -114,107 +126,119 @@
             throw new HistoryError();
         }
         if (status !== httpStatus.ok) {
-            throw new StoreError(!REFUSALS.has(status), `the store answered ${status}`);
+            throw new StoreError(!REFUSAL_STATUSES.has(status), `the store responded with status ${status}`);
         }
-        return answer;
+        return response;
     }
 
-    async #send(call: Call): Promise<Answer> {
+    async #send(call: Call): Promise<StoreResponse> {
         const { kind, method, path, headers, body, waitMs } = call;
         const { calls, watches } = this.#connections;
-        this.options.called(kind);
-        const ended = new AbortController();
-        const release = this.#bound(call, ended);
+        this.options.onCall(kind);
+        const controller = new AbortController();
+        const clearTimeLimit = this.#startTimeLimit(call, controller);
         try {
-            const { signal } = ended;
+            const { signal } = controller;
             const connections = waitMs === undefined ? calls : watches;
-            const { status, headers: said, text } = await connections.request({ method, path, headers, body, signal });
-            this.#recordAnswer();
-            this.options.counted(text.length + (body?.length ?? 0));
-            return { status, text, era: this.#eraOf(said) };
+            const { status, headers: responseHeaders, text } = await connections.request({
+                method,
+                path,
+                headers,
+                body,
+                signal,
+            });
+            this.#recordResponse();
+            this.options.onBytes(text.length + (body?.length ?? 0));
+            return { status, text, era: this.#eraOf(responseHeaders) };
         }
         catch (err) {
             this.#recordFailure(call, err);
-            throw new StoreError(!isConnectError(err), "the store did not answer", { cause: err });
+            throw new StoreError(!isConnectError(err), "the store did not respond", { cause: err });
         }
         finally {
-            release();
+            clearTimeLimit();
         }
     }
 
-    #refuseEarlier(era: number): void {
+    #checkEra(era: number): void {
         if (era < this.#era) {
-            throw new StoreError(true, "the answer is of a time before the store came back from a copy");
+            throw new StoreError(true, "the response is stale: the store has been restored from a backup since");
         }
         if (era > this.#era && this.#era > 0) {
-            logger.warn("The store has come back from a copy.", "what was written last may be gone", { era });
+            logger.warn("The store was restored from a backup.", "its latest writes may be lost", { era });
         }
         this.#era = era;
     }
 
-    /** The latest known where the answer does not say. */
+    /** Returns the era in the response's headers, or the latest known one if they have none or an invalid one. */
     #eraOf(headers: HttpHeaders): number {
         const { eraHeader } = this.options;
-        const said = eraHeader === undefined ? undefined : headers[eraHeader];
-        const era = Number(said);
-        return said !== undefined && Number.isSafeInteger(era) && era >= 0 ? era : this.#era;
+        const value = eraHeader === undefined ? undefined : headers[eraHeader];
+        const era = Number(value);
+        return value !== undefined && Number.isSafeInteger(era) && era >= 0 ? era : this.#era;
     }
 
-    /** A call that got no answer in time may have met a silent connection, or a store that is silent: the next one tells. */
+    /**
+     * Renews the connections after a timeout. Either the connection or the store was unresponsive: the next call on a
+     * new connection shows it.
+     */
     #recordFailure({ waitMs }: Call, err: unknown): void {
-        if (waitMs === undefined && (err as Error).name === TIMED_OUT) {
+        if (waitMs === undefined && (err as Error).name === TIMEOUT_ERROR) {
             this.renewConnections();
-            this.#isRenewed = true;
+            this.#isRenewedAfterTimeout = true;
         }
     }
 
-    #recordAnswer(): void {
-        if (this.#isRenewed) {
-            this.#isRenewed = false;
-            logger.warn("An open connection to the store carried nothing any more.", "a new one is answered");
-            this.options.onSilent();
-            this.#endOldWatches();
+    #recordResponse(): void {
+        if (this.#isRenewedAfterTimeout) {
+            this.#isRenewedAfterTimeout = false;
+            logger.warn("An open connection to the store was unresponsive.", "a call on a new connection succeeded");
+            this.options.onUnresponsive();
+            this.#abortOldWatches();
         }
     }
 
-    /** What waits on the connections of before would wait in vain: its caller watches anew. */
-    #endOldWatches(): void {
+    /** Aborts the watches on old connections, which may never get a response; their callers start new ones. */
+    #abortOldWatches(): void {
         [...this.#watches].filter(([, connections]) => connections !== this.#connections).forEach(([watch]) =>
             watch.abort()
         );
     }
 
     #connect(): Connections {
-        const { address, localIp, connections: most } = this.options;
-        const open = (): StoreConnections => new StoreConnections({ address, localIp, most });
+        const { address, localIp, connections: maxClients } = this.options;
+        const open = (): StoreConnections => new StoreConnections({ address, localIp, maxClients });
         return { calls: open(), watches: open() };
     }
 
-    /** Ends the call in time, or when its caller calls it off; the return value takes that back. */
-    #bound({ waitMs, signal }: Call, ended: AbortController): () => void {
+    /** Aborts the call at its time limit or when its caller cancels it. Returns a function that removes both. */
+    #startTimeLimit({ waitMs, signal }: Call, controller: AbortController): () => void {
         const limitMs = waitMs === undefined ? this.options.timeoutMs : waitMs + WATCH_SLACK_MS;
-        const timer = setTimeout(() => ended.abort(new DOMException("no answer in time", TIMED_OUT)), limitMs);
-        const callOff = (): void => ended.abort(signal?.reason);
-        signal?.addEventListener("abort", callOff);
+        const timer = setTimeout(
+            () => controller.abort(new DOMException("no response within the time limit", TIMEOUT_ERROR)),
+            limitMs,
+        );
+        const cancel = (): void => controller.abort(signal?.reason);
+        signal?.addEventListener("abort", cancel);
         if (signal?.aborted) {
-            callOff();
+            cancel();
         }
         if (waitMs !== undefined) {
-            this.#watches.set(ended, this.#connections);
+            this.#watches.set(controller, this.#connections);
         }
         return () => {
             clearTimeout(timer);
-            signal?.removeEventListener("abort", callOff);
-            this.#watches.delete(ended);
+            signal?.removeEventListener("abort", cancel);
+            this.#watches.delete(controller);
         };
     }
 
-    #read<Schema extends z.ZodType>(schema: Schema, text: string): z.infer<Schema> {
+    #parse<Schema extends z.ZodType>(schema: Schema, text: string): z.infer<Schema> {
         try {
             return schema.parse(JSON.parse(text));
         }
         catch (err) {
-            throw new StoreError(true, "the store's answer can't be read", { cause: err });
+            throw new StoreError(true, "the store's response is invalid", { cause: err });
         }
     }
 }
--- a/src/store/storeconnections.ts
+++ b/src/store/storeconnections.ts
@@ -1,60 +1,60 @@
 /**
- * One daemon's connections to the store, for one kind of calls.
+ * Pools a daemon's connections to the store, for calls or for watches.
  *
- * The one that was used last is used first, so that a call opens no new one while one rests: then the next call shows when all that is
- * open has gone silent.
+ * The most recently used idle connection is used first, and a new one is opened only if none is idle. If all open
+ * connections have become unresponsive, the next call therefore detects it.
  */
 import { Client, type Dispatcher } from "undici";
 import type { HttpHeaders } from "../http/httpheaders.js";
 import type { Address } from "../ids/address.js";
 
-/** A store on the same network accepts a connection within milliseconds. */
+/** Generous for a store on the same network, which accepts a connection within milliseconds. */
 const CONNECT_TIMEOUT_MS = 500;
 
-/** Where the store is; `most` connections at once, over which further calls wait for one. */
-type ConnectionOptions = { readonly address: Address; readonly localIp: string; readonly most: number; };
+/** `maxClients` is the maximum number of connections; further calls wait for one. */
+type ConnectionOptions = { readonly address: Address; readonly localIp: string; readonly maxClients: number; };
 
-type Answer = { readonly status: number; readonly headers: HttpHeaders; readonly text: string; };
+type HttpResponse = { readonly status: number; readonly headers: HttpHeaders; readonly text: string; };
 
-/** Each carries one call at a time. */
+/** Each connection carries one call at a time. */
 export class StoreConnections {
-    readonly #all: Client[] = [];
+    readonly #clients: Client[] = [];
     readonly #idle: Client[] = [];
 
     constructor(private readonly options: ConnectionOptions) {}
 
-    /** Rejects as the connection does, or as the signal says. */
-    async request(options: Dispatcher.RequestOptions): Promise<Answer> {
-        const client = this.#take();
+    /** Sends a request and reads the response; rejects with the connection's error or the signal's reason. */
+    async request(options: Dispatcher.RequestOptions): Promise<HttpResponse> {
+        const client = this.#acquire();
         try {
             const { statusCode: status, headers, body } = await client.request(options);
             return { status, headers, text: await body.text() };
         }
         finally {
-            this.#give(client);
+            this.#release(client);
         }
     }
 
-    /** Ends them after what is in flight. */
+    /** Closes the connections after the calls in progress. */
     async close(): Promise<void> {
-        await Promise.all(this.#all.map(client => client.close()));
+        await Promise.all(this.#clients.map(client => client.close()));
     }
 
-    /** Cuts them. */
+    /** Closes the connections at once; calls in progress fail. */
     async destroy(): Promise<void> {
-        await Promise.all(this.#all.map(client => client.destroy()));
+        await Promise.all(this.#clients.map(client => client.destroy()));
     }
 
-    #take(): Client {
+    #acquire(): Client {
         const idle = this.#idle.pop();
         if (idle !== undefined) {
             return idle;
         }
-        return this.#all.length < this.options.most ? this.#open() : this.#all[0]!;
+        return this.#clients.length < this.options.maxClients ? this.#open() : this.#clients[0]!;
     }
 
-    /** One that several calls wait for is not idle before the last of them has ended. */
-    #give(client: Client): void {
+    /** Marks the connection as idle, unless another call that shared it has already done so. */
+    #release(client: Client): void {
         if (!this.#idle.includes(client)) {
             this.#idle.push(client);
         }
@@ -63,7 +63,7 @@
     #open(): Client {
         const { address, localIp: localAddress } = this.options;
         const client = new Client(`http://${address}`, { localAddress, connect: { timeout: CONNECT_TIMEOUT_MS } });
-        this.#all.push(client);
+        this.#clients.push(client);
         return client;
     }
 }
--- a/src/store/stored.ts
+++ b/src/store/stored.ts
@@ -1,4 +1,4 @@
-/** A value in the store. */
+/** Defines a value in the store with its version. */
 
-/** `version` grows with each write; 0 means that nothing has been written. */
+/** `version` increases with each write; 0 means that nothing has been written. */
 export type Stored = { readonly value: string; readonly version: number; };
--- a/src/store/storedhost.ts
+++ b/src/store/storedhost.ts
@@ -1,9 +1,9 @@
-/** A line of the platform's list of hosts. */
+/** Defines an entry of the platform's list of hosts. */
 import { z } from "zod";
 import { HostName } from "../ids/hostname.js";
 
 const StoredHost = z.object({ name: HostName, state: z.enum(["live", "leaving"]) });
 type StoredHost = z.infer<typeof StoredHost>;
 
-/** The list lags behind the truth. */
+/** A host and its state, which the list may show late. */
 export { StoredHost };
--- a/src/store/storeerror.ts
+++ b/src/store/storeerror.ts
@@ -1,6 +1,6 @@
-/** The error of this layer. */
+/** Defines the error of a failed call to the store. */
 
-/** `sent` is false when it is proven that the store has not received the call. */
+/** `sent` is false only if it is certain that the store has not executed the call. */
 export class StoreError extends Error {
     constructor(readonly sent: boolean, message: string, options?: ErrorOptions) {
         super(message, options);
--- a/src/store/storeevents.ts
+++ b/src/store/storeevents.ts
@@ -1,11 +1,11 @@
-/** What a client of the store tells of its calls. */
+/** Defines the callbacks by which a client of the store reports its calls. */
 import type { StoreCallKind } from "../metrics/storecallkind.js";
 
 export type StoreEvents = {
-    /** A call is made; whether it is answered or not, the store charges it. */
-    readonly called: (kind: StoreCallKind) => void;
-    /** The bytes of a call that was answered. */
-    readonly counted: (bytes: number) => void;
-    /** A call got no answer in time, and the first one on a new connection did. */
-    readonly onSilent: () => void;
+    /** Called for each call, with or without a response, because the store charges for both. */
+    readonly onCall: (kind: StoreCallKind) => void;
+    /** Called for each response with the length of the request's and the response's body. */
+    readonly onBytes: (bytes: number) => void;
+    /** Called when a call has timed out on an open connection and a call on new connections succeeded after it. */
+    readonly onUnresponsive: () => void;
 };
--- a/src/store/storeloop.ts
+++ b/src/store/storeloop.ts
@@ -1,80 +1,80 @@
-/** Repeats a step against the store for as long as it is wanted, and goes easy on a store that fails. */
+/** Repeats a step that calls the store until the loop is stopped, with backoff after failures. */
 import { Backoff } from "../time/backoff.js";
 import { sleep } from "../time/sleep.js";
 
 /** Times in milliseconds. */
 type LoopDependencies = {
-    /** One step; it ends early when the signal aborts. */
+    /** Runs one step; ends early when the signal aborts. */
     readonly step: (signal: AbortSignal) => Promise<void>;
-    /** Told of each step that failed; the next one follows after a pause that grows with each failure in a row. */
+    /** Called with the error of each failed step. The pause before the next step grows with each failure in a row. */
     readonly failed: (err: unknown) => void;
-    /** The pause after a step that did not fail. */
+    /** Returns the pause after a successful step. */
     readonly pauseMs: () => number;
 };
 
-/** One loop at a time; it may be started again after a stop. */
+/** Runs at most one loop at a time; it may be started again after a stop. */
 export class StoreLoop {
-    #stop: AbortController | undefined;
-    #step = new AbortController();
-    #pause = new AbortController();
+    #loopController: AbortController | undefined;
+    #stepController = new AbortController();
+    #pauseController = new AbortController();
     #isWoken = false;
 
     constructor(private readonly deps: LoopDependencies) {}
 
     get running(): boolean {
-        return this.#stop !== undefined;
+        return this.#loopController !== undefined;
     }
 
     start(): void {
-        if (this.#stop === undefined) {
-            this.#stop = new AbortController();
-            void this.#run(this.#stop.signal);
+        if (this.#loopController === undefined) {
+            this.#loopController = new AbortController();
+            void this.#run(this.#loopController.signal);
         }
     }
 
     stop(): void {
-        this.#stop?.abort();
-        this.#stop = undefined;
-        this.#step.abort();
-        this.#pause.abort();
+        this.#loopController?.abort();
+        this.#loopController = undefined;
+        this.#stepController.abort();
+        this.#pauseController.abort();
     }
 
-    /** Ends the present step, which may wait on a connection that carries nothing any more. */
+    /** Aborts the present step, which may be waiting on an unresponsive connection. */
     renew(): void {
-        this.#step.abort();
+        this.#stepController.abort();
     }
 
-    /** Leaves out the next pause: there is something to do. */
+    /** Ends the present pause, or skips the next one, because there is something to do. */
     wake(): void {
         this.#isWoken = true;
-        this.#pause.abort();
+        this.#pauseController.abort();
     }
 
-    async #run(stopped: AbortSignal): Promise<void> {
+    async #run(stopSignal: AbortSignal): Promise<void> {
         const backoff = new Backoff();
-        while (!stopped.aborted) {
-            this.#step = new AbortController();
+        while (!stopSignal.aborted) {
+            this.#stepController = new AbortController();
             this.#isWoken = false;
             try {
-                await this.deps.step(this.#step.signal);
+                await this.deps.step(this.#stepController.signal);
                 backoff.reset();
-                await this.#rest();
+                await this.#waitForNextStep();
             }
             catch (err) {
-                if (stopped.aborted) {
+                if (stopSignal.aborted) {
                     return;
                 }
                 this.deps.failed(err);
-                await sleep(backoff.next(), stopped);
+                await sleep(backoff.nextDelayMs(), stopSignal);
             }
         }
     }
 
-    async #rest(): Promise<void> {
-        this.#pause = new AbortController();
+    async #waitForNextStep(): Promise<void> {
+        this.#pauseController = new AbortController();
         const pauseMs = this.deps.pauseMs();
         if (!this.#isWoken && pauseMs > 0) {
-            await sleep(pauseMs, this.#pause.signal);
+            await sleep(pauseMs, this.#pauseController.signal);
         }
     }
 }
--- a/src/store/storenews.ts
+++ b/src/store/storenews.ts
@@ -1,6 +1,9 @@
-/** What a watch of the store brings. */
+/** Defines the result of a watch or a stale read of the store. */
 import type { HallsChange } from "../policy/halls/hallschange.js";
 import type { Stored } from "./stored.js";
 
-/** The document, where it has changed; what the store says of halls, where it keeps that beside the document. */
+/**
+ * `document` is the configuration if it has changed. `halls` are the evacuated halls if the store keeps them beside the
+ * configuration.
+ */
 export type StoreNews = { readonly document?: Stored; readonly halls?: HallsChange; };
--- a/src/time/backoff.ts
+++ b/src/time/backoff.ts
@@ -1,23 +1,22 @@
-/** How long to wait after a failure, and after the next. */
+/** Computes exponential backoff after failures in a row. */
 
-/** Milliseconds. */
-const FIRST_PAUSE_MS = 250;
-/** Milliseconds: a store that is back is found within it. */
-const LONGEST_PAUSE_MS = 2000;
+const INITIAL_DELAY_MS = 250;
+/** Also the longest time until a store that has recovered is called again. */
+const MAX_DELAY_MS = 2000;
 
-/** Each pause is twice the one before, up to the longest. */
+/** Each delay is twice the one before, up to a maximum. */
 export class Backoff {
-    #pauseMs = FIRST_PAUSE_MS;
+    #delayMs = INITIAL_DELAY_MS;
 
-    /** Records a failure; returns the milliseconds to wait. */
-    next(): number {
-        const pauseMs = this.#pauseMs;
-        this.#pauseMs = Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
-        return pauseMs;
+    /** Records a failure and returns the delay until the next attempt, in milliseconds. */
+    nextDelayMs(): number {
+        const delayMs = this.#delayMs;
+        this.#delayMs = Math.min(MAX_DELAY_MS, delayMs * 2);
+        return delayMs;
     }
 
-    /** Records a success. */
+    /** Records a success: the next delay is the initial one. */
     reset(): void {
-        this.#pauseMs = FIRST_PAUSE_MS;
+        this.#delayMs = INITIAL_DELAY_MS;
     }
 }
--- a/test/storecopy.test.ts
+++ b/test/storecopy.test.ts
@@ -104,7 +104,7 @@
         }
         assert.equal(await countRecords(mesh), mesh.hosts.length);
         const lives = new Set(
-            mesh.log.filter(line => line.includes("has come back from a copy")).map(line =>
+            mesh.log.filter(line => line.includes("The store was restored from a backup")).map(line =>
                 /"era":(\d+)/.exec(line)?.[1]
             ),
         );
