--- a/src/wire/arrivalschema.ts
+++ b/src/wire/arrivalschema.ts
@@ -1,6 +1,6 @@
-/** What an attempt is to its service, as it comes from a peer. */
+/** Validates an attempt's arrival type received from a peer. */
 import { z } from "zod";
 import type { Arrival } from "../policy/retry/arrival.js";
 
-/** As policy/retry/arrival.ts describes it. */
+/** The values that policy/retry/arrival.ts describes. */
 export const arrivalSchema = z.enum(["first", "retry", "hedge", "call"] satisfies Arrival[]);
--- a/src/wire/callhead.ts
+++ b/src/wire/callhead.ts
@@ -1,4 +1,4 @@
-/** What goes with a request from ingress to gate. */
+/** Defines the metadata that an ingress sends to a gate with a request. */
 import { z } from "zod";
 import { AnswerMode } from "../config/answermode.js";
 import { Kind } from "../config/kind.js";
@@ -12,35 +12,38 @@
 const NO_TEAM = "none" as TeamName;
 
 const CallHead = z.object({
+    /** Identifies the attempt. */
     id: RequestId,
     upstream: UpstreamName,
     kind: Kind,
     priority: Priority,
     team: TeamName.default(NO_TEAM),
     answer: AnswerMode.default("whole"),
-    /** Milliseconds left at the time of sending. */
+    /** Time to the request's deadline when the request was sent. */
     remainingMs: z.number().min(0),
+    /** Maximum time in the gate's queue. */
     maxWaitMs: z.number().min(0),
+    /** Number of calls in the chain that led to the request. */
     depth: z.int().min(0).default(0),
-    /** The sender's configuration. */
+    /** Revision of the sender's configuration. */
     revision: z.int().min(0),
-    /** The gate's life that the sender means; required for `once`. */
+    /** Incarnation of the gate for which the request is meant; required for `once`. */
     incarnation: Incarnation.optional(),
-    /** The gate's clock at the time of sending, as the sender reckons it: see hop/gateclock.ts. */
+    /** The gate's time when the request was sent, as estimated by the sender; see hop/gateclock.ts. */
     gateTime: z.number().optional(),
-    /** How many other upstreams the sender could still send the request to. */
+    /** Number of other upstreams to which the sender could still send the request. */
     choices: z.int().min(0).default(0),
-    /** Those of them in the sender's own data hall. */
+    /** Number of these upstreams in the sender's own data hall. */
     nearChoices: z.int().min(0).default(0),
-    /** An offer of a slot that the sender was told to use. */
+    /** Id of the slot offer that the sender was directed to. */
     offer: z.string().max(64).optional(),
-    /** Where the sender receives load reports, IP:PORT. */
+    /** Address at which the sender receives load reports, IP:PORT. */
     from: z.string().max(64).optional(),
     arrival: arrivalSchema.default("first"),
-    /** Requests a second that the upstream takes, as the sender was told with its answers. */
+    /** The upstream's stated rate limit in requests a second, as known to the sender from earlier responses. */
     limitPerSecond: z.number().min(0).optional(),
 });
 type CallHead = z.infer<typeof CallHead>;
 
-/** What goes with a request from ingress to gate; times in milliseconds. */
+/** The metadata of one attempt; times in milliseconds. */
 export { CallHead };
--- a/src/wire/crashchanges.ts
+++ b/src/wire/crashchanges.ts
@@ -1,20 +1,20 @@
-/** What one daemon tells another of requests that crash upstreams. */
+/** Defines the message by which daemons exchange records of requests that crash upstreams. */
 import { z } from "zod";
 import { crashLimits } from "../policy/quarantine/crashlimits.js";
 import { crashRecordSchema } from "./crashrecordschema.js";
 import { RecordsMark } from "./recordsmark.js";
 
 const CrashChanges = z.object({
-    /** What has changed at the sender since the receiver was told last; all, where it was not. */
+    /** The sender's records that have changed since its last message to the receiver; all of them if there was none. */
     records: z.array(crashRecordSchema).max(crashLimits.maxRequests),
-    /** How far they go. */
+    /** Position in the sender's list up to which the records go. */
     upTo: RecordsMark,
-    /** How far the sender has been told by the receiver. */
+    /** Position in the receiver's list up to which the sender has received the records. */
     have: RecordsMark.optional(),
-    /** Of all that the sender knows, as in heartbeats. */
+    /** Digest of all records of the sender, as in heartbeats. */
     mark: z.int().optional(),
 });
 type CrashChanges = z.infer<typeof CrashChanges>;
 
-/** In both directions of an exchange. */
+/** Both sides of an exchange send this message. */
 export { CrashChanges };
--- a/src/wire/crashrecordschema.ts
+++ b/src/wire/crashrecordschema.ts
@@ -1,4 +1,4 @@
-/** Checks what a peer, or the store, tells of a request under which upstreams have crashed. */
+/** Validates a crash record received from a peer or read from the store. */
 import { z } from "zod";
 import { CrashId } from "../ids/crashid.js";
 import { RequestKey } from "../ids/requestkey.js";
@@ -7,7 +7,7 @@
 
 const crashes = z.array(CrashId).max(crashLimits.maxCrashesPerRequest);
 
-/** As in policy/quarantine/crashrecord.ts, which knows nothing of schemas. */
+/** Schema of the record in policy/quarantine/crashrecord.ts, which does not depend on a schema library. */
 export const crashRecordSchema: z.ZodType<CrashRecord> = z.object({
     request: RequestKey,
     crashes,
--- a/src/wire/headcodec.ts
+++ b/src/wire/headcodec.ts
@@ -1,28 +1,28 @@
-/** A CallHead on the wire. */
+/** Encodes the metadata of a request for the wire. */
 import { AnswerMode } from "../config/answermode.js";
 import { Kind } from "../config/kind.js";
 import { Priority } from "../config/priority.js";
 import { arrivalSchema } from "./arrivalschema.js";
 import { RecordCodec } from "./recordcodec.js";
 
-/** As callhead.ts describes it. */
+/** Order and encoding of the fields that callhead.ts describes. */
 export const headCodec = new RecordCodec([
     { name: "id" },
     { name: "upstream" },
-    { name: "kind", form: Kind.options },
-    { name: "priority", form: Priority.options },
-    { name: "remainingMs", form: "time" },
-    { name: "maxWaitMs", form: "time" },
+    { name: "kind", encoding: Kind.options },
+    { name: "priority", encoding: Priority.options },
+    { name: "remainingMs", encoding: "time" },
+    { name: "maxWaitMs", encoding: "time" },
     { name: "revision" },
     { name: "from" },
     { name: "choices" },
     { name: "nearChoices" },
     { name: "incarnation" },
-    { name: "gateTime", form: "time" },
-    { name: "depth", usual: 0 },
-    { name: "team", usual: "none" },
-    { name: "answer", form: AnswerMode.options, usual: "whole" },
+    { name: "gateTime", encoding: "time" },
+    { name: "depth", defaultValue: 0 },
+    { name: "team", defaultValue: "none" },
+    { name: "answer", encoding: AnswerMode.options, defaultValue: "whole" },
     { name: "offer" },
-    { name: "arrival", form: arrivalSchema.options, usual: "first" },
+    { name: "arrival", encoding: arrivalSchema.options, defaultValue: "first" },
     { name: "limitPerSecond" },
 ]);
--- a/src/wire/hostedupstream.ts
+++ b/src/wire/hostedupstream.ts
@@ -1,4 +1,4 @@
-/** What a daemon tells its peers of an upstream beside it. */
+/** Defines a daemon's record of an upstream beside it, as propagated to its peers. */
 import { z } from "zod";
 import { Slots } from "../config/slots.js";
 import { Address } from "../ids/address.js";
@@ -11,10 +11,10 @@
     address: Address,
     slots: Slots,
     draining: z.boolean(),
-    /** Of the slots, above which its gate has found it to slow down. */
+    /** The knee that the gate has measured, as a share of the slots. */
     limitShare: z.number().min(0).max(1).optional(),
 });
 type HostedUpstream = z.infer<typeof HostedUpstream>;
 
-/** An upstream by its announcement; its place is the daemon's. */
+/** An upstream as it was announced. Its host, hall and region are those of the daemon. */
 export { HostedUpstream };
--- a/src/wire/loadreportschema.ts
+++ b/src/wire/loadreportschema.ts
@@ -1,8 +1,8 @@
-/** Checks a load report that comes from a peer. */
+/** Validates a load report received from a peer. */
 import { z } from "zod";
 import type { LoadReport } from "../policy/placement/loadreport.js";
 
-/** As in policy/placement/loadreport.ts, which knows nothing of schemas. */
+/** Schema of the report in policy/placement/loadreport.ts, which does not depend on a schema library. */
 export const loadReportSchema: z.ZodType<LoadReport> = z.object({
     running: z.number(),
     waiting: z.number(),
--- a/src/wire/notecodec.ts
+++ b/src/wire/notecodec.ts
@@ -1,32 +1,32 @@
-/** An AnswerNote on the wire. */
+/** Encodes the metadata of a response for the wire. */
 import { RecordCodec } from "./recordcodec.js";
 
-const reportCodec = new RecordCodec([
+const loadReportCodec = new RecordCodec([
     { name: "running" },
     { name: "waiting" },
     { name: "limit" },
-    { name: "serviceMs", form: "time" },
-    { name: "baseMs", form: "time" },
+    { name: "serviceMs", encoding: "time" },
+    { name: "baseMs", encoding: "time" },
     { name: "pace" },
 ]);
 
-/** As responsemetadata.ts describes it. */
+/** Order and encoding of the fields that responsemetadata.ts describes. */
 export const noteCodec = new RecordCodec([
     { name: "incarnation" },
-    { name: "gateTime", form: "time" },
+    { name: "gateTime", encoding: "time" },
     { name: "revision" },
-    { name: "report", form: reportCodec },
-    { name: "tookMs", form: "time" },
-    { name: "outcome", form: ["not-run", "unknown"] },
+    { name: "report", encoding: loadReportCodec },
+    { name: "tookMs", encoding: "time" },
+    { name: "outcome", encoding: ["not-run", "unknown"] },
     { name: "reason" },
-    { name: "retryAfterMs", form: "time" },
+    { name: "retryAfterMs", encoding: "time" },
     { name: "goTo" },
     { name: "offer" },
-    { name: "retriedBelow", usual: false },
-    { name: "unframed", usual: false },
-    { name: "calls", usual: false },
-    { name: "arrived", usual: false },
-    { name: "probes", usual: false },
+    { name: "retriedBelow", defaultValue: false },
+    { name: "unframed", defaultValue: false },
+    { name: "calls", defaultValue: false },
+    { name: "arrived", defaultValue: false },
+    { name: "probes", defaultValue: false },
     { name: "limitPerSecond" },
-    { name: "ending", usual: false },
+    { name: "ending", defaultValue: false },
 ]);
--- a/src/wire/recordchanges.ts
+++ b/src/wire/recordchanges.ts
@@ -1,4 +1,4 @@
-/** What has changed in a daemon's list of daemons. */
+/** Defines the message with the changes of a daemon's list of members. */
 import { z } from "zod";
 import { Address } from "../ids/address.js";
 import { Member } from "./member.js";
@@ -6,13 +6,13 @@
 
 const RecordChanges = z.object({
     mark: RecordsMark,
-    /** These are all that there are, in place of what has changed. */
+    /** True if `members` has all members, false if it has only those that have changed. */
     complete: z.boolean(),
     members: z.array(Member),
-    /** Daemons that have gone since; none where the list is complete. */
+    /** Members that were removed; empty if `complete`. */
     gone: z.array(Address),
 });
 type RecordChanges = z.infer<typeof RecordChanges>;
 
-/** From the mark that was asked for to `mark`. */
+/** The changes from the requested position up to `mark`. */
 export { RecordChanges };
--- a/src/wire/recordcodec.ts
+++ b/src/wire/recordcodec.ts
@@ -1,36 +1,40 @@
-/** Records as they go between daemons: lists of values in a fixed order, since names would be most of the bytes. */
+/** Encodes records as lists of values in a fixed order, because field names would be most of the bytes. */
 
-/** Of a millisecond. */
-const TENTHS = 10;
+const TENTHS_PER_MS = 10;
 
 /**
- * A field: `time` is milliseconds, sent as whole tenths and rounded down, so that no time that is told is later than the
- * truth; one of a list of words is sent as its number; a codec is a record within the record. `usual` is left out.
+ * A field and its encoding; without one the value is sent as it is.
+ *
+ * - `time`: milliseconds, sent as whole tenths. Rounded down, so that no time that is sent is later than the true one.
+ * - a list of strings: the value is one of them and is sent as its index.
+ * - a codec: the value is a record.
+ *
+ * A value that equals `defaultValue` is omitted.
  */
 type Field = {
     readonly name: string;
-    readonly form?: "time" | readonly string[] | RecordCodec;
-    readonly usual?: unknown;
+    readonly encoding?: "time" | readonly string[] | RecordCodec;
+    readonly defaultValue?: unknown;
 };
 
-/** The fields that are often left out come last. */
+/** Fields that are often omitted come last, because `write` omits only trailing values. */
 export class RecordCodec {
     constructor(private readonly fields: readonly Field[]) {}
 
-    /** What is undefined at the end is left out. */
+    /** Returns the list of the values, without undefined values at its end. */
     write(record: object): unknown[] {
         const values = this.fields.map(field => writeValue((record as Record<string, unknown>)[field.name], field));
         return values.slice(0, values.findLastIndex(value => value !== undefined) + 1);
     }
 
-    /** An unchecked object of the fields that are there; undefined for what is no list. */
+    /** Returns an object with the fields that are present, not validated; undefined if the input is not a list. */
     read(list: unknown): object | undefined {
         if (!Array.isArray(list)) {
             return undefined;
         }
         const record: Record<string, unknown> = {};
-        this.fields.forEach((field, at) => {
-            const value = list[at] as unknown;
+        this.fields.forEach((field, index) => {
+            const value = list[index] as unknown;
             if (value !== undefined && value !== null) {
                 record[field.name] = readValue(value, field);
             }
@@ -39,25 +43,25 @@
     }
 }
 
-function writeValue(value: unknown, { form, usual }: Field): unknown {
-    if (value === undefined || value === usual) {
+function writeValue(value: unknown, { encoding, defaultValue }: Field): unknown {
+    if (value === undefined || value === defaultValue) {
         return undefined;
     }
-    if (form === "time") {
-        return Math.floor(value as number * TENTHS);
+    if (encoding === "time") {
+        return Math.floor(value as number * TENTHS_PER_MS);
     }
-    if (form instanceof RecordCodec) {
-        return form.write(value as object);
+    if (encoding instanceof RecordCodec) {
+        return encoding.write(value as object);
     }
-    return form === undefined ? value : form.indexOf(value as string);
+    return encoding === undefined ? value : encoding.indexOf(value as string);
 }
 
-function readValue(value: unknown, { form }: Field): unknown {
-    if (form === "time") {
-        return typeof value === "number" ? value / TENTHS : value;
+function readValue(value: unknown, { encoding }: Field): unknown {
+    if (encoding === "time") {
+        return typeof value === "number" ? value / TENTHS_PER_MS : value;
     }
-    if (form instanceof RecordCodec) {
-        return form.read(value);
+    if (encoding instanceof RecordCodec) {
+        return encoding.read(value);
     }
-    return form === undefined ? value : form[value as number];
+    return encoding === undefined ? value : encoding[value as number];
 }
--- a/src/wire/recordsmark.ts
+++ b/src/wire/recordsmark.ts
@@ -1,14 +1,14 @@
-/** How far a daemon's list has come: of daemons, or of requests that crash upstreams. */
+/** Defines a position in a daemon's list of members, or of requests that crash upstreams. */
 import { z } from "zod";
 import { Incarnation } from "../ids/incarnation.js";
 
 const RecordsMark = z.object({
-    /** Marks of two lives can't be compared. */
+    /** Incarnation of the daemon; positions compare only within it. */
     life: Incarnation,
-    /** Rises with each change of the list within one life. */
+    /** Increases with each change of the list. */
     at: z.int().min(0),
 });
 type RecordsMark = z.infer<typeof RecordsMark>;
 
-/** Whoever has an older one asks for the changes. */
+/** A daemon with an older position requests the changes since then. */
 export { RecordsMark };
--- a/src/wire/responsemetadata.ts
+++ b/src/wire/responsemetadata.ts
@@ -1,4 +1,4 @@
-/** What goes with an answer from gate to ingress. */
+/** Defines the metadata that a gate sends to an ingress with a response. */
 import { z } from "zod";
 import { Incarnation } from "../ids/incarnation.js";
 import { UpstreamName } from "../ids/upstreamname.js";
@@ -6,35 +6,36 @@
 
 const ResponseMetadata = z.object({
     incarnation: Incarnation,
-    /** The gate's clock when the note was written. */
+    /** The gate's time when the metadata was created. */
     gateTime: z.number(),
+    /** Revision of the gate's configuration. */
     revision: z.int().min(0),
     report: loadReportSchema.optional(),
-    /** Milliseconds from the request's arrival at the gate to the note. */
+    /** Time from the request's arrival at the gate to the creation of the metadata. */
     tookMs: z.number().min(0).optional(),
-    /** Present when the gate has no upstream's answer to give. */
+    /** Present if the gate has no response of the upstream. */
     outcome: z.enum(["not-run", "unknown"]).optional(),
     reason: z.string().max(64).optional(),
     retryAfterMs: z.number().min(0).optional(),
-    /** Where a request that is handed back should go, and the offer it holds there. */
+    /** Upstream to which the ingress should redirect a handed-back request, and the id of the slot offer there. */
     goTo: UpstreamName.optional(),
     offer: z.string().max(64).optional(),
-    /** The upstream's answer has no length: it ends with its connection, and must go on so. */
+    /** The upstream's response has no length and ends with its connection; the ingress must forward it the same way. */
     unframed: z.boolean().optional(),
-    /** The upstream made calls of its own for this request. */
+    /** The upstream made calls of its own while it ran this request. */
     calls: z.boolean().optional(),
-    /** A call that the upstream made for this request failed and was tried again there. */
+    /** A call that the upstream made while it ran this request failed although it was retried. */
     retriedBelow: z.boolean().optional(),
-    /** The request was sent to the upstream, which gave no answer to pass on. */
+    /** The request was sent to the upstream, but there is no response to forward. */
     arrived: z.boolean().optional(),
-    /** Requests a second that the upstream takes, while it states a limit. */
+    /** The upstream's stated rate limit in requests a second, while it states one. */
     limitPerSecond: z.number().min(0).optional(),
-    /** The upstream has said that it leaves for good. */
+    /** The upstream has reported that it is leaving permanently. */
     ending: z.boolean().optional(),
-    /** The daemon answers probes of connections; said with the first answer on each. */
+    /** The daemon responds to probes of connections; sent with the first response on each connection. */
     probes: z.boolean().optional(),
 });
 type ResponseMetadata = z.infer<typeof ResponseMetadata>;
 
-/** What goes with an answer from gate to ingress; times in milliseconds. */
+/** The metadata of one response; times in milliseconds. */
 export { ResponseMetadata as AnswerNote };
--- a/src/wire/wire.test.ts
+++ b/src/wire/wire.test.ts
@@ -8,7 +8,7 @@
 import { readResponseMetadata } from "./readresponsemetadata.js";
 import type { AnswerNote } from "./responsemetadata.js";
 
-const head = {
+const request = {
     id: "abcdefghijkl.12",
     upstream: "i-1",
     kind: "once",
@@ -25,39 +25,45 @@
     arrival: "first",
 } as CallHead;
 
-const note = {
+const response = {
     incarnation: "abcdefghijkl",
     gateTime: 1234.56,
     revision: 4,
     report: { running: 3, waiting: 1, limit: 12, serviceMs: 120.25, baseMs: 110, pace: 4 },
 } as AnswerNote;
 
-test("wire: a head comes back as it was, its times rounded down", () => {
-    assert.deepEqual(readHead(headCodec.write(head)), { ...head, remainingMs: 950.2 });
+test("wire: request metadata survives encoding, with times rounded down", () => {
+    assert.deepEqual(readHead(headCodec.write(request)), { ...request, remainingMs: 950.2 });
 });
 
-test("wire: what is not as usual comes back too", () => {
-    const unusual = { depth: 3, team: "t", answer: "streamed", offer: "o", arrival: "hedge" };
-    const full = { ...head, ...unusual, incarnation: "x", gateTime: 7 };
+test("wire: request metadata with values other than the defaults survives encoding", () => {
+    const nonDefault = { depth: 3, team: "t", answer: "streamed", offer: "o", arrival: "hedge" };
+    const full = { ...request, ...nonDefault, incarnation: "x", gateTime: 7 };
     assert.deepEqual(readHead(headCodec.write(full)), { ...full, remainingMs: 950.2 });
 });
 
-test("wire: a note comes back as it was", () => {
-    const report = { ...note.report!, serviceMs: 120.2 };
-    assert.deepEqual(readResponseMetadata(noteCodec.write(note)), { ...note, gateTime: 1234.5, report });
-    const refusal = { ...note, report: undefined, outcome: "not-run", reason: "slow", retryAfterMs: 20 } as AnswerNote;
-    const { report: _none, ...plain } = refusal;
-    const shed = { ...note, report, reason: "shed", arrived: true } as AnswerNote;
+test("wire: response metadata survives encoding", () => {
+    const report = { ...response.report!, serviceMs: 120.2 };
+    assert.deepEqual(readResponseMetadata(noteCodec.write(response)), { ...response, gateTime: 1234.5, report });
+    const refusal = {
+        ...response,
+        report: undefined,
+        outcome: "not-run",
+        reason: "slow",
+        retryAfterMs: 20,
+    } as AnswerNote;
+    const { report: _none, ...withoutReport } = refusal;
+    const shed = { ...response, report, reason: "shed", arrived: true } as AnswerNote;
     assert.deepEqual(readResponseMetadata(noteCodec.write(shed)), { ...shed, gateTime: 1234.5 });
-    assert.deepEqual(readResponseMetadata(noteCodec.write(refusal)), { ...plain, gateTime: 1234.5 });
+    assert.deepEqual(readResponseMetadata(noteCodec.write(refusal)), { ...withoutReport, gateTime: 1234.5 });
 });
 
-test("wire: a head is short, since its bytes are paid for on each call", () => {
-    const { length } = pack(headCodec.write(head));
+test("wire: request metadata takes fewer than 70 bytes, because each request carries it", () => {
+    const { length } = pack(headCodec.write(request));
     assert.ok(length < 70, String(length));
 });
 
-test("wire: what is no record is turned down", () => {
+test("wire: invalid metadata is rejected", () => {
     for (const value of [undefined, null, "", "{}", {}, [], [1, 2, 3], ["a", "b"], [["a"]], ["a", "b", 7, 9]]) {
         assert.equal(readHead(value), undefined);
         assert.equal(readResponseMetadata(value), undefined);
