--- a/src/http/abandonbody.ts
+++ b/src/http/abandonbody.ts
@@ -1,8 +1,8 @@
-/** Leaves a body that is not read to its end. */
+/** Discards a body that is not read to its end. */
 import { Readable } from "node:stream";
 import { guardBody } from "./guardbody.js";
 
-/** A stream ends with its connection. */
+/** Destroys a body that is a stream, and with it its connection. */
 export function abandonBody(body: Buffer | Readable): void {
     if (body instanceof Readable) {
         guardBody(body).destroy();
--- a/src/http/cancel.ts
+++ b/src/http/cancel.ts
@@ -1,22 +1,22 @@
-/** Calls a request off. */
+/** Cancels a request. */
 import { EventEmitter } from "node:events";
 
-const ABORT = "abort";
+const ABORT_EVENT = "abort";
 
-/** Does what an AbortController and its signal do, at a fraction of the cost for each request; undici takes it. */
+/** Replaces an AbortController and its signal at a fraction of their cost; undici accepts it as a signal. */
 export class Cancel extends EventEmitter {
     aborted = false;
 
     abort(): void {
         if (!this.aborted) {
             this.aborted = true;
-            this.emit(ABORT);
+            this.emit(ABORT_EVENT);
         }
     }
 
-    /** Calls the listener when aborted; the return value takes it back. */
+    /** Calls the listener once on abort. Returns a function that removes the listener. */
     onAbort(listener: () => void): () => void {
-        this.once(ABORT, listener);
-        return () => this.removeListener(ABORT, listener);
+        this.once(ABORT_EVENT, listener);
+        return () => this.removeListener(ABORT_EVENT, listener);
     }
 }
--- a/src/http/cleanheaders.ts
+++ b/src/http/cleanheaders.ts
@@ -1,4 +1,4 @@
-/** Takes out what one connection's header fields must not carry over to the next (RFC 9110, 7.6.1). */
+/** Removes the header fields that must not be forwarded to the next connection (RFC 9110, 7.6.1). */
 import type { HttpHeaders } from "./httpheaders.js";
 
 const HOP_BY_HOP: ReadonlySet<string> = new Set([
@@ -15,18 +15,19 @@
 ]);
 const OWN_PREFIX = "winglock-";
 
-const listed = (headers: HttpHeaders): ReadonlySet<string> => {
+/** Returns the names of the fields that `connection` lists. */
+const connectionFields = (headers: HttpHeaders): ReadonlySet<string> => {
     const { connection } = headers;
     const text = Array.isArray(connection) ? connection.join(",") : connection ?? "";
     return new Set(text.split(",").map(name => name.trim().toLowerCase()));
 };
 
-/** Returns the fields without the hop-by-hop ones, those that `connection` lists, and winglock's own. */
+/** Returns the fields except the hop-by-hop ones, those that `connection` lists, and winglock's own. */
 export function cleanHeaders(headers: HttpHeaders): HttpHeaders {
-    const named = headers.connection === undefined ? undefined : listed(headers);
+    const listedNames = headers.connection === undefined ? undefined : connectionFields(headers);
     const clean: HttpHeaders = {};
     for (const name in headers) {
-        if (!HOP_BY_HOP.has(name) && !name.startsWith(OWN_PREFIX) && !named?.has(name)) {
+        if (!HOP_BY_HOP.has(name) && !name.startsWith(OWN_PREFIX) && !listedNames?.has(name)) {
             clean[name] = headers[name];
         }
     }
--- a/src/http/collect.ts
+++ b/src/http/collect.ts
@@ -1,22 +1,22 @@
-/** Receives an answer's body whole, up to a bound. */
+/** Reads a body into memory, up to a size limit. */
 import { Readable } from "node:stream";
 import { guardBody } from "./guardbody.js";
 
-/** Either the whole body, or what has come of a body that passes the bound; the stream goes on after that. */
+/** The whole body, or the first chunks of a body that exceeds the limit; its stream is paused after them. */
 type Collected = { readonly whole: boolean; readonly chunks: Buffer[]; readonly size: number; };
 
-/** Rejects when the body breaks off before its end or its bound. */
-export function collect(body: Buffer | Readable, bound: number): Promise<Collected> {
+/** Reads the body to its end, or until it exceeds `maxBytes`; rejects if it breaks off before that. */
+export function collect(body: Buffer | Readable, maxBytes: number): Promise<Collected> {
     if (!(body instanceof Readable)) {
         return Promise.resolve({ whole: true, chunks: [body], size: body.length });
     }
     if (body.destroyed) {
-        return Promise.reject(body.errored ?? new Error("the body closed before it was read"));
+        return Promise.reject(body.errored ?? new Error("the body's stream closed before it was read"));
     }
     return new Promise((resolve, reject) => {
         const chunks: Buffer[] = [];
         let size = 0;
-        const stop = (): void => {
+        const removeListeners = (): void => {
             body.removeListener("data", onData);
             body.removeListener("end", onEnd);
             body.removeListener("error", onError);
@@ -25,22 +25,22 @@
         const onData = (chunk: Buffer): void => {
             chunks.push(chunk);
             size += chunk.length;
-            if (size > bound) {
-                stop();
+            if (size > maxBytes) {
+                removeListeners();
                 body.pause();
                 resolve({ whole: false, chunks, size });
             }
         };
         const onEnd = (): void => {
-            stop();
+            removeListeners();
             resolve({ whole: true, chunks, size });
         };
         const onError = (err: Error): void => {
-            stop();
+            removeListeners();
             guardBody(body);
             reject(err);
         };
-        const onClose = (): void => onError(new Error("the body closed before its end"));
+        const onClose = (): void => onError(new Error("the body's stream closed before its end"));
         body.on("data", onData);
         body.on("end", onEnd);
         body.on("error", onError);
--- a/src/http/connecterror.ts
+++ b/src/http/connecterror.ts
@@ -1,7 +1,7 @@
-/** Tells an error before sending from one after. */
+/** Distinguishes errors of establishing a connection from later ones. */
 
-/** Errors of undici and Node that come before a connection is established, so that nothing was sent. */
-const BEFORE_SENDING: ReadonlySet<string> = new Set([
+/** Error codes of undici and Node.js from before a connection is established, so that nothing was sent. */
+const CONNECT_ERROR_CODES: ReadonlySet<string> = new Set([
     "ECONNREFUSED",
     "EHOSTUNREACH",
     "ENETUNREACH",
@@ -9,8 +9,8 @@
     "UND_ERR_CONNECT_TIMEOUT",
 ]);
 
-/** True when the error proves that no byte of the request was sent. */
+/** Returns true if the error proves that no byte of the request was sent. */
 export function isConnectError(err: unknown): boolean {
     const { code, syscall } = err as { code?: string; syscall?: string; };
-    return syscall === "connect" || (code !== undefined && BEFORE_SENDING.has(code));
+    return syscall === "connect" || (code !== undefined && CONNECT_ERROR_CODES.has(code));
 }
--- a/src/http/dropbody.ts
+++ b/src/http/dropbody.ts
@@ -1,8 +1,8 @@
-/** Reads a body that is not needed to its end. */
+/** Drains a body that is not needed. */
 import { Readable } from "node:stream";
 import { guardBody } from "./guardbody.js";
 
-/** A stream is read to its end, so that its connection can be used again; its failure concerns nobody. */
+/** Reads a stream to its end, so that its connection can be reused, and ignores its errors. */
 export function dropBody(body: Buffer | Readable | undefined): void {
     if (body instanceof Readable) {
         guardBody(body).resume();
--- a/src/http/guardbody.ts
+++ b/src/http/guardbody.ts
@@ -1,9 +1,9 @@
-/** Keeps a body's failure from ending the process. */
+/** Prevents an unhandled error of a body from ending the process. */
 import type { Readable } from "node:stream";
 
-/** Whoever reads the body has its own listener; the failure of a body that nobody reads any more concerns nobody. */
+/** Adds a listener that ignores errors, and returns the body. A reader of the body has its own listener. */
 export function guardBody(body: Readable): Readable {
     return body.on("error", () => {
-        // Says nothing that its reader does not know.
+        // A reader's own listener handles the error; without a reader it has no consequence.
     });
 }
--- a/src/http/httpheaders.ts
+++ b/src/http/httpheaders.ts
@@ -1,4 +1,4 @@
-/** Header fields of a request or an answer. */
+/** Defines the header fields of a request or a response. */
 
-/** Lower-case names; a field that came more than once and may not be joined is a list. */
+/** Values by lower-case name; a field that was received more than once and can't be joined is a list. */
 export type HttpHeaders = Record<string, string | string[] | undefined>;
--- a/src/http/httpstatus.ts
+++ b/src/http/httpstatus.ts
@@ -1,4 +1,7 @@
-/** Statuses by the names of RFC 9110 and RFC 6585; Node.js has names for them only in its HTTP/2 module, whose load is dear. */
+/**
+ * Status codes by the names of RFC 9110 and RFC 6585. Node.js names them only in its HTTP/2 module, which is expensive
+ * to load.
+ */
 export const httpStatus = {
     ok: 200,
     noContent: 204,
--- a/src/http/passbody.ts
+++ b/src/http/passbody.ts
@@ -1,8 +1,8 @@
-/** Passes a body on. */
+/** Forwards a body to a response. */
 import type { ServerResponse } from "node:http";
 import type { Readable } from "node:stream";
 
-/** Copies the body to the response; when either breaks off, the other does, so that no part is taken for the whole. */
+/** Pipes the body to the response. If one breaks off, so does the other: a partial body never looks complete. */
 export function passBody(body: Readable, res: ServerResponse): void {
     if (body.destroyed && !body.readableEnded) {
         res.destroy();
