--- a/src/time/clock.ts
+++ b/src/time/clock.ts
@@ -1,4 +1,4 @@
-/** The monotonic time of a process. */
+/** Defines a monotonic clock. */
 
-/** Returns milliseconds since the process started; never goes back, and goes on while the process is paused. */
+/** Returns the milliseconds since the process started. Never goes back, and continues while the process is paused. */
 export type Clock = () => number;
--- a/src/time/isoverdue.ts
+++ b/src/time/isoverdue.ts
@@ -1,6 +1,6 @@
-/** Waits for something, but not for long. */
+/** Waits for a promise with a time limit. */
 
-/** Resolves true when `afterMs` milliseconds pass before the promise has settled. */
+/** Resolves to true if the promise has not settled after `afterMs` milliseconds, and to false as soon as it settles. */
 export function isOverdue(promise: Promise<unknown>, afterMs: number): Promise<boolean> {
     return new Promise(resolve => {
         const timer = setTimeout(() => resolve(true), afterMs);
--- a/src/time/listen.ts
+++ b/src/time/listen.ts
@@ -1,8 +1,8 @@
-/** Starts a listener. */
+/** Starts a server. */
 import type { Server } from "node:net";
 import { splitAddress } from "../ids/splitaddress.js";
 
-/** Listens at `IP:PORT`; rejects when the address can't be had. */
+/** Listens on `IP:PORT`; rejects if the address is not available. */
 export function listen(server: Server, address: string): Promise<void> {
     const { ip, port } = splitAddress(address);
     return new Promise((resolve, reject) => {
--- a/src/time/processclock.ts
+++ b/src/time/processclock.ts
@@ -1,6 +1,6 @@
-/** The clock of this process. */
+/** Provides the monotonic clock of this process. */
 import { performance } from "node:perf_hooks";
 import type { Clock } from "./clock.js";
 
-/** Steady: the time of day may jump, this does not. */
+/** Does not jump with changes of the system time. */
 export const processClock: Clock = () => performance.now();
--- a/src/time/ticker.ts
+++ b/src/time/ticker.ts
@@ -1,14 +1,15 @@
-/** Calls something again and again. */
+/** Calls a function periodically. */
 
-/** Owns one timer; `everyMs` is in milliseconds. */
+/** Owns the timer. `intervalMs` is in milliseconds. */
 export class Ticker {
     #timer: NodeJS.Timeout | undefined;
 
-    constructor(private readonly everyMs: number, private readonly act: () => void) {}
+    constructor(private readonly intervalMs: number, private readonly callback: () => void) {}
 
+    /** Starts the timer, or restarts it; the first call follows after one interval. */
     start(): void {
         this.stop();
-        this.#timer = setInterval(this.act, this.everyMs);
+        this.#timer = setInterval(this.callback, this.intervalMs);
     }
 
     stop(): void {
