--- a/src/ids/address.ts
+++ b/src/ids/address.ts
@@ -1,4 +1,4 @@
-/** Where a process listens: an IP number and a port. */
+/** Defines the address at which a process listens: an IP address and a port. */
 import { isIP } from "node:net";
 import { z } from "zod";
 import { splitAddress } from "./splitaddress.js";
@@ -14,5 +14,5 @@
 const Address = z.string().refine(isAddress, "must be IP:PORT").brand("Address");
 type Address = z.infer<typeof Address>;
 
-/** Where a process listens, `IP:PORT` or `[IP]:PORT`. */
+/** `IP:PORT` or `[IP]:PORT`, the latter for IPv6. */
 export { Address };
--- a/src/ids/crashid.ts
+++ b/src/ids/crashid.ts
@@ -1,8 +1,8 @@
-/** The id of one crash of an upstream: an end that was not planned. */
+/** Defines the id of a crash of an upstream, an unplanned end of its process. */
 import { z } from "zod";
 
 const CrashId = z.string().min(1).max(16).brand("CrashId");
 type CrashId = z.infer<typeof CrashId>;
 
-/** Given by the daemon beside the upstream; no two crashes have the same. */
+/** Assigned by the daemon beside the upstream; unique for each crash. */
 export { CrashId };
--- a/src/ids/hallname.ts
+++ b/src/ids/hallname.ts
@@ -1,4 +1,4 @@
-/** The name of a data hall. */
+/** Defines the name of a data hall. */
 import { z } from "zod";
 import { namePattern } from "./namepattern.js";
 
--- a/src/ids/incarnation.ts
+++ b/src/ids/incarnation.ts
@@ -1,8 +1,8 @@
-/** The id of one life of a daemon's process, new at each start. */
+/** Defines the id of an incarnation, one run of a daemon's process. */
 import { z } from "zod";
 
 const Incarnation = z.string().min(1).max(32).brand("Incarnation");
 type Incarnation = z.infer<typeof Incarnation>;
 
-/** The id of one life of a daemon's process, new at each start. */
+/** A daemon has a new incarnation after each start. */
 export { Incarnation };
--- a/src/ids/namepattern.ts
+++ b/src/ids/namepattern.ts
@@ -1,2 +1,2 @@
-/** What an operator may call a thing: a host name's letters, 63 at the most (RFC 1123). */
+/** Defines the names that operators may choose: up to 63 characters, those of a host name (RFC 1123). */
 export const namePattern = /^[A-Za-z0-9][A-Za-z0-9.-]{0,62}$/;
--- a/src/ids/regionname.ts
+++ b/src/ids/regionname.ts
@@ -1,4 +1,4 @@
-/** The name of a region, a group of data halls. */
+/** Defines the name of a region. */
 import { z } from "zod";
 import { namePattern } from "./namepattern.js";
 
--- a/src/ids/requestid.ts
+++ b/src/ids/requestid.ts
@@ -1,8 +1,8 @@
-/** The id of one attempt of a request, unique over all daemons and their restarts. */
+/** Defines the id of an attempt. */
 import { z } from "zod";
 
 const RequestId = z.string().min(1).max(64).brand("RequestId");
 type RequestId = z.infer<typeof RequestId>;
 
-/** The id of one attempt of a request, unique over all daemons and their restarts. */
+/** The id of one attempt of a request, unique across all daemons and their incarnations. */
 export { RequestId };
--- a/src/ids/requestkey.ts
+++ b/src/ids/requestkey.ts
@@ -1,11 +1,14 @@
-/** What stays the same when a caller sends a request again: a digest of its method, host, path, caller and body. */
+/**
+ * Defines the digest of a request's method, host, path, caller and body, which is the same when a caller sends the
+ * request again.
+ */
 import { z } from "zod";
 
-/** Of base64url: 64 bits. */
-const CHARACTERS = 11;
+/** Length of a 64-bit digest in base64url. */
+const LENGTH = 11;
 
-const RequestKey = z.string().length(CHARACTERS).brand("RequestKey");
+const RequestKey = z.string().length(LENGTH).brand("RequestKey");
 type RequestKey = z.infer<typeof RequestKey>;
 
-/** Holds nothing that can be read back, so that it may stand in logs and be kept. */
+/** The request can't be recovered from the digest, so it may be logged and stored. */
 export { RequestKey };
--- a/src/ids/rulename.ts
+++ b/src/ids/rulename.ts
@@ -1,4 +1,4 @@
-/** The name of a rule. */
+/** Defines the name of a rule. */
 import { z } from "zod";
 import { namePattern } from "./namepattern.js";
 
--- a/src/ids/servicename.ts
+++ b/src/ids/servicename.ts
@@ -1,4 +1,4 @@
-/** The name of a service. */
+/** Defines the name of a service. */
 import { z } from "zod";
 import { namePattern } from "./namepattern.js";
 
--- a/src/ids/splitaddress.ts
+++ b/src/ids/splitaddress.ts
@@ -1,6 +1,6 @@
-/** Takes an address apart. */
+/** Splits an address into IP address and port. */
 
-/** Splits `IP:PORT` or `[IP]:PORT`; the port is NaN where there is none. */
+/** Splits `IP:PORT` or `[IP]:PORT`; the port is NaN if there is none. */
 export function splitAddress(text: string): { ip: string; port: number; } {
     const colon = text.lastIndexOf(":");
     const ip = text.slice(0, colon).replace(/^\[|\]$/g, "");
--- a/src/ids/teamname.ts
+++ b/src/ids/teamname.ts
@@ -1,4 +1,4 @@
-/** The name of the party on whose account a request is served. */
+/** Defines the name of a team. */
 import { z } from "zod";
 import { namePattern } from "./namepattern.js";
 
@@ -7,5 +7,5 @@
 );
 type TeamName = z.infer<typeof TeamName>;
 
-/** The name of the party on whose account a request is served. */
+/** The name of the team that a request is accounted to. */
 export { TeamName };
--- a/src/ids/upstreamname.ts
+++ b/src/ids/upstreamname.ts
@@ -1,4 +1,4 @@
-/** The name of one upstream, an instance of a service. */
+/** Defines the name of an upstream. */
 import { z } from "zod";
 import { namePattern } from "./namepattern.js";
 
@@ -7,5 +7,5 @@
 );
 type UpstreamName = z.infer<typeof UpstreamName>;
 
-/** The name of one upstream, an instance of a service. */
+/** The name of an upstream, one instance of a service. */
 export { UpstreamName };
