--- a/src/connections/silentconnections.ts
+++ b/src/connections/unresponsiveconnections.ts
@@ -17,19 +17,19 @@
 const NOTIFICATION_INTERVAL_MS = 1000;
 
 /** Records the unresponsive connections of one daemon. */
-export class SilentConnections {
+export class UnresponsiveConnections {
     readonly #listeners: (() => void)[] = [];
     #notifiedAt = -Infinity;
 
     constructor(private readonly clock: Clock, private readonly metrics: Metrics) {}
 
     /** Calls the listener when a connection of any kind is unresponsive; the listener's idle ones may be as well. */
-    onFound(listener: () => void): void {
+    onDetected(listener: () => void): void {
         this.#listeners.push(listener);
     }
 
     /** Records an unresponsive connection, which the caller has closed, and notifies all owners. */
-    found(kind: ConnectionKind, address: Address): void {
+    recordAndNotify(kind: ConnectionKind, address: Address): void {
         this.record(kind, address);
         const now = this.clock();
         if (now - this.#notifiedAt >= NOTIFICATION_INTERVAL_MS) {
@@ -45,6 +45,6 @@
             "no response on this connection, while others work",
             { kind, address },
         );
-        this.metrics.silentConnection(kind);
+        this.metrics.countUnresponsiveConnection(kind);
     }
 }
--- a/src/crashes/crashguard.test.ts
+++ b/src/crashes/crashguard.test.ts
@@ -7,8 +7,8 @@
 import type { RequestKey } from "../ids/requestkey.js";
 import type { CrashRecord } from "../policy/quarantine/crashrecord.js";
 import { sleep } from "../time/sleep.js";
+import { CrashPropagation } from "./crashpropagation.js";
 import { CrashPublisher } from "./crashpublisher.js";
-import { CrashSpread } from "./crashspread.js";
 
 const crashing = "crashing" as RequestKey;
 const harmless = "harmless" as RequestKey;
@@ -20,12 +20,12 @@
     new CrashFleet(size, isDelivered).daemons;
 
 const recordCrash = (daemon: Daemon, crash: number, requests = [crashing]): void =>
-    CrashFleet.crashAt(daemon, crash, requests);
+    CrashFleet.recordCrash(daemon, crash, requests);
 
 test("crash guard: counts the crashes of all daemons together", () => {
     const daemons = createDaemons(4, () => true);
     [1, 2, 3].forEach(number => recordCrash(daemons[number]!, number));
-    assert.deepEqual(daemons.map(({ guard }) => guard.standing(crashing)), [
+    assert.deepEqual(daemons.map(({ guard }) => guard.statusOf(crashing)), [
         "quarantined",
         "quarantined",
         "quarantined",
@@ -36,13 +36,15 @@
 test("crash guard: daemons reach equal records by comparing digests if all datagrams are lost", async () => {
     const daemons = createDaemons(5, () => false);
     [1, 2, 3].forEach(number => recordCrash(daemons[number]!, number));
-    assert.equal(daemons[4]!.guard.standing(crashing), "free");
+    assert.equal(daemons[4]!.guard.statusOf(crashing), "free");
     for (let round = 0; round < 2; round++) {
-        daemons.forEach(({ spread }) => spread.compareMarks("10.0.0.0:1" as Address, daemons[0]!.guard.mark));
+        daemons.forEach(({ propagation: spread }) =>
+            spread.compareDigests("10.0.0.0:1" as Address, daemons[0]!.guard.digest)
+        );
         await sleep(5);
     }
-    assert.deepEqual(daemons.map(({ guard }) => guard.standing(crashing)), Array(5).fill("quarantined"));
-    assert.equal(new Set(daemons.map(({ guard }) => guard.mark)).size, 1);
+    assert.deepEqual(daemons.map(({ guard }) => guard.statusOf(crashing)), Array(5).fill("quarantined"));
+    assert.equal(new Set(daemons.map(({ guard }) => guard.digest)).size, 1);
 });
 
 test("crash guard: exchanges once if the digests stay different, and again after either has changed", async () => {
@@ -51,15 +53,15 @@
     const incarnation = "incarnation" as Incarnation;
     const { guard } = createDaemons(1, () => true)[0]!;
     const peer = "10.0.0.9:1" as Address;
-    const spread = new CrashSpread({
+    const spread = new CrashPropagation({
         self: "10.0.0.0:1" as Address,
         guard,
         random: () => 0,
-        peers: () => [peer],
+        members: () => [peer],
         relays: () => [],
         siblings: () => [],
         send: () => true,
-        life: incarnation,
+        incarnation,
         exchange: async () => {
             exchangeCount += 1;
             await sleep(5);
@@ -68,8 +70,8 @@
     });
     const compare = async (digest: number): Promise<number> => {
         peerDigest = digest;
-        spread.compareMarks(peer, digest);
-        spread.compareMarks(peer, digest);
+        spread.compareDigests(peer, digest);
+        spread.compareDigests(peer, digest);
         await sleep(20);
         return exchangeCount;
     };
@@ -79,8 +81,8 @@
     recordCrash({ guard } as Daemon, 1);
     assert.equal(await compare(8), 3);
     peerDigest = 9;
-    spread.compareMarks(peer, 9);
-    spread.compareMarks(peer, 10);
+    spread.compareDigests(peer, 9);
+    spread.compareDigests(peer, 10);
     await sleep(20);
     assert.equal(await compare(10), 5, "a digest that was received during an exchange leads to another one");
 });
@@ -88,19 +90,19 @@
 test("crash guard: a daemon exchanges records after its start, without waiting for heartbeats", async () => {
     const daemons = createDaemons(3, () => false);
     [1, 2, 3].forEach(number => recordCrash(daemons[0]!, number));
-    daemons[2]!.spread.meet();
+    daemons[2]!.propagation.onMembersChanged();
     await sleep(5);
-    assert.equal(daemons[2]!.guard.standing(crashing), "quarantined");
+    assert.equal(daemons[2]!.guard.statusOf(crashing), "quarantined");
 });
 
 test("crash guard: does not quarantine a request that any upstream has served, before or after the crashes", () => {
     const daemons = createDaemons(4, () => true);
     daemons[0]!.served.add(harmless);
     [1, 2, 3].forEach(number => recordCrash(daemons[number]!, number, [crashing, harmless]));
-    assert.equal(daemons[0]!.guard.standing(harmless), "free");
+    assert.equal(daemons[0]!.guard.statusOf(harmless), "free");
     [4, 5, 6].forEach(number => recordCrash(daemons[1]!, number));
     daemons[2]!.guard.recordServed(crashing);
-    assert.equal(daemons[2]!.guard.standing(crashing), "free");
+    assert.equal(daemons[2]!.guard.statusOf(crashing), "free");
 });
 
 test("crash guard: a daemon with a local crash stores the quarantine, and retries if the store fails", async () => {
--- a/src/crashes/crashguard.ts
+++ b/src/crashes/crashguard.ts
@@ -3,7 +3,7 @@
  *
  * Owns the crash records that this daemon knows. Gates report crashes and requests that were served successfully; peers
  * and the store provide the records of other daemons. The ingress and the gates query the quarantine before each
- * attempt. policy/quarantine decides which requests are quarantined; crashspread.ts propagates the records.
+ * attempt. policy/quarantine decides which requests are quarantined; crashpropagation.ts propagates the records.
  */
 import type { CrashId } from "../ids/crashid.js";
 import type { RequestKey } from "../ids/requestkey.js";
@@ -24,7 +24,7 @@
     /** Returns true if an upstream beside this daemon has served the request in the upstream's current incarnation. */
     readonly hasServed: (request: RequestKey) => boolean;
     /** Aborts the runs of the request at this daemon's gates. */
-    readonly giveUp: (request: RequestKey) => void;
+    readonly cancel: (request: RequestKey) => void;
 };
 
 /** Number of local crash ids that are remembered; more than the crashes that are kept for any one request. */
@@ -60,13 +60,13 @@
     }
 
     /** Digest of all records, equal at all daemons with equal records; undefined if there are none. */
-    get mark(): number | undefined {
+    get digest(): number | undefined {
         this.#history.evictExpired(this.deps.clock());
         return this.#history.digest;
     }
 
     /** Digest of suspect and quarantined requests, whose changes are urgent; undefined if there are none. */
-    get suspectMark(): number | undefined {
+    get suspectDigest(): number | undefined {
         this.#history.evictExpired(this.deps.clock());
         return this.#history.suspectDigest;
     }
@@ -82,7 +82,7 @@
     }
 
     /** Number of quarantined requests. */
-    get quarantined(): number {
+    get quarantinedCount(): number {
         return this.#history.countQuarantined(this.deps.clock());
     }
 
@@ -91,7 +91,7 @@
         return request === undefined ? undefined : this.#history.quarantinedForMs(request, this.deps.clock());
     }
 
-    standing(request: RequestKey | undefined): QuarantineStatus {
+    statusOf(request: RequestKey | undefined): QuarantineStatus {
         return request === undefined ? "free" : this.#history.statusOf(request, this.deps.clock());
     }
 
@@ -147,7 +147,7 @@
      * If the request is newly quarantined, logs that and aborts its runs.
      */
     #updateStatus(request: RequestKey): void {
-        const { hasServed, giveUp } = this.deps;
+        const { hasServed, cancel: giveUp } = this.deps;
         if (hasServed(request)) {
             this.#clear(request);
         }
@@ -171,7 +171,7 @@
 
     /** Clears the request of its crashes; returns false if it is neither suspect nor quarantined. */
     #clear(request: RequestKey): boolean {
-        const isCleared = this.standing(request) !== "free" && this.#history.clear(request);
+        const isCleared = this.statusOf(request) !== "free" && this.#history.clear(request);
         if (isCleared) {
             logger.change("Cleared a request of crashes because it was served successfully.", { request });
         }
--- a/src/crashes/crashspread.test.ts
+++ b/src/crashes/crashpropagation.test.ts
@@ -5,11 +5,11 @@
 import type { Incarnation } from "../ids/incarnation.js";
 import type { RequestKey } from "../ids/requestkey.js";
 import { sleep } from "../time/sleep.js";
-import { CrashSpread } from "./crashspread.js";
+import { CrashPropagation } from "./crashpropagation.js";
 
 const crashing = "crashing" as RequestKey;
 const harmless = "harmless" as RequestKey;
-const { address, crashAt } = CrashFleet;
+const { address, recordCrash: crashAt } = CrashFleet;
 
 type Daemon = CrashFleet["daemons"][number];
 
@@ -23,12 +23,12 @@
         const inProgress = Array.from({ length: requests }, (_, index) => `${crash}-${index}` as RequestKey);
         crashAt(daemons[crash]!, crash, inProgress);
         for (let round = 0; round < 2; round++) {
-            daemons.forEach(({ spread }) => spread.compareMarks(address(0), daemons[0]!.guard.mark));
+            daemons.forEach(({ propagation: spread }) => spread.compareDigests(address(0), daemons[0]!.guard.digest));
             await sleep(1);
         }
-        assert.equal(new Set(daemons.map(({ guard }) => guard.mark)).size, 1);
+        assert.equal(new Set(daemons.map(({ guard }) => guard.digest)).size, 1);
     }
-    assert.ok(fleet.told <= 2 * size * crashes * requests, `${fleet.told} records`);
+    assert.ok(fleet.exchangedRecordCount <= 2 * size * crashes * requests, `${fleet.exchangedRecordCount} records`);
 });
 
 test("crash propagation: a request that the receiver of a record clears is cleared at the sender, too", async () => {
@@ -36,37 +36,37 @@
     one.served.add(harmless);
     [1, 2, 3].forEach(number => crashAt(two, number, [harmless]));
     for (let round = 0; round < 2; round++) {
-        one.spread.compareMarks(address(1), two.guard.mark);
+        one.propagation.compareDigests(address(1), two.guard.digest);
         await sleep(1);
     }
-    assert.equal(two.guard.standing(harmless), "free");
+    assert.equal(two.guard.statusOf(harmless), "free");
 });
 
 test("crash propagation: a peer that has restarted receives all records again", async () => {
     const [one, two, restarted] = new CrashFleet(3, () => false).daemons as [Daemon, Daemon, Daemon];
     let peer = two;
-    const spread = new CrashSpread({
+    const spread = new CrashPropagation({
         self: address(0),
-        life: "incarnation" as Incarnation,
+        incarnation: "incarnation" as Incarnation,
         guard: one.guard,
         random: () => 0,
-        peers: () => [],
+        members: () => [],
         relays: () => [],
         siblings: () => [],
         send: () => true,
-        exchange: async (_peer, changes) => peer.spread.answer(changes),
+        exchange: async (_peer, changes) => peer.propagation.handleExchange(changes),
     });
     const compare = async (): Promise<void> => {
-        spread.compareMarks(address(1), peer.guard.mark);
+        spread.compareDigests(address(1), peer.guard.digest);
         await sleep(1);
     };
     [1, 2, 3].forEach(number => crashAt(one, number, [crashing]));
     await compare();
-    assert.equal(two.guard.standing(crashing), "quarantined");
+    assert.equal(two.guard.statusOf(crashing), "quarantined");
     peer = restarted;
     await compare();
     await compare();
-    assert.equal(restarted.guard.standing(crashing), "quarantined");
+    assert.equal(restarted.guard.statusOf(crashing), "quarantined");
 });
 
 const DAEMON_COUNT = 4;
@@ -89,7 +89,7 @@
                 const fleet = new CrashFleet(DAEMON_COUNT, () => delivered[sentCount++ % delivered.length] ?? false);
                 const { daemons } = fleet;
                 const compare = async (from: number, to: number): Promise<void> => {
-                    daemons[from]!.spread.compareMarks(address(to), daemons[to]!.guard.mark);
+                    daemons[from]!.propagation.compareDigests(address(to), daemons[to]!.guard.digest);
                     await new Promise(resolve => setImmediate(resolve));
                 };
                 for (const [crash, event] of events.entries()) {
@@ -102,7 +102,7 @@
                         guard.recordServed(event.request);
                     }
                     else if (event.type === "restart") {
-                        fleet.startAgain(event.daemon);
+                        fleet.restart(event.daemon);
                     }
                     else {
                         await compare(event.daemon, event.to);
@@ -115,9 +115,9 @@
                         await compare(from, 0);
                     }
                 }
-                assert.equal(new Set(daemons.map(({ guard }) => guard.mark)).size, 1);
+                assert.equal(new Set(daemons.map(({ guard }) => guard.digest)).size, 1);
                 const statusCounts = REQUESTS.map(request =>
-                    new Set(daemons.map(({ guard }) => guard.standing(request))).size
+                    new Set(daemons.map(({ guard }) => guard.statusOf(request))).size
                 );
                 assert.deepEqual(statusCounts, [1, 1, 1]);
             },
--- a/src/crashes/crashspread.ts
+++ b/src/crashes/crashpropagation.ts
@@ -23,7 +23,7 @@
 import { toCrashRecords } from "../policy/quarantine/tocrashrecords.js";
 import type { RandomSource } from "../policy/randomsource.js";
 import type { CrashChanges } from "../wire/crashchanges.js";
-import type { RecordsMark } from "../wire/recordsmark.js";
+import type { RecordsPosition } from "../wire/recordsposition.js";
 import type { CrashGuard } from "./crashguard.js";
 
 const logger = log("peer");
@@ -35,12 +35,12 @@
 /** Number of relays that a daemon exchanges records with after its start; relays have the most records. */
 const STARTUP_EXCHANGES = 2;
 
-type SpreadDependencies = {
+type CrashPropagationDependencies = {
     readonly self: Address;
-    readonly life: Incarnation;
+    readonly incarnation: Incarnation;
     readonly guard: CrashGuard;
     /** Returns the addresses of all members, including this daemon. */
-    readonly peers: () => readonly Address[];
+    readonly members: () => readonly Address[];
     /** Returns the daemons that propagate changes in their data halls; those of this daemon's own hall come first. */
     readonly relays: () => readonly Address[];
     /** Returns the daemons beside the service's upstreams. */
@@ -55,18 +55,18 @@
 type LastExchange = {
     readonly peerDigest: number | undefined;
     /** The peer's incarnation, and how many of its changes have been received. */
-    readonly receivedUpTo: RecordsMark;
+    readonly receivedUpTo: RecordsPosition;
     /** How many of this daemon's changes have been sent to the peer. */
     readonly sentChangeCount: number;
 };
 
 /** Exchanges records with peers; at most one exchange with each peer is in progress. */
-export class CrashSpread {
+export class CrashPropagation {
     readonly #exchanging = new Set<Address>();
     readonly #lastExchanges = new Map<Address, LastExchange>();
     #hasExchangedAtStart = false;
 
-    constructor(private readonly deps: SpreadDependencies) {
+    constructor(private readonly deps: CrashPropagationDependencies) {
         deps.guard.onChange(local => local && this.#sendCrash(local.service, local.crash, local.requests));
     }
 
@@ -78,8 +78,8 @@
      * Starts an exchange with a peer whose digest differs, unless neither side has changed since the last exchange: the
      * digests may stay different because each daemon keeps a limited number of records.
      */
-    compareMarks(from: Address, peerDigest: number | undefined): void {
-        const { mark: digest, changeCount } = this.deps.guard;
+    compareDigests(from: Address, peerDigest: number | undefined): void {
+        const { digest, changeCount } = this.deps.guard;
         const lastExchange = this.#lastExchanges.get(from);
         const isUpToDate = lastExchange !== undefined && peerDigest === lastExchange.peerDigest
             && changeCount === lastExchange.sentChangeCount;
@@ -89,17 +89,17 @@
     }
 
     /** Merges the changes that a peer sent in an exchange, and returns the changes since the last one. */
-    answer({ records, have }: CrashChanges): CrashChanges {
+    handleExchange({ records, have }: CrashChanges): CrashChanges {
         this.deps.guard.merge(records);
-        return this.#changesAfter(have?.life === this.deps.life ? have.at : 0);
+        return this.#changesAfter(have?.life === this.deps.incarnation ? have.at : 0);
     }
 
     /**
      * Must be called when the members have changed. Drops the state of former members, and starts exchanges with relays
      * when there are other members for the first time.
      */
-    meet(): void {
-        const { peers, self, relays } = this.deps;
+    onMembersChanged(): void {
+        const { members: peers, self, relays } = this.deps;
         const others = peers().filter(address => address !== self);
         const known = new Set(others);
         [...this.#lastExchanges.keys()].filter(peer => !known.has(peer)).forEach(peer =>
@@ -119,11 +119,11 @@
     }
 
     #changesAfter(changeCount: number): CrashChanges {
-        const { guard, life: incarnation } = this.deps;
+        const { guard, incarnation } = this.deps;
         return {
             records: guard.recordsChangedAfter(changeCount),
             upTo: { life: incarnation, at: guard.changeCount },
-            mark: guard.mark,
+            mark: guard.digest,
         };
     }
 
@@ -157,7 +157,7 @@
         const changes = this.#changesAfter(sentChangeCount);
         const response = await exchange(peer, { ...changes, have: receivedUpTo });
         guard.merge(response.records);
-        const isSynchronized = guard.mark === response.mark;
+        const isSynchronized = guard.digest === response.mark;
         if (!isSynchronized && receivedUpTo !== undefined && receivedUpTo.life !== response.upTo.life) {
             this.#lastExchanges.delete(peer);
             return;
--- a/src/crashes/crashpublisher.ts
+++ b/src/crashes/crashpublisher.ts
@@ -41,7 +41,7 @@
         this.#renewedAt = deps.clock();
         this.#loop = new StoreLoop({
             step: () => this.#step(),
-            failed: err =>
+            onFailure: err =>
                 logger.warn("Could not write a quarantined request to the store; the write will be retried.", err),
             pauseMs: () => this.#renewedAt + RENEW_INTERVAL_MS - deps.clock(),
         });
--- a/src/daemon/bootstrap.ts
+++ b/src/daemon/bootstrap.ts
@@ -23,9 +23,9 @@
 ): Promise<void> => {
     const askedAt = clock();
     try {
-        const { document, halls, isNewest } = await store.readOld();
+        const { document, halls, isNewest } = await store.readCached();
         if (halls !== undefined) {
-            evacuations.recordStore(halls);
+            evacuations.recordStoreChange(halls);
         }
         if (document !== undefined) {
             configuration.apply(decodeDocument(document.value));
--- a/src/daemon/configurationgroup.ts
+++ b/src/daemon/configurationgroup.ts
@@ -42,7 +42,7 @@
         current.onChange(document => metrics.revision.set(document.revision));
         metrics.showAge(() => current.ageMs(clock()));
         if (environment.registry === undefined) {
-            current.onChange(document => evacuations.recordStore(hallsOf(document)));
+            current.onChange(document => evacuations.recordStoreChange(hallsOf(document)));
         }
         metrics.showEvacuated(() => evacuations.halls.length);
     }
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -151,7 +151,7 @@
     #announceStop(): void {
         const { self, datagrams } = this.#context;
         const upstreams = [...this.#gates.gates.all].map(gate => gate.upstream.name);
-        for (const peer of this.#path.sharing.reporter.senders()) {
+        for (const peer of this.#path.sharing.reporter.recentSenders()) {
             datagrams.send(peer, { type: "leave", from: self, upstreams });
         }
     }
--- a/src/daemon/daemoncontext.ts
+++ b/src/daemon/daemoncontext.ts
@@ -1,7 +1,7 @@
 /** What all parts of one daemon share. */
 import { randomBytes } from "node:crypto";
-import { SilentConnections } from "../connections/silentconnections.js";
-import { Datagrams } from "../datagram/datagrams.js";
+import { UnresponsiveConnections } from "../connections/unresponsiveconnections.js";
+import { DatagramSocket } from "../datagram/datagramsocket.js";
 import type { Message } from "../datagram/message.js";
 import type { Address } from "../ids/address.js";
 import type { Incarnation } from "../ids/incarnation.js";
@@ -28,20 +28,20 @@
     readonly localIp: string;
     readonly peerOptions: PeerOptions;
     readonly peer: PeerClient;
-    readonly silentConnections: SilentConnections;
-    readonly datagrams: Datagrams;
+    readonly unresponsiveConnections: UnresponsiveConnections;
+    readonly datagrams: DatagramSocket;
 
     constructor(readonly settings: Settings, readonly environment: Environment, readonly metrics: Metrics) {
         const { peer, advertise, peerKey: key, control } = settings;
         const { clock } = this;
         this.self = advertise ?? peer;
         this.localIp = splitAddress(peer).ip;
-        this.silentConnections = new SilentConnections(clock, metrics);
-        const onSilent = (address: Address): void => this.silentConnections.found("peer", address);
+        this.unresponsiveConnections = new UnresponsiveConnections(clock, metrics);
+        const onSilent = (address: Address): void => this.unresponsiveConnections.recordAndNotify("peer", address);
         this.peerOptions = { localIp: this.localIp, key, clock, onSilent };
         this.peer = new PeerClient(this.peerOptions);
-        this.silentConnections.onFound(() => this.peer.renewConnections());
-        this.datagrams = new Datagrams({ key, clock, bytesPerSecond: control.bytesPerSecond, metrics });
+        this.unresponsiveConnections.onDetected(() => this.peer.renewConnections());
+        this.datagrams = new DatagramSocket({ key, clock, bytesPerSecond: control.bytesPerSecond, metrics });
     }
 
     /** Sends a datagram; false when the budget forbids it. */
--- a/src/daemon/daemonpeerservice.ts
+++ b/src/daemon/daemonpeerservice.ts
@@ -1,6 +1,6 @@
 /** What this daemon does for its peers. */
 import type { Update } from "../config/update.js";
-import type { CrashSpread } from "../crashes/crashspread.js";
+import type { CrashPropagation } from "../crashes/crashpropagation.js";
 import type { CurrentConfiguration } from "../distribution/currentconfiguration.js";
 import type { GateIdentity } from "../gate/gateidentity.js";
 import type { Ledger } from "../ledger/ledger.js";
@@ -15,7 +15,7 @@
 import type { CrashChanges } from "../wire/crashchanges.js";
 import type { Member } from "../wire/member.js";
 import type { RecordChanges } from "../wire/recordchanges.js";
-import type { RecordsMark } from "../wire/recordsmark.js";
+import type { RecordsPosition } from "../wire/recordsposition.js";
 import type { GateSet } from "./gateset.js";
 import { gateStatus } from "./gatestatus.js";
 
@@ -25,7 +25,7 @@
     readonly ledger: Ledger;
     readonly configuration: CurrentConfiguration;
     readonly gates: GateSet;
-    readonly crashes: CrashSpread;
+    readonly crashes: CrashPropagation;
     readonly clock: Clock;
     /** Undefined where the document names the upstreams. */
     readonly membership: Membership | undefined;
@@ -61,12 +61,12 @@
         return this.#membership.member;
     }
 
-    records(have: RecordsMark | undefined): RecordChanges {
+    records(have: RecordsPosition | undefined): RecordChanges {
         return this.#membership.changesSince(have);
     }
 
     crashes(changes: CrashChanges): CrashChanges {
-        return this.deps.crashes.answer(changes);
+        return this.deps.crashes.handleExchange(changes);
     }
 
     status(): GateStatus[] {
--- a/src/daemon/datagramrouter.ts
+++ b/src/daemon/datagramrouter.ts
@@ -1,5 +1,5 @@
 /** Hands each datagram to the task that it is for. */
-import type { CrashSpread } from "../crashes/crashspread.js";
+import type { CrashPropagation } from "../crashes/crashpropagation.js";
 import type { Message } from "../datagram/message.js";
 import type { HallHeartbeats } from "../distribution/hallheartbeats.js";
 import type { FailureDetector } from "../failuredetection/failuredetector.js";
@@ -20,7 +20,7 @@
     readonly upstreams: UpstreamTable;
     readonly heartbeats: HallHeartbeats;
     readonly failureDetector: FailureDetector;
-    readonly crashes: CrashSpread;
+    readonly crashes: CrashPropagation;
     readonly transfer: WorkTransfer;
     /** Undefined where the document names the upstreams. */
     readonly gossip: Gossip | undefined;
--- a/src/daemon/gategroup.ts
+++ b/src/daemon/gategroup.ts
@@ -63,7 +63,7 @@
             identity: this.identity,
             dialect: environment.dialect,
             limit: policy.limit,
-            usualShare: (service: ServiceName) => this.#usualShare(service),
+            medianLimitShare: (service: ServiceName) => this.#usualShare(service),
             onChange: () => this.#onChange(),
             mayAsk: () => this.probes.mayAsk(),
             mayProbeCrash: () => this.probes.mayAskForCrash(),
@@ -76,7 +76,7 @@
             onEnding: (upstream: UpstreamName) => this.#onEnding(upstream),
             onServed: (request: RequestKey) => this.guard.recordServed(request),
             quarantinedForMs: (request: RequestKey | undefined) => this.guard.quarantinedForMs(request),
-            onUnresponsive: (address: Address) => context.silentConnections.record("upstream", address),
+            onUnresponsive: (address: Address) => context.unresponsiveConnections.record("upstream", address),
             repeatsLeft: (service: ServiceName) => this.#repeatsLeft(service, current, clock()),
             healthPath: (service: ServiceName) => this.probes.healthPath(service),
             coldLimits: (service: ServiceName) => coldLimitsOf(current.document, service, policy.cold),
@@ -85,12 +85,14 @@
         this.guard = new CrashGuard({
             clock,
             hasServed: request => [...this.gates.all].some(gate => gate.hasServed(request)),
-            giveUp: request => [...this.gates.all].forEach(gate => gate.cancel(request)),
+            cancel: request => [...this.gates.all].forEach(gate => gate.cancel(request)),
         });
         metrics.showLimited(() => [...this.gates.all].filter(gate => gate.limitPerSecond !== undefined).length);
-        metrics.showQuarantined(() => this.guard.quarantined);
+        metrics.showQuarantined(() => this.guard.quarantinedCount);
         this.gates = new GateSet(self, upstream => new Gate(upstream, shared));
-        context.silentConnections.onFound(() => [...this.gates.all].forEach(gate => gate.dropSuspectConnections()));
+        context.unresponsiveConnections.onDetected(() =>
+            [...this.gates.all].forEach(gate => gate.dropSuspectConnections())
+        );
         current.onChange(() => [...this.gates.all].forEach(gate => gate.cold.updateLimits()));
         this.health = new HealthCheck({ perSecond: control.healthPerSecond }, () => this.gates.all, metrics);
     }
--- a/src/daemon/gatestatus.ts
+++ b/src/daemon/gatestatus.ts
@@ -31,7 +31,7 @@
         upstream: gate.upstream.name,
         state: stateOf(gate),
         revision: configuration.revision,
-        fresh: configuration.fresh(now),
+        fresh: configuration.isFresh(now),
         running,
         waiting,
         limit,
--- a/src/daemon/membershipgroup.ts
+++ b/src/daemon/membershipgroup.ts
@@ -1,15 +1,15 @@
 /** How this daemon knows the others, in the way that its environment asks for; docs/DESIGN.md says why there are two. */
 import type { Upstream } from "../config/upstream.js";
+import { CrashPropagation } from "../crashes/crashpropagation.js";
 import { CrashPublisher } from "../crashes/crashpublisher.js";
-import { CrashSpread } from "../crashes/crashspread.js";
 import { ConfigurationWatch } from "../distribution/configurationwatch.js";
+import type { DaemonLocation } from "../distribution/daemonlocation.js";
 import { HallHeartbeats } from "../distribution/hallheartbeats.js";
 import { LeavingHosts } from "../distribution/leavinghosts.js";
-import type { Place } from "../distribution/place.js";
 import { WatcherElection } from "../distribution/watcherelection.js";
 import { UnknownHalls } from "../evacuation/unknownhalls.js";
 import { Membership } from "../membership/membership.js";
-import { relaysOf } from "../membership/relaysof.js";
+import { selectRelays } from "../membership/selectrelays.js";
 import type { Member } from "../wire/member.js";
 import type { ConfigurationGroup } from "./configurationgroup.js";
 import type { DaemonContext } from "./daemoncontext.js";
@@ -17,7 +17,7 @@
 
 /**
  * One that knows nobody when the store has its own record waits so long before it watches: where a whole hall starts, all have found each
- * other by then (RegistryWatcher.lookAgain), and those that need not watch never do. Milliseconds: the time within which records
+ * other by then (RegistryWatcher.rereadStale), and those that need not watch never do. Milliseconds: the time within which records
  * are written that are written at the start.
  */
 const ALONE_MS = 4000;
@@ -26,7 +26,7 @@
 export class MembershipGroup {
     readonly heartbeats: HallHeartbeats;
     readonly announced: Membership | undefined;
-    readonly crashes: CrashSpread;
+    readonly crashes: CrashPropagation;
     readonly #crashPublisher: CrashPublisher | undefined;
     readonly #unknownHalls = new UnknownHalls();
     #listener: () => void = () => {};
@@ -37,13 +37,13 @@
         private readonly gates: GateGroup,
     ) {
         this.announced = this.#makeMembership();
-        this.crashes = this.#makeCrashSpread();
+        this.crashes = this.#createCrashPropagation();
         this.#crashPublisher = this.#makeCrashPublisher();
         this.heartbeats = this.#makeHeartbeats();
-        context.silentConnections.onFound(() => this.#renewStore());
-        gates.onUsualShare(service => this.announced?.usualShare(service));
-        gates.onEnding(name => this.announced?.recordEnding(name));
-        context.metrics.showMembership(() => this.members.length, () => this.heartbeats.watching);
+        context.unresponsiveConnections.onDetected(() => this.#renewStore());
+        gates.onUsualShare(service => this.announced?.medianLimitShare(service));
+        gates.onEnding(name => this.announced?.recordLeaving(name));
+        context.metrics.showMembership(() => this.members.length, () => this.heartbeats.isWatcher);
         configuration.current.onChange(() => this.#changed());
         this.announced?.onChange(() => this.#changed());
         configuration.evacuations.onChange(() => this.#checkHalls());
@@ -66,7 +66,7 @@
 
     async start(): Promise<void> {
         await this.announced?.start();
-        this.heartbeats.followPlaces();
+        this.heartbeats.updateMembers();
         this.heartbeats.start();
         this.#crashPublisher?.start();
     }
@@ -78,8 +78,8 @@
     }
 
     #changed(): void {
-        this.heartbeats.followPlaces();
-        this.crashes.meet();
+        this.heartbeats.updateMembers();
+        this.crashes.onMembersChanged();
         this.#listener();
     }
 
@@ -88,7 +88,7 @@
         this.#unknownHalls.check(this.configuration.evacuations.halls, known, this.heartbeats.watchesEvacuations);
     }
 
-    #places(): readonly Place[] {
+    #places(): readonly DaemonLocation[] {
         return [...this.configuration.current.document.upstreams, ...this.members];
     }
 
@@ -99,7 +99,7 @@
             this.configuration.watcher.renew();
         }
         else {
-            this.announced.renewWatches();
+            this.announced.restartWatches();
         }
     }
 
@@ -117,7 +117,7 @@
             healthPath: service => probes.healthPath(service),
             onCrashRecords: records => this.gates.guard.merge(records),
             learnedShare: name => gates.find(name)?.learnedShare,
-            watcher,
+            documentWatcher: watcher,
             configuration: current,
             evacuations,
             puller,
@@ -127,16 +127,16 @@
         });
     }
 
-    #makeCrashSpread(): CrashSpread {
+    #createCrashPropagation(): CrashPropagation {
         const { settings, random, self, send, peer, incarnation } = this.context;
-        return new CrashSpread({
+        return new CrashPropagation({
             self,
-            life: incarnation,
+            incarnation,
             random,
             send,
             guard: this.gates.guard,
-            peers: () => [...new Set(this.#places().map(({ gate }) => gate))],
-            relays: () => relaysOf(this.#places(), settings.hall, self),
+            members: () => [...new Set(this.#places().map(({ gate }) => gate))],
+            relays: () => selectRelays(this.#places(), settings.hall, self),
             siblings: service =>
                 this.upstreams.filter(upstream => upstream.service === service).map(({ gate }) => gate),
             exchange: (address, changes) => peer.crashes(address, changes),
@@ -149,7 +149,7 @@
         return registry && new CrashPublisher({
             guard: this.gates.guard,
             clock: this.context.clock,
-            write: (record, keepMs) => registry.keepCrashes(record, keepMs),
+            write: (record, keepMs) => registry.storeCrashRecord(record, keepMs),
         });
     }
 
@@ -167,12 +167,12 @@
             puller,
             election: new WatcherElection(self, clock(), this.announced === undefined ? 0 : ALONE_MS),
             watch: this.announced?.watch ?? new ConfigurationWatch(watcher),
-            places: () => this.#places(),
-            crashMark: () => this.gates.guard.mark,
-            suspectMark: () => this.gates.guard.suspectMark,
-            onCrashMark: (from, mark) => this.crashes.compareMarks(from, mark),
+            locations: () => this.#places(),
+            crashDigest: () => this.gates.guard.digest,
+            suspectDigest: () => this.gates.guard.suspectDigest,
+            onCrashDigest: (from, mark) => this.crashes.compareDigests(from, mark),
             evacuations: this.configuration.evacuations,
-            onWatch: () => this.#checkHalls(),
+            onScopeChange: () => this.#checkHalls(),
             leavingHosts: new LeavingHosts(environment.store),
             onHostLeaving: leaving => this.gates.gates.setClosed("host-leaving", leaving),
         });
--- a/src/daemon/requestpathgroup.ts
+++ b/src/daemon/requestpathgroup.ts
@@ -46,7 +46,7 @@
         });
         this.peerServer = this.#makePeerServer();
         this.ingress = this.#makeIngress();
-        context.silentConnections.onFound(() => this.#hops.dropIdle());
+        context.unresponsiveConnections.onDetected(() => this.#hops.dropIdle());
         gates.onChange(() => this.sharing.checkGates());
         configuration.evacuations.onChange(() => this.#followEvacuations());
         configuration.current.onChange(document => this.ingress.applyCallerLimits(document.limits ?? {}));
@@ -68,7 +68,7 @@
     }
 
     readonly #catchUp = (revision: number, from: string | undefined): Promise<void> =>
-        this.configuration.puller.pullSoon(revision, from as Address | undefined);
+        this.configuration.puller.pullForRequest(revision, from as Address | undefined);
 
     #makePeerServer(): PeerServer {
         const { context, configuration, gates } = this;
@@ -84,7 +84,7 @@
                 ledger,
                 clock,
                 membership: this.membership.announced,
-                watchesStore: () => this.membership.heartbeats.watching,
+                watchesStore: () => this.membership.heartbeats.isWatcher,
                 configuration: current,
                 gates: gates.gates,
                 crashes: this.membership.crashes,
--- a/src/daemon/rulematcher.ts
+++ b/src/daemon/rulematcher.ts
@@ -7,7 +7,7 @@
 import { matchRequest } from "../policy/routing/matchrequest.js";
 import type { RequestTarget } from "../policy/routing/requesttarget.js";
 import type { Clock } from "../time/clock.js";
-import type { CallHead } from "../wire/callhead.js";
+import type { RequestMetadata } from "../wire/requestmetadata.js";
 
 /** Asks for the document anew each time, so that each request is decided by the newest. */
 export class RuleMatcher {
@@ -16,7 +16,7 @@
     /** What the rules here say of a request; undefined when none matches. `draw` chooses the part of a split. */
     find(target: RequestTarget, draw = 0): MatchedRule | undefined {
         const { document } = this.configuration;
-        return matchRequest(document, target, this.configuration.fresh(this.clock()), draw);
+        return matchRequest(document, target, this.configuration.isFresh(this.clock()), draw);
     }
 
     /** The plan by the rules as they are now; the plan itself when none matches. */
@@ -29,7 +29,7 @@
     }
 
     /** True when the sender's older rules let a request repeat that the rules here do not. */
-    isStale(head: CallHead, rule: MatchedRule | undefined): boolean {
+    isStale(head: RequestMetadata, rule: MatchedRule | undefined): boolean {
         return isStaleKind(head, rule?.kind, this.configuration.revision);
     }
 }
--- a/src/datagram/datagrams.ts
+++ b/src/datagram/datagramsocket.ts
@@ -52,7 +52,7 @@
 } as const;
 
 /** Sends and receives messages; drops datagrams with a wrong tag or an invalid message. */
-export class Datagrams {
+export class DatagramSocket {
     readonly #socket: Socket;
     readonly #bucket: TokenBucket;
     readonly #pongBucket: TokenBucket;
--- a/src/datagram/message.ts
+++ b/src/datagram/message.ts
@@ -10,7 +10,7 @@
 import { evacuatedHallsSchema } from "../wire/evacuatedhallsschema.js";
 import { loadReportSchema } from "../wire/loadreportschema.js";
 import { Member } from "../wire/member.js";
-import { RecordsMark } from "../wire/recordsmark.js";
+import { RecordsPosition } from "../wire/recordsposition.js";
 
 /** Limits the size of a datagram, and the effect of a message from a faulty peer. */
 const MAX_ITEMS = 64;
@@ -30,7 +30,7 @@
         ageMs: z.number().min(0),
         watching: z.boolean(),
         leaving: z.array(HostName).max(MAX_ITEMS),
-        records: RecordsMark.optional(),
+        records: RecordsPosition.optional(),
         /** Digest of the sender's crash records. */
         crashes: z.int().optional(),
         evacuated: evacuatedHallsSchema.optional(),
--- a/src/distribution/changepublisher.ts
+++ b/src/distribution/changepublisher.ts
@@ -75,7 +75,7 @@
      * Returns the revision that a change produced, or undefined if it is not among the latest changes. Throws a
      * StoreError.
      */
-    async find(id: ChangeId): Promise<number | undefined> {
+    async findRevision(id: ChangeId): Promise<number | undefined> {
         const { value } = await this.store.read();
         return revisionOf(decodeDocument(value), id);
     }
@@ -92,7 +92,7 @@
             return { type: "accepted", revision: knownRevision, difference: [] };
         }
         if (request.baseRevision !== 0 && request.baseRevision !== document.revision) {
-            return { type: "conflict", revision: document.revision, other: document.changes.at(-1) };
+            return { type: "conflict", revision: document.revision, latestChange: document.changes.at(-1) };
         }
         const updated = applyChanges(document, request.id, request.changes);
         const difference = diffDocuments(document, updated);
--- a/src/distribution/changeresult.ts
+++ b/src/distribution/changeresult.ts
@@ -9,7 +9,7 @@
 export type ChangeResult =
     | { readonly type: "accepted"; readonly revision: number; readonly difference: readonly string[]; }
     | { readonly type: "dry-run"; readonly revision: number; readonly difference: readonly string[]; }
-    | { readonly type: "conflict"; readonly revision: number; readonly other: ChangeRecord | undefined; }
+    | { readonly type: "conflict"; readonly revision: number; readonly latestChange: ChangeRecord | undefined; }
     | { readonly type: "invalid"; readonly issues: readonly Issue[]; }
     | { readonly type: "not-applied"; readonly issues: readonly Issue[]; }
     | { readonly type: "unknown"; readonly issues: readonly Issue[]; };
--- a/src/distribution/configurationpuller.ts
+++ b/src/distribution/configurationpuller.ts
@@ -33,7 +33,7 @@
     }
 
     /** Pulls as `pull` does, but resolves after REQUEST_WAIT_MS at the latest, because a request waits for it. */
-    async pullSoon(revision: number, from: Address | undefined): Promise<void> {
+    async pullForRequest(revision: number, from: Address | undefined): Promise<void> {
         if (revision > this.configuration.revision && from !== undefined) {
             await Promise.race([this.pull(revision, from), sleep(REQUEST_WAIT_MS)]);
         }
--- a/src/distribution/configurationwatch.ts
+++ b/src/distribution/configurationwatch.ts
@@ -12,15 +12,15 @@
     }
 
     get scope(): WatchScope {
-        return this.watcher.watching ? "all" : "nothing";
+        return this.watcher.isWatching ? "all" : "nothing";
     }
 
-    set(scope: WatchScope): void {
-        this.watcher.set(scope !== "nothing");
+    setScope(scope: WatchScope): void {
+        this.watcher.setWatching(scope !== "nothing");
     }
 
     /** Returns true always: apart from the watch itself, nothing shows whether the store responds. */
-    isReached(): boolean {
+    isStoreReachable(): boolean {
         return true;
     }
 
--- a/src/distribution/currentconfiguration.test.ts
+++ b/src/distribution/currentconfiguration.test.ts
@@ -31,8 +31,8 @@
     const configuration = new CurrentConfiguration();
     configuration.apply(withService(emptyDocument, "c1", "a"));
     configuration.confirm(2, 0);
-    assert.equal(configuration.fresh(1), false, "the store has a newer revision");
+    assert.equal(configuration.isFresh(1), false, "the store has a newer revision");
     configuration.confirm(1, 0);
-    assert.equal(configuration.fresh(11_999), true);
-    assert.equal(configuration.fresh(12_000), false);
+    assert.equal(configuration.isFresh(11_999), true);
+    assert.equal(configuration.isFresh(12_000), false);
 });
--- a/src/distribution/currentconfiguration.ts
+++ b/src/distribution/currentconfiguration.ts
@@ -49,7 +49,7 @@
     }
 
     /** Returns true if the revision was known to be the newest recently enough. */
-    fresh(now: number): boolean {
+    isFresh(now: number): boolean {
         return this.ageMs(now) < MAX_FRESH_AGE_MS;
     }
 
--- a/src/distribution/documentwatcher.ts
+++ b/src/distribution/documentwatcher.ts
@@ -22,7 +22,7 @@
     ) {
         this.#loop = new StoreLoop({
             step: signal => this.#watchOnce(signal),
-            failed: err =>
+            onFailure: err =>
                 logger.warn("A watch of the configuration in the store failed; it is retried.", err, {
                     revision: configuration.revision,
                 }),
@@ -30,16 +30,16 @@
         });
     }
 
-    get watching(): boolean {
-        return this.#loop.running;
+    get isWatching(): boolean {
+        return this.#loop.isRunning;
     }
 
     /** Starts or stops the loop. */
-    set(watch: boolean): void {
+    setWatching(watch: boolean): void {
         if (!watch) {
             this.#loop.stop();
         }
-        else if (!this.#loop.running) {
+        else if (!this.#loop.isRunning) {
             logger.change("This daemon has started to watch the configuration in the store.");
             this.#loop.start();
         }
@@ -47,7 +47,7 @@
 
     /** Replaces the pending watch by a new one: its connection may be broken without an error. */
     renew(): void {
-        this.#loop.renew();
+        this.#loop.abortStep();
     }
 
     /**
@@ -57,7 +57,7 @@
         const requestedAt = this.clock();
         const { document, halls } = await this.store.watch(this.#version, signal);
         if (halls !== undefined) {
-            this.evacuations.recordStore(halls);
+            this.evacuations.recordStoreChange(halls);
         }
         if (document !== undefined) {
             const decoded = decodeDocument(document.value);
--- a/src/distribution/hallheartbeats.test.ts
+++ b/src/distribution/hallheartbeats.test.ts
@@ -5,10 +5,10 @@
 import type { Address } from "../ids/address.js";
 import type { HallName } from "../ids/hallname.js";
 import type { Incarnation } from "../ids/incarnation.js";
-import type { RecordsMark } from "../wire/recordsmark.js";
+import type { RecordsPosition } from "../wire/recordsposition.js";
 import { CurrentConfiguration } from "./currentconfiguration.js";
+import type { DaemonLocation } from "./daemonlocation.js";
 import { HallHeartbeats } from "./hallheartbeats.js";
-import type { Place } from "./place.js";
 import { rank } from "./rank.js";
 import { StoreWatch } from "./storewatch.js";
 import { WatcherElection } from "./watcherelection.js";
@@ -20,15 +20,15 @@
 
 class FakeWatch extends StoreWatch {
     scope: WatchScope = "nothing";
-    records: RecordsMark | undefined = { life: INCARNATION, at: 1 };
+    records: RecordsPosition | undefined = { life: INCARNATION, at: 1 };
     isReachable = true;
     readonly followedWatchers: string[] = [];
 
-    set(scope: WatchScope): void {
+    setScope(scope: WatchScope): void {
         this.scope = scope;
     }
 
-    isReached(): boolean {
+    isStoreReachable(): boolean {
         return this.isReachable;
     }
 
@@ -37,7 +37,7 @@
     }
 }
 
-const locations: readonly Place[] = [
+const locations: readonly DaemonLocation[] = [
     ...Array.from({ length: 8 }, (_, index) => ({ gate: `10.0.0.${index}:1` as Address, hall: HALL })),
     ...Array.from({ length: 4 }, (_, index) => ({ gate: `10.0.1.${index}:1` as Address, hall: "b" as HallName })),
 ];
@@ -61,17 +61,17 @@
         puller: { pull: async () => {} } as never,
         election: new WatcherElection(rankedMembers[rankIndex]!, 0),
         watch,
-        places: () => locations,
+        locations: () => locations,
         leavingHosts: { names: [], refresh: async () => {} } as never,
         send: (to, message) => sent.push({ to, message }) > 0,
-        onWatch: () => {},
+        onScopeChange: () => {},
         onHostLeaving: () => {},
-        crashMark: () => undefined,
-        suspectMark: () => undefined,
-        onCrashMark: () => {},
+        crashDigest: () => undefined,
+        suspectDigest: () => undefined,
+        onCrashDigest: () => {},
         evacuations: new Evacuations(),
     });
-    heartbeats.followPlaces();
+    heartbeats.updateMembers();
     heartbeats.start();
     const advance = (ms: number): void => {
         for (const until = now + ms; now < until;) {
--- a/src/distribution/hallheartbeats.ts
+++ b/src/distribution/hallheartbeats.ts
@@ -19,11 +19,11 @@
 import { ChangeThrottle } from "./changethrottle.js";
 import type { ConfigurationPuller } from "./configurationpuller.js";
 import type { CurrentConfiguration } from "./currentconfiguration.js";
+import type { DaemonLocation } from "./daemonlocation.js";
 import { hallMembers } from "./hallmembers.js";
 import { HeartbeatSender } from "./heartbeatsender.js";
 import type { LeavingHosts } from "./leavinghosts.js";
-import { otherHalls } from "./otherhalls.js";
-import type { Place } from "./place.js";
+import { otherHallCandidates } from "./otherhallcandidates.js";
 import { rank } from "./rank.js";
 import type { StoreWatch } from "./storewatch.js";
 import type { WatcherElection } from "./watcherelection.js";
@@ -62,18 +62,18 @@
     readonly election: WatcherElection;
     readonly watch: StoreWatch;
     /** Returns the location of every known daemon, including this one. */
-    readonly places: () => readonly Place[];
+    readonly locations: () => readonly DaemonLocation[];
     readonly leavingHosts: LeavingHosts;
     /** Returns a digest of the records of requests that crashed upstreams, or undefined if there are none. */
-    readonly crashMark: () => number | undefined;
+    readonly crashDigest: () => number | undefined;
     /** Returns a digest of the records of requests that crashed several upstreams, or undefined if there are none. */
-    readonly suspectMark: () => number | undefined;
+    readonly suspectDigest: () => number | undefined;
     /** Called with the digest of crash records that a received heartbeat carries. */
-    readonly onCrashMark: (from: Address, mark: number | undefined) => void;
+    readonly onCrashDigest: (from: Address, mark: number | undefined) => void;
     readonly evacuations: Evacuations;
     readonly send: (to: Address, message: Message) => boolean;
     /** Called when the scope that this daemon watches in the store has changed. */
-    readonly onWatch: () => void;
+    readonly onScopeChange: () => void;
     /** Called with whether this daemon's own host is leaving according to the platform's host list. */
     readonly onHostLeaving: (leaving: boolean) => void;
 };
@@ -96,7 +96,7 @@
     }
 
     /** True while this daemon is one of the watchers of its hall. */
-    get watching(): boolean {
+    get isWatcher(): boolean {
         return this.deps.watch.scope === "all";
     }
 
@@ -115,8 +115,8 @@
     }
 
     /** Updates the members of the hall; the owner calls it when the location of a daemon has changed. */
-    followPlaces(): void {
-        const { election, hall, places } = this.deps;
+    updateMembers(): void {
+        const { election, hall, locations: places } = this.deps;
         election.setMembers(rank(hallMembers(places(), hall), hall));
     }
 
@@ -124,17 +124,17 @@
     receive(heartbeat: Extract<Message, { type: "beat"; }>): void {
         const { clock, configuration, election, puller, host, evacuations } = this.deps;
         const now = clock();
-        evacuations.recordWord(heartbeat.evacuated);
+        evacuations.recordPropagated(heartbeat.evacuated);
         election.recordHeartbeat(heartbeat.from, heartbeat.watching, now);
         configuration.confirm(heartbeat.revision, now - heartbeat.ageMs);
         void puller.pull(heartbeat.revision, heartbeat.from).then(() =>
             configuration.confirm(heartbeat.revision, now - heartbeat.ageMs)
         );
-        if (heartbeat.watching && !this.watching) {
+        if (heartbeat.watching && !this.isWatcher) {
             this.deps.onHostLeaving(heartbeat.leaving.includes(host));
         }
         this.#followWatcher(heartbeat, now);
-        this.deps.onCrashMark(heartbeat.from, heartbeat.crashes);
+        this.deps.onCrashDigest(heartbeat.from, heartbeat.crashes);
     }
 
     #followWatcher({ from, records }: Extract<Message, { type: "beat"; }>, now: number): void {
@@ -148,13 +148,13 @@
     /** Returns true if this daemon is a watcher and the store responds to it. */
     #isActiveWatcher(now: number): boolean {
         const { watch } = this.deps;
-        return this.watching && watch.isReached(now);
+        return this.isWatcher && watch.isStoreReachable(now);
     }
 
     #updateScope(): void {
         const { clock, election, watch } = this.deps;
         const now = clock();
-        this.#setScope(election.scopeAt(now, watch.isReached(now)));
+        this.#setScope(election.scopeAt(now, watch.isStoreReachable(now)));
     }
 
     #setScope(scope: WatchScope): void {
@@ -162,14 +162,14 @@
         if (watch.scope === scope) {
             return;
         }
-        watch.set(scope);
+        watch.setScope(scope);
         if (scope === "nothing") {
             this.#heartbeatTicker.stop();
         }
         else {
             this.#heartbeatTicker.start();
         }
-        this.deps.onWatch();
+        this.deps.onScopeChange();
     }
 
     #tick(): void {
@@ -183,7 +183,7 @@
 
     /** Sends heartbeats at once to this daemon's followers; the rest of the hall gets the change in the next round. */
     #notifyRecordChange(now: number): void {
-        const { hall, places, watch } = this.deps;
+        const { hall, locations: places, watch } = this.deps;
         if (this.#recordsThrottle.pass(watch.records?.at ?? 0, now)) {
             this.#sender.sendSoon(this.#partitionHall(hallMembers(places(), hall), now).followers);
         }
@@ -191,14 +191,14 @@
 
     /** Sends heartbeats to all recipients at once: another crashed upstream costs more than a few early heartbeats. */
     #notifySuspectChange(now: number): void {
-        if (this.#suspectsThrottle.pass(this.deps.suspectMark(), now)) {
+        if (this.#suspectsThrottle.pass(this.deps.suspectDigest(), now)) {
             this.#sender.sendSoon();
         }
     }
 
     async #refreshLeavingHosts(): Promise<void> {
         const { leavingHosts, host, onHostLeaving } = this.deps;
-        if (!this.watching) {
+        if (!this.isWatcher) {
             return;
         }
         const before = leavingHosts.names.join();
@@ -211,9 +211,9 @@
 
     /** Returns the recipients, followers first: if the send budget runs out, the other watcher reaches the rest. */
     #recipients(): Address[] {
-        const { hall, random, places, clock } = this.deps;
+        const { hall, random, locations: places, clock } = this.deps;
         const daemons = places();
-        const remote = otherHalls(daemons, hall, MAX_CANDIDATES).flatMap(gates => sample(gates, 1, random));
+        const remote = otherHallCandidates(daemons, hall, MAX_CANDIDATES).flatMap(gates => sample(gates, 1, random));
         const { followers, rest } = this.#partitionHall(hallMembers(daemons, hall), clock());
         return [...followers, ...remote, ...rest];
     }
@@ -230,10 +230,10 @@
     }
 
     #createHeartbeat(): Message {
-        const { self, configuration, clock, watch, leavingHosts, crashMark, evacuations } = this.deps;
+        const { self, configuration, clock, watch, leavingHosts, crashDigest: crashMark, evacuations } = this.deps;
         const now = clock();
         const crashes = crashMark();
-        const evacuated = evacuations.word;
+        const evacuated = evacuations.stateForPeers;
         return {
             type: "beat",
             from: self,
--- a/src/evacuation/evacuations.ts
+++ b/src/evacuation/evacuations.ts
@@ -51,7 +51,7 @@
      * The state that is sent to peers; undefined if no evacuation has ever been known, which is the usual case, or if
      * it is too long.
      */
-    get word(): EvacuatedHalls | undefined {
+    get stateForPeers(): EvacuatedHalls | undefined {
         return this.#hasSeenEvacuation && this.#fitsDatagram ? this.#known : undefined;
     }
 
@@ -69,7 +69,7 @@
     }
 
     /** Applies a change that the store reports. */
-    recordStore(change: HallsChange): void {
+    recordStoreChange(change: HallsChange): void {
         const next = applyHallsChange(this.#known, change);
         if (next !== undefined) {
             this.#setKnown(next);
@@ -77,7 +77,7 @@
     }
 
     /** Applies the state that a peer sent; undefined if the peer sent none. */
-    recordWord(peerState: EvacuatedHalls | undefined): void {
+    recordPropagated(peerState: EvacuatedHalls | undefined): void {
         if (peerState === undefined) {
             return;
         }
@@ -88,7 +88,7 @@
     }
 
     /** Returns true if the peer's state is older than this daemon's and names other halls. */
-    isAhead(peerState: EvacuatedHalls | undefined): boolean {
+    isPeerBehind(peerState: EvacuatedHalls | undefined): boolean {
         const { mark, halls } = this.#known;
         const comparedState = peerState ?? NO_EVACUATIONS;
         return this.#hasSeenEvacuation && isLaterPosition(mark, comparedState.mark)
--- a/src/failuredetection/failuredetector.test.ts
+++ b/src/failuredetection/failuredetector.test.ts
@@ -3,7 +3,7 @@
 import type { Upstream } from "../config/upstream.js";
 import type { Message } from "../datagram/message.js";
 import { Evacuations } from "../evacuation/evacuations.js";
-import { Cancel } from "../http/cancel.js";
+import { Cancellation } from "../http/cancellation.js";
 import type { Address } from "../ids/address.js";
 import { UpstreamTable } from "../ingress/upstreamtable.js";
 import { FailureDetector } from "./failuredetector.js";
@@ -11,7 +11,7 @@
 const upstream = (name: string, port: number): Upstream =>
     ({ name, service: "s", gate: `127.0.0.1:${port}`, slots: 4, draining: false }) as Upstream;
 
-type Attempt = { readonly name: string; readonly cancel: Cancel; };
+type Attempt = { readonly name: string; readonly cancel: Cancellation; };
 
 /**
  * Starts an attempt at each of two gates that have answered a ping, and returns the upstreams whose attempts are
@@ -44,7 +44,7 @@
     views.forEach(view =>
         detector.receivePong({ type: "pong", from: view.settings.gate, sentAt: now, loads: [] } as never)
     );
-    const attempts: Attempt[] = views.map(view => ({ name: view.upstream, cancel: new Cancel() }));
+    const attempts: Attempt[] = views.map(view => ({ name: view.upstream, cancel: new Cancellation() }));
     views.forEach((view, index) => view.attemptStarted(now, attempts[index]!.cancel));
     detector.start();
     for (; now < 1000; now += 50) {
--- a/src/gate/crashdetector.ts
+++ b/src/gate/crashdetector.ts
@@ -5,7 +5,7 @@
  * flight is decided by policy/failure/interruptedruns.ts.
  */
 import { randomBytes } from "node:crypto";
-import { isConnectError } from "../http/connecterror.js";
+import { isConnectError } from "../http/isconnecterror.js";
 import type { CrashId } from "../ids/crashid.js";
 import type { RequestKey } from "../ids/requestkey.js";
 import { log } from "../log/log.js";
--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -67,7 +67,7 @@
             repeatsInFlight: () => this.#runner.repeatCount,
         });
         this.#admission = new Admission(
-            createLimit(deps.limit, upstream.slots, () => deps.usualShare(upstream.service)),
+            createLimit(deps.limit, upstream.slots, () => deps.medianLimitShare(upstream.service)),
             ruleTimes,
             levels,
             pace,
--- a/src/gate/gatedependencies.ts
+++ b/src/gate/gatedependencies.ts
@@ -25,7 +25,7 @@
      * Returns the knee usually found at a service's upstreams, as a fraction of their slots; undefined while it is
      * unknown.
      */
-    readonly usualShare: (service: ServiceName) => number | undefined;
+    readonly medianLimitShare: (service: ServiceName) => number | undefined;
     /** Local address from which connections to the upstream are opened. */
     readonly localIp: string;
     /** Called when a request arrives at the gate, and when one ends. */
--- a/src/gate/gaterequest.ts
+++ b/src/gate/gaterequest.ts
@@ -2,7 +2,7 @@
 import type { Priority } from "../config/priority.js";
 import type { GateCall } from "../hop/gatecall.js";
 import { HopError } from "../hop/hoperror.js";
-import type { Cancel } from "../http/cancel.js";
+import type { Cancellation } from "../http/cancellation.js";
 import type { RequestKey } from "../ids/requestkey.js";
 import type { RuleName } from "../ids/rulename.js";
 import type { TeamName } from "../ids/teamname.js";
@@ -92,7 +92,7 @@
      * Returns the caller's cancel signal for a repeatable request. Returns undefined for a `once` request, which runs
      * to its end even if its caller has left.
      */
-    upstreamCancel(): Cancel | undefined {
+    upstreamCancel(): Cancellation | undefined {
         return this.once ? undefined : this.call.cancel;
     }
 }
--- a/src/gate/localhop.ts
+++ b/src/gate/localhop.ts
@@ -6,7 +6,7 @@
 import type { Ledger } from "../ledger/ledger.js";
 import type { RevokeResult } from "../ledger/revokeresult.js";
 import type { Clock } from "../time/clock.js";
-import type { CallHead } from "../wire/callhead.js";
+import type { RequestMetadata } from "../wire/requestmetadata.js";
 import type { Gate } from "./gate.js";
 import type { GateIdentity } from "./gateidentity.js";
 
@@ -33,7 +33,7 @@
         return gate.serve({ ...call, head });
     }
 
-    async revoke(head: CallHead): Promise<RevokeResult> {
+    async revoke(head: RequestMetadata): Promise<RevokeResult> {
         const now = this.clock();
         return this.ledger.revoke(head.id, now + head.remainingMs, now);
     }
--- a/src/gate/slotqueue.test.ts
+++ b/src/gate/slotqueue.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Cancel } from "../http/cancel.js";
+import { Cancellation } from "../http/cancellation.js";
 import { Ledger } from "../ledger/ledger.js";
 import { Admission } from "../policy/admission/admission.js";
 import { FixedLimit } from "../policy/admission/fixedlimit.js";
@@ -60,7 +60,7 @@
         choices: 0,
         nearChoices: 0,
     };
-    return new GateRequest({ head, cancel: new Cancel() } as never, { incarnation: "i" } as never, clock());
+    return new GateRequest({ head, cancel: new Cancellation() } as never, { incarnation: "i" } as never, clock());
 };
 
 test("slot queue: probes a slow upstream repeatedly, and starts queued requests once it is no longer slow", async () => {
--- a/src/gate/upstreamclient.ts
+++ b/src/gate/upstreamclient.ts
@@ -3,10 +3,10 @@
 import type { Upstream } from "../config/upstream.js";
 import type { Dialect } from "../dialect/dialect.js";
 import type { GateCall } from "../hop/gatecall.js";
-import type { Cancel } from "../http/cancel.js";
-import { isConnectError } from "../http/connecterror.js";
-import { guardBody } from "../http/guardbody.js";
+import type { Cancellation } from "../http/cancellation.js";
 import type { HttpHeaders } from "../http/httpheaders.js";
+import { ignoreBodyErrors } from "../http/ignorebodyerrors.js";
+import { isConnectError } from "../http/isconnecterror.js";
 import type { Address } from "../ids/address.js";
 import type { Clock } from "../time/clock.js";
 import { UpstreamConnection } from "./upstreamconnection.js";
@@ -42,7 +42,7 @@
     constructor(readonly upstream: Upstream, private readonly options: ClientOptions) {}
 
     /** Sends a request; throws an UpstreamError if it fails, or if the response belongs to another request. */
-    async send(call: GateCall, headers: HttpHeaders, cancel: Cancel | undefined): Promise<UpstreamResponse> {
+    async send(call: GateCall, headers: HttpHeaders, cancel: Cancellation | undefined): Promise<UpstreamResponse> {
         const { dialect } = this.options;
         const connection = this.#acquire();
         const sentAt = this.options.clock();
@@ -145,7 +145,7 @@
         connection: UpstreamConnection,
         call: GateCall,
         headers: HttpHeaders,
-        cancel: Cancel | undefined,
+        cancel: Cancellation | undefined,
         sentAt: number,
     ): Promise<UpstreamResponse> {
         try {
@@ -157,7 +157,7 @@
                 signal: cancel,
             });
             this.#lastAnsweredSentAt = Math.max(this.#lastAnsweredSentAt, sentAt);
-            const body = guardBody(connection.checkedBody(response));
+            const body = ignoreBodyErrors(connection.checkedBody(response));
             body.once("close", () => this.#release(connection));
             return { status: response.statusCode, headers: response.headers, body };
         }
--- a/src/gate/upstreamrun.ts
+++ b/src/gate/upstreamrun.ts
@@ -2,8 +2,8 @@
 import { PassThrough, type Readable } from "node:stream";
 import type { Dialect } from "../dialect/dialect.js";
 import type { GateResponse } from "../hop/gateresponse.js";
-import { Cancel } from "../http/cancel.js";
-import { cleanHeaders } from "../http/cleanheaders.js";
+import { Cancellation } from "../http/cancellation.js";
+import { forwardableHeaders } from "../http/forwardableheaders.js";
 import type { HttpHeaders } from "../http/httpheaders.js";
 import { httpStatus } from "../http/httpstatus.js";
 import type { RequestKey } from "../ids/requestkey.js";
@@ -61,7 +61,7 @@
     readonly #requestId: string;
     readonly #workTime: WorkTime;
     readonly #context: ReturnType<CallContexts["open"]>;
-    readonly #cancel = new Cancel();
+    readonly #cancel = new Cancellation();
     readonly #deadlineTimer: NodeJS.Timeout;
     #isActive = true;
     #hasResponseHead = false;
@@ -137,7 +137,7 @@
             }
             return {
                 status: response.status,
-                headers: cleanHeaders(response.headers),
+                headers: forwardableHeaders(response.headers),
                 body: isStreamed ? response.body : this.#trackBody(response.body, response.status),
                 calls: this.#context.calls.size > 0,
                 retriedBelow: this.#context.retriedBelow,
--- a/src/hop/hop.ts
+++ b/src/hop/hop.ts
@@ -1,6 +1,6 @@
 /** The transport from an ingress to one gate. */
 import type { RevokeResult } from "../ledger/revokeresult.js";
-import type { CallHead } from "../wire/callhead.js";
+import type { RequestMetadata } from "../wire/requestmetadata.js";
 import type { GateCall } from "./gatecall.js";
 import type { GateResponse } from "./gateresponse.js";
 
@@ -9,7 +9,7 @@
     /** Sends a request once, without retries; throws a HopError. */
     abstract send(call: GateCall): Promise<GateResponse>;
     /** Asks the gate to revoke a request; resolves with `unknown` if the gate is unreachable. */
-    abstract revoke(head: CallHead): Promise<RevokeResult>;
+    abstract revoke(head: RequestMetadata): Promise<RevokeResult>;
     /** Asks the gate for its incarnation and clock; throws a HopError. */
     abstract handshake(): Promise<void>;
     /** Closes connections as soon as they are idle; requests in flight are completed. */
--- a/src/http/collect.ts
+++ b/src/http/bufferbody.ts
@@ -1,12 +1,12 @@
 /** Reads a body into memory, up to a size limit. */
 import { Readable } from "node:stream";
-import { guardBody } from "./guardbody.js";
+import { ignoreBodyErrors } from "./ignorebodyerrors.js";
 
 /** The whole body, or the first chunks of a body that exceeds the limit; its stream is paused after them. */
 type Collected = { readonly whole: boolean; readonly chunks: Buffer[]; readonly size: number; };
 
 /** Reads the body to its end, or until it exceeds `maxBytes`; rejects if it breaks off before that. */
-export function collect(body: Buffer | Readable, maxBytes: number): Promise<Collected> {
+export function bufferBody(body: Buffer | Readable, maxBytes: number): Promise<Collected> {
     if (!(body instanceof Readable)) {
         return Promise.resolve({ whole: true, chunks: [body], size: body.length });
     }
@@ -37,7 +37,7 @@
         };
         const onError = (err: Error): void => {
             removeListeners();
-            guardBody(body);
+            ignoreBodyErrors(body);
             reject(err);
         };
         const onClose = (): void => onError(new Error("the body's stream closed before its end"));
--- a/src/http/cancel.ts
+++ b/src/http/cancellation.ts
@@ -4,7 +4,7 @@
 const ABORT_EVENT = "abort";
 
 /** Replaces an AbortController and its signal at a fraction of their cost; undici accepts it as a signal. */
-export class Cancel extends EventEmitter {
+export class Cancellation extends EventEmitter {
     aborted = false;
 
     abort(): void {
--- a/src/http/abandonbody.ts
+++ b/src/http/destroybody.ts
@@ -1,10 +1,10 @@
 /** Discards a body that is not read to its end. */
 import { Readable } from "node:stream";
-import { guardBody } from "./guardbody.js";
+import { ignoreBodyErrors } from "./ignorebodyerrors.js";
 
 /** Destroys a body that is a stream, and with it its connection. */
-export function abandonBody(body: Buffer | Readable): void {
+export function destroyBody(body: Buffer | Readable): void {
     if (body instanceof Readable) {
-        guardBody(body).destroy();
+        ignoreBodyErrors(body).destroy();
     }
 }
--- a/src/http/dropbody.ts
+++ b/src/http/drainbody.ts
@@ -1,10 +1,10 @@
 /** Drains a body that is not needed. */
 import { Readable } from "node:stream";
-import { guardBody } from "./guardbody.js";
+import { ignoreBodyErrors } from "./ignorebodyerrors.js";
 
 /** Reads a stream to its end, so that its connection can be reused, and ignores its errors. */
-export function dropBody(body: Buffer | Readable | undefined): void {
+export function drainBody(body: Buffer | Readable | undefined): void {
     if (body instanceof Readable) {
-        guardBody(body).resume();
+        ignoreBodyErrors(body).resume();
     }
 }
--- a/src/http/cleanheaders.ts
+++ b/src/http/forwardableheaders.ts
@@ -23,7 +23,7 @@
 };
 
 /** Returns the fields except the hop-by-hop ones, those that `connection` lists, and winglock's own. */
-export function cleanHeaders(headers: HttpHeaders): HttpHeaders {
+export function forwardableHeaders(headers: HttpHeaders): HttpHeaders {
     const listedNames = headers.connection === undefined ? undefined : connectionFields(headers);
     const clean: HttpHeaders = {};
     for (const name in headers) {
--- a/src/http/guardbody.ts
+++ b/src/http/ignorebodyerrors.ts
@@ -2,7 +2,7 @@
 import type { Readable } from "node:stream";
 
 /** Adds a listener that ignores errors, and returns the body. A reader of the body has its own listener. */
-export function guardBody(body: Readable): Readable {
+export function ignoreBodyErrors(body: Readable): Readable {
     return body.on("error", () => {
         // A reader's own listener handles the error; without a reader it has no consequence.
     });
--- a/src/http/passbody.ts
+++ b/src/http/pipebody.ts
@@ -3,7 +3,7 @@
 import type { Readable } from "node:stream";
 
 /** Pipes the body to the response. If one breaks off, so does the other: a partial body never looks complete. */
-export function passBody(body: Readable, res: ServerResponse): void {
+export function pipeBody(body: Readable, res: ServerResponse): void {
     if (body.destroyed && !body.readableEnded) {
         res.destroy();
         return;
--- a/src/ingress/attempt.test.ts
+++ b/src/ingress/attempt.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { HopError } from "../hop/hoperror.js";
-import { Cancel } from "../http/cancel.js";
+import { Cancellation } from "../http/cancellation.js";
 import type { Reason } from "../policy/retry/reason.js";
 import { Attempt } from "./attempt.js";
 import { RequestLog } from "./requestlog.js";
@@ -27,7 +27,7 @@
         nearChoices: 1,
         outgoing: { id: "id", method: "GET", path: "/", headers: {}, body: { content: undefined, kept: true } },
         log: new RequestLog("id"),
-        requestCancel: new Cancel(),
+        requestCancel: new Cancellation(),
         isDeadlinePassed: () => false,
         claim: () => true,
         deliver: () => Promise.resolve(),
--- a/src/ingress/attempt.ts
+++ b/src/ingress/attempt.ts
@@ -6,8 +6,8 @@
  */
 import type { GateResponse } from "../hop/gateresponse.js";
 import { HopError } from "../hop/hoperror.js";
-import { abandonBody } from "../http/abandonbody.js";
-import { Cancel } from "../http/cancel.js";
+import { Cancellation } from "../http/cancellation.js";
+import { destroyBody } from "../http/destroybody.js";
 import { httpStatus } from "../http/httpstatus.js";
 import type { RequestId } from "../ids/requestid.js";
 import { maxWait } from "../policy/admission/maxwait.js";
@@ -15,7 +15,7 @@
 import type { AttemptResult } from "../policy/retry/attemptresult.js";
 import type { Reason } from "../policy/retry/reason.js";
 import { reasons } from "../policy/retry/reasons.js";
-import type { CallHead } from "../wire/callhead.js";
+import type { RequestMetadata } from "../wire/requestmetadata.js";
 import type { IngressDependencies } from "./ingressdependencies.js";
 import type { OutgoingRequest } from "./outgoingrequest.js";
 import type { Plan } from "./plan.js";
@@ -33,7 +33,7 @@
     readonly outgoing: OutgoingRequest;
     readonly log: RequestLog;
     /** Aborts when the caller has left or the deadline has passed. */
-    readonly requestCancel: Cancel;
+    readonly requestCancel: Cancellation;
     readonly isDeadlinePassed: () => boolean;
     /** Claims the response to the caller for this attempt; returns false if another attempt has claimed it. */
     readonly claim: () => boolean;
@@ -45,8 +45,8 @@
 
 /** `run` never rejects: every way in which the attempt can end is a result. */
 export class Attempt {
-    readonly #cancel = new Cancel();
-    readonly #head: CallHead;
+    readonly #cancel = new Cancellation();
+    readonly #head: RequestMetadata;
 
     constructor(
         private readonly target: UpstreamView,
@@ -132,7 +132,7 @@
     async #deliver(response: GateResponse): Promise<Result> {
         const { claim, deliver } = this.deps;
         if (!claim()) {
-            abandonBody(response.body);
+            destroyBody(response.body);
             return { outcome: "unknown", reason: "overtaken" };
         }
         await deliver(response);
--- a/src/ingress/deliver.ts
+++ b/src/ingress/deliver.ts
@@ -3,11 +3,11 @@
 import type { ServerResponse } from "node:http";
 import { Readable } from "node:stream";
 import type { GateResponse } from "../hop/gateresponse.js";
-import { abandonBody } from "../http/abandonbody.js";
-import { collect } from "../http/collect.js";
+import { bufferBody } from "../http/bufferbody.js";
+import { destroyBody } from "../http/destroybody.js";
 import type { HttpHeaders } from "../http/httpheaders.js";
 import { httpStatus } from "../http/httpstatus.js";
-import { passBody } from "../http/passbody.js";
+import { pipeBody } from "../http/pipebody.js";
 
 /** Statuses whose responses have no body (RFC 9110, 6.4.1). */
 const BODILESS_STATUSES: ReadonlySet<number> = new Set([httpStatus.noContent, httpStatus.notModified]);
@@ -34,7 +34,7 @@
 
 const streamBody = async (res: ServerResponse, body: Buffer | Readable): Promise<void> => {
     if (body instanceof Readable) {
-        passBody(body, res);
+        pipeBody(body, res);
     }
     else {
         res.end(body);
@@ -61,9 +61,9 @@
         res.flushHeaders();
         return streamBody(res, response.body);
     }
-    const { whole: isComplete, chunks, size } = await collect(response.body, isBodiless ? Infinity : bufferBytes);
+    const { whole: isComplete, chunks, size } = await bufferBody(response.body, isBodiless ? Infinity : bufferBytes);
     if (res.destroyed) {
-        abandonBody(response.body);
+        destroyBody(response.body);
         return;
     }
     if (!isComplete) {
--- a/src/ingress/ingress.ts
+++ b/src/ingress/ingress.ts
@@ -6,7 +6,7 @@
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { CallerLimits } from "../config/callerlimits.js";
-import { cleanHeaders } from "../http/cleanheaders.js";
+import { forwardableHeaders } from "../http/forwardableheaders.js";
 import type { HttpHeaders } from "../http/httpheaders.js";
 import { httpStatus } from "../http/httpstatus.js";
 import type { ServiceName } from "../ids/servicename.js";
@@ -205,7 +205,7 @@
     }
 
     #headers(req: IncomingMessage): HttpHeaders {
-        const headers = cleanHeaders(req.headers);
+        const headers = forwardableHeaders(req.headers);
         const { callerService } = this.listenerParts;
         if (callerService !== undefined) {
             headers[this.deps.dialect.callerService] = callerService;
--- a/src/ingress/readbody.ts
+++ b/src/ingress/readbody.ts
@@ -3,7 +3,7 @@
  */
 import type { IncomingMessage } from "node:http";
 import { PassThrough, type Readable } from "node:stream";
-import { collect } from "../http/collect.js";
+import { bufferBody } from "../http/bufferbody.js";
 import { BodyError } from "./bodyerror.js";
 
 /** `kept` is false for a body that is streamed; such a request can be sent only once. */
@@ -55,9 +55,9 @@
     return whole ? { content: Buffer.concat(chunks), kept: true } : streamBody(req, chunks, limits.maxBytes);
 }
 
-const collectBody = async (req: IncomingMessage, keepBytes: number): ReturnType<typeof collect> => {
+const collectBody = async (req: IncomingMessage, keepBytes: number): ReturnType<typeof bufferBody> => {
     try {
-        return await collect(req, keepBytes);
+        return await bufferBody(req, keepBytes);
     }
     catch (err) {
         throw new BodyError(false, { cause: err });
--- a/src/ingress/requesthandler.ts
+++ b/src/ingress/requesthandler.ts
@@ -7,8 +7,8 @@
  */
 import { requestKeyOf } from "../dialect/requestkeyof.js";
 import type { GateResponse } from "../hop/gateresponse.js";
-import { Cancel } from "../http/cancel.js";
-import { dropBody } from "../http/dropbody.js";
+import { Cancellation } from "../http/cancellation.js";
+import { drainBody } from "../http/drainbody.js";
 import type { RequestKey } from "../ids/requestkey.js";
 import { unplacedRetryAfterMs } from "../policy/admission/unplacedretryafterms.js";
 import type { QuarantineStatus } from "../policy/quarantine/quarantinestatus.js";
@@ -37,7 +37,7 @@
 /** Handles one request; `run` must be called only once. */
 export class RequestHandler {
     /** Aborts when the caller has left or the deadline has passed. */
-    readonly #requestCancel = new Cancel();
+    readonly #requestCancel = new Cancellation();
     readonly #log: RequestLog;
     readonly #retries: RequestRetries;
     readonly #targets: TargetSelector;
@@ -126,7 +126,7 @@
 
     #standing(): QuarantineStatus {
         const { crashGuard } = this.deps;
-        return crashGuard.isEmpty ? "free" : crashGuard.standing(this.#requestKey());
+        return crashGuard.isEmpty ? "free" : crashGuard.statusOf(this.#requestKey());
     }
 
     /** Computes the key once, and only while crashes are recorded, since a digest of the body costs time. */
@@ -196,7 +196,7 @@
     async #prepareRetry(result: UnservedResult, target: UpstreamView): Promise<void> {
         this.deps.metrics.retried(this.plan.service.name, reasonLabel(result));
         if (result.outcome === "failed") {
-            dropBody(result.response.body);
+            drainBody(result.response.body);
             return;
         }
         if (result.reason === "stale-rule") {
--- a/src/ingress/upstreamview.ts
+++ b/src/ingress/upstreamview.ts
@@ -7,7 +7,7 @@
  */
 import type { Upstream } from "../config/upstream.js";
 import type { Hop } from "../hop/hop.js";
-import type { Cancel } from "../http/cancel.js";
+import type { Cancellation } from "../http/cancellation.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
 import { LivenessCheck } from "../policy/failure/livenesscheck.js";
 import { Suspicion } from "../policy/failure/suspicion.js";
@@ -55,7 +55,7 @@
     readonly #penalty = new FailurePenalty();
     readonly #roundTrip = new RoundTrip();
     /** Attempts to cancel when the gate becomes unresponsive. */
-    readonly #cancellable = new Set<Cancel>();
+    readonly #cancellable = new Set<Cancellation>();
 
     constructor(public settings: Upstream, private readonly deps: ViewDependencies) {
         this.#rateShare.setLimit(this.limitPerSecond, -Infinity);
@@ -131,7 +131,7 @@
     }
 
     /** Counts an attempt; `cancel`, if given, is called when the gate becomes unresponsive. */
-    attemptStarted(now: number, cancel: Cancel | undefined): void {
+    attemptStarted(now: number, cancel: Cancellation | undefined): void {
         this.outstanding += 1;
         this.suspicion.recordProbe(now);
         this.livenessCheck.recordSent(now);
@@ -142,7 +142,7 @@
         }
     }
 
-    attemptEnded(cancel: Cancel | undefined): void {
+    attemptEnded(cancel: Cancellation | undefined): void {
         this.outstanding -= 1;
         if (this.outstanding === 0) {
             this.livenessCheck.recordIdle();
--- a/src/link/gatherbody.ts
+++ b/src/link/gatherbody.ts
@@ -1,6 +1,6 @@
 /** Reads a body into memory, if it is short. */
 import { PassThrough, type Readable } from "node:stream";
-import { collect } from "../http/collect.js";
+import { bufferBody } from "../http/bufferbody.js";
 
 /** Most answers are far below it; longer ones go on as they come. */
 const MAX_BYTES = 256 * 1024;
@@ -28,7 +28,7 @@
 /** Resolves with the whole body, with a stream of all of it when it is long, or with `broken` when it broke off. */
 export async function gatherBody(body: Readable): Promise<Buffer | Readable | "broken"> {
     try {
-        const { whole, chunks } = await collect(body, MAX_BYTES);
+        const { whole, chunks } = await bufferBody(body, MAX_BYTES);
         if (!whole) {
             return passOn(body, chunks);
         }
--- a/src/link/link.test.ts
+++ b/src/link/link.test.ts
@@ -3,8 +3,8 @@
 import { test } from "node:test";
 import { LinkEnds } from "../../test/linkends.js";
 import type { GateCall } from "../hop/gatecall.js";
-import { Cancel } from "../http/cancel.js";
-import { collect } from "../http/collect.js";
+import { bufferBody } from "../http/bufferbody.js";
+import { Cancellation } from "../http/cancellation.js";
 import type { Address } from "../ids/address.js";
 import { FrameReader } from "./framereader.js";
 import { frameType } from "./frametype.js";
@@ -16,7 +16,7 @@
 type Serve = Parameters<typeof LinkEnds.between>[0];
 
 const textOf = async (body: Buffer | Readable | undefined): Promise<string> =>
-    Buffer.concat((await collect(body ?? Buffer.alloc(0), Infinity)).chunks).toString();
+    Buffer.concat((await bufferBody(body ?? Buffer.alloc(0), Infinity)).chunks).toString();
 
 const echo: Serve = async ({ method, path, headers, body }) => ({
     note,
@@ -137,7 +137,7 @@
     let leftAt: number | undefined;
     const serve: Serve = (_call, cancel) => new Promise(() => cancel.onAbort(() => leftAt = performance.now()));
     await LinkEnds.between(serve, async ({ pool }) => {
-        const cancel = new Cancel();
+        const cancel = new Cancellation();
         const sent = send(pool, LinkEnds.call({ cancel }));
         setTimeout(() => cancel.abort(), 20);
         await assert.rejects(sent);
--- a/src/link/linksession.ts
+++ b/src/link/linksession.ts
@@ -3,10 +3,10 @@
 import { timingSafeEqual } from "node:crypto";
 import type { Socket } from "node:net";
 import { Readable } from "node:stream";
-import { Cancel } from "../http/cancel.js";
+import { Cancellation } from "../http/cancellation.js";
 import { log } from "../log/log.js";
-import { noteCodec } from "../wire/notecodec.js";
 import type { ResponseMetadata } from "../wire/responsemetadata.js";
+import { responseMetadataCodec } from "../wire/responsemetadatacodec.js";
 import { emptyBuffer } from "./emptybuffer.js";
 import type { Frame } from "./frame.js";
 import { FramedBody } from "./framedbody.js";
@@ -28,7 +28,7 @@
 /** What a session needs of its listener; `serve` never rejects. */
 type SessionDependencies = {
     readonly key: Buffer;
-    readonly serve: (call: ServedCall, cancel: Cancel) => Promise<ServedAnswer>;
+    readonly serve: (call: ServedCall, cancel: Cancellation) => Promise<ServedAnswer>;
     /** The refusal of a call that can't be read. */
     readonly refuseBad: (err: unknown) => ServedAnswer;
     /** Who serves here, and its clock: the answer to a probe. */
@@ -42,7 +42,7 @@
     readonly #reader = new FrameReader();
     #greeted = false;
     #isFirst = true;
-    #serving: Cancel | undefined;
+    #serving: Cancellation | undefined;
     #body: FramedBody | undefined;
 
     constructor(private readonly socket: Socket, private readonly deps: SessionDependencies) {
@@ -98,7 +98,7 @@
             return;
         }
         if (frame.type === frameType.probe) {
-            this.socket.write(writeFrame(frameType.alive, pack(noteCodec.write(this.deps.identity()))));
+            this.socket.write(writeFrame(frameType.alive, pack(responseMetadataCodec.write(this.deps.identity()))));
             return;
         }
         if (frame.type === frameType.call) {
@@ -149,7 +149,7 @@
     }
 
     #serve(call: WireCall): void {
-        const cancel = this.#serving = new Cancel();
+        const cancel = this.#serving = new Cancellation();
         const body = call.body === "follows" ? this.#openBody() : call.body;
         void this.deps.serve({ ...call, body }, cancel).then(answer =>
             this.#answer(answer, call.head.answer === "whole")
--- a/src/link/silentlink.test.ts
+++ b/src/link/silentlink.test.ts
@@ -5,7 +5,7 @@
 import { test } from "node:test";
 import { setTimeout as wait } from "node:timers/promises";
 import { LinkEnds } from "../../test/linkends.js";
-import { collect } from "../http/collect.js";
+import { bufferBody } from "../http/bufferbody.js";
 import type { Address } from "../ids/address.js";
 import { FrameReader } from "./framereader.js";
 import { frameType } from "./frametype.js";
@@ -89,11 +89,11 @@
         const { body } = await (await pool.take()).send(call({ head: { ...call().head, answer: "streamed" } }));
         await wait(1500);
         assert.deepEqual(found, []);
-        assert.equal((await collect(body as Readable, Infinity)).size, 4_000_000);
+        assert.equal((await bufferBody(body as Readable, Infinity)).size, 4_000_000);
     });
     const unread: Serve = async ({ body }) => {
         await wait(1500);
-        return { ...answer, body: Buffer.from(String((await collect(body as Readable, Infinity)).size)) };
+        return { ...answer, body: Buffer.from(String((await bufferBody(body as Readable, Infinity)).size)) };
     };
     await between(unread, async ({ pool, found }) => {
         assert.equal(await send(pool, Readable.from([Buffer.from("x")])), 200);
@@ -108,7 +108,7 @@
         rests.write("one");
         const { body } = await (await pool.take()).send(call({ head: { ...call().head, answer: "streamed" } }));
         setTimeout(() => rests.end("two"), 1500);
-        assert.equal(String(Buffer.concat((await collect(body as Readable, Infinity)).chunks)), "onetwo");
+        assert.equal(String(Buffer.concat((await bufferBody(body as Readable, Infinity)).chunks)), "onetwo");
         assert.deepEqual(found, []);
     });
 });
--- a/src/link/unpackcall.ts
+++ b/src/link/unpackcall.ts
@@ -1,5 +1,5 @@
 /** Reads a request from the payload of a frame. */
-import { readHead } from "../wire/readhead.js";
+import { readRequestMetadata } from "../wire/readrequestmetadata.js";
 import { LinkError } from "./linkerror.js";
 import { readHeaders } from "./readheaders.js";
 import { readWireBody } from "./readwirebody.js";
@@ -9,7 +9,7 @@
 /** Throws a LinkError for what is no request. */
 export function unpackCall(payload: Buffer): WireCall {
     const [headList, method, path, headerList, follows, body] = unpackList(payload);
-    const head = readHead(headList);
+    const head = readRequestMetadata(headList);
     const headers = readHeaders(headerList);
     if (head === undefined || headers === undefined || typeof method !== "string" || typeof path !== "string") {
         throw new LinkError("bad-call");
--- a/src/loadreports/loadreporter.ts
+++ b/src/loadreports/loadreporter.ts
@@ -55,7 +55,7 @@
     }
 
     /** Returns all remembered senders, the most recent one last. */
-    senders(): Address[] {
+    recentSenders(): Address[] {
         return [...this.#senders.keys()];
     }
 
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -103,14 +103,14 @@
         const { memberList, configurationRevision, pullConfiguration, evacuations } = this.deps;
         const { from, incarnation, version, evacuated } = hello;
         memberList.recordAlive(from, now);
-        evacuations.recordWord(evacuated);
+        evacuations.recordPropagated(evacuated);
         if (!memberList.hasVersion(from, incarnation, version)) {
             void this.#fetchMissing(from);
         }
         if (hello.revision > configurationRevision()) {
             void pullConfiguration(hello.revision, from);
         }
-        else if (hello.revision < configurationRevision() || !hello.knowsYou || evacuations.isAhead(evacuated)) {
+        else if (hello.revision < configurationRevision() || !hello.knowsYou || evacuations.isPeerBehind(evacuated)) {
             this.#reply(from, now);
         }
     }
@@ -176,7 +176,7 @@
         const { self: from, ownRecord, configurationRevision, send, memberList, clock, evacuations } = this.deps;
         const { incarnation, version } = ownRecord();
         const knowsYou = memberList.find(to) !== undefined && !memberList.isDoubtful(to, clock());
-        const evacuated = evacuations.word;
+        const evacuated = evacuations.stateForPeers;
         send(to, {
             type: "hello",
             from,
--- a/src/membership/learnedshares.test.ts
+++ b/src/membership/learnedshares.test.ts
@@ -19,41 +19,41 @@
 
 test("learned shares: a service has the median share of others' records and this daemon's earlier record", () => {
     const shares = createShares({});
-    assert.equal(shares.usual(PAGES, [upstream("a"), upstream("b", 0.5, "other")]), undefined);
-    assert.equal(shares.usual(PAGES, [upstream("a", 0.6), upstream("b", 0.78), upstream("c", 0.8)]), 0.78);
+    assert.equal(shares.medianShareOf(PAGES, [upstream("a"), upstream("b", 0.5, "other")]), undefined);
+    assert.equal(shares.medianShareOf(PAGES, [upstream("a", 0.6), upstream("b", 0.78), upstream("c", 0.8)]), 0.78);
     shares.recordOwn(ownRecord("this", [upstream("me", 0.5)]));
-    assert.equal(shares.usual(PAGES, []), undefined);
+    assert.equal(shares.medianShareOf(PAGES, []), undefined);
     shares.recordOwn(ownRecord("earlier", [upstream("me", 0.72)]));
-    assert.equal(shares.usual(PAGES, []), 0.72);
+    assert.equal(shares.medianShareOf(PAGES, []), 0.72);
 });
 
 test("learned shares: are published in records, at most once per interval and only after a clear change", () => {
     const learned: Record<string, number> = {};
     const shares = createShares(learned);
     const local = [upstream("me")];
-    shares.tell(local, []);
-    assert.deepEqual(shares.mark(local), local);
-    assert.equal(shares.hasNews(local, [], 0), false);
+    shares.setPublished(local, []);
+    assert.deepEqual(shares.withShares(local), local);
+    assert.equal(shares.isDue(local, [], 0), false);
     learned["me"] = 14 / 18;
-    assert.equal(shares.hasNews(local, [], 0), true);
-    shares.tell(local, []);
-    assert.equal(shares.mark(local)[0]!.limitShare, 0.78);
+    assert.equal(shares.isDue(local, [], 0), true);
+    shares.setPublished(local, []);
+    assert.equal(shares.withShares(local)[0]!.limitShare, 0.78);
     learned["me"] = 15 / 18;
-    assert.equal(shares.hasNews(local, [], 60_000), false);
+    assert.equal(shares.isDue(local, [], 60_000), false);
     learned["me"] = 10 / 18;
-    assert.equal(shares.hasNews(local, [], 4000), false);
-    assert.equal(shares.hasNews(local, [], 60_000), true);
+    assert.equal(shares.isDue(local, [], 4000), false);
+    assert.equal(shares.isDue(local, [], 60_000), true);
 });
 
 test("learned shares: a share that others publish is not published as new, and is adopted where none is learned", () => {
     const learned: Record<string, number> = { me: 14 / 18 };
     const shares = createShares(learned);
     const others = [upstream("a", 0.78)];
-    assert.equal(shares.hasNews([upstream("me")], others, 0), false);
-    assert.equal(shares.hasNews([upstream("me")], [upstream("a", 0.5)], 0), true);
+    assert.equal(shares.isDue([upstream("me")], others, 0), false);
+    assert.equal(shares.isDue([upstream("me")], [upstream("a", 0.5)], 0), true);
     const emptyShares = createShares({});
-    emptyShares.tell([upstream("me")], others);
-    assert.equal(emptyShares.mark([upstream("me")])[0]!.limitShare, 0.78);
+    emptyShares.setPublished([upstream("me")], others);
+    assert.equal(emptyShares.withShares([upstream("me")])[0]!.limitShare, 0.78);
 });
 
 test("learned shares: reading the record does not count as publishing", () => {
@@ -61,6 +61,6 @@
     const shares = createShares(learned);
     const local = [upstream("me")];
     learned["me"] = 14 / 18;
-    shares.mark(local);
-    assert.equal(shares.hasNews(local, [], 0), true);
+    shares.withShares(local);
+    assert.equal(shares.isDue(local, [], 0), true);
 });
--- a/src/membership/learnedshares.ts
+++ b/src/membership/learnedshares.ts
@@ -50,10 +50,10 @@
      * Sets the shares in the next version of the record: for each local upstream the share that its gate has learned,
      * or else the median of its service. `others` are the upstreams in the records of other daemons.
      */
-    tell(upstreams: readonly HostedUpstream[], others: readonly HostedUpstream[]): void {
+    setPublished(upstreams: readonly HostedUpstream[], others: readonly HostedUpstream[]): void {
         const published = new Map<UpstreamName, number>();
         for (const { name, service } of upstreams) {
-            const share = this.deps.learnedShare(name) ?? this.usual(service, others);
+            const share = this.deps.learnedShare(name) ?? this.medianShareOf(service, others);
             if (share !== undefined) {
                 published.set(name, Math.round(share * ROUNDING_FACTOR) / ROUNDING_FACTOR);
             }
@@ -62,7 +62,7 @@
     }
 
     /** Returns the upstreams with the shares that the record has for them. */
-    mark(upstreams: readonly HostedUpstream[]): HostedUpstream[] {
+    withShares(upstreams: readonly HostedUpstream[]): HostedUpstream[] {
         return upstreams.map(upstream => {
             const limitShare = this.#published.get(upstream.name);
             return limitShare === undefined ? upstream : { ...upstream, limitShare };
@@ -73,7 +73,7 @@
      * Returns the median share of a service's upstreams in the records of other daemons and in this daemon's earlier
      * record, or undefined if none has a share.
      */
-    usual(service: ServiceName, others: readonly HostedUpstream[]): number | undefined {
+    medianShareOf(service: ServiceName, others: readonly HostedUpstream[]): number | undefined {
         const known = [...others, ...this.#earlierUpstreams].filter(upstream => upstream.service === service);
         return medianShare(known.map(upstream => upstream.limitShare).filter(share => share !== undefined));
     }
@@ -83,10 +83,10 @@
      * published one, or from the median of its service if none is published, and the last such result is
      * `MIN_PUBLISH_INTERVAL_MS` old. So one gate of a service publishes for all.
      */
-    hasNews(upstreams: readonly HostedUpstream[], others: readonly HostedUpstream[], now: number): boolean {
+    isDue(upstreams: readonly HostedUpstream[], others: readonly HostedUpstream[], now: number): boolean {
         const hasChanged = ({ name, service }: HostedUpstream): boolean => {
             const share = this.deps.learnedShare(name);
-            const known = this.#published.get(name) ?? this.usual(service, others) ?? 0;
+            const known = this.#published.get(name) ?? this.medianShareOf(service, others) ?? 0;
             return share !== undefined && Math.abs(share - known) > MIN_SHARE_CHANGE;
         };
         if (now - this.#lastPublishAt < MIN_PUBLISH_INTERVAL_MS || !upstreams.some(hasChanged)) {
--- a/src/membership/ownupstreams.ts
+++ b/src/membership/localupstreams.ts
@@ -25,7 +25,7 @@
 /** Interval at which unresponsive upstreams are removed; a fraction of the timeout of announcements. */
 const SWEEP_INTERVAL_MS = 1000;
 
-type OwnDependencies = {
+type LocalUpstreamsDependencies = {
     readonly settings: MembershipSettings;
     readonly dialect: Dialect;
     /** Returns the path of the health endpoint for upstreams of a service. */
@@ -38,14 +38,14 @@
 };
 
 /** Started once with `listen` and stopped once with `stop`. */
-export class OwnUpstreams {
+export class LocalUpstreams {
     readonly #table = new LocalUpstreamTable();
     readonly #recorder: AnnouncementRecorder;
     readonly #announcementServer: AnnouncementServer;
     readonly #sweepTicker = new Ticker(SWEEP_INTERVAL_MS, () => this.#sweep());
     #isLeaving = false;
 
-    constructor(private readonly deps: OwnDependencies) {
+    constructor(private readonly deps: LocalUpstreamsDependencies) {
         this.#recorder = new AnnouncementRecorder(
             this.#table,
             ({ address, service }) => probeOccupant(address, deps.healthPath(service), deps.dialect),
@@ -70,7 +70,7 @@
     }
 
     /** Searches for the configured upstream; resolves when one is registered or the search has timed out. */
-    async find(): Promise<void> {
+    async discover(): Promise<void> {
         const { settings, dialect, healthPath, clock } = this.deps;
         const { upstream: address, callerService: service } = settings;
         if (address === undefined || service === undefined) {
@@ -85,7 +85,7 @@
     }
 
     /** Records that an upstream's responses report that it is leaving permanently. */
-    recordEnding(name: UpstreamName): void {
+    recordLeaving(name: UpstreamName): void {
         if (this.#table.recordLeaving(name)) {
             logger.change("An upstream reports in its responses that it is leaving. It is published as draining.", {
                 upstream: name,
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -2,7 +2,7 @@
  * Maintains the list of all daemons and their upstreams where upstreams announce themselves.
  *
  * Owns this daemon's own record (the upstreams beside it) and the list of the other members. It sends the record to the
- * registry and to the relays (relaysof.ts), which propagate it to the rest. The records of others come from the
+ * registry and to the relays (selectrelays.ts), which propagate it to the rest. The records of others come from the
  * registry while this daemon is a watcher, and from a watcher of its hall otherwise.
  */
 import type { Upstream } from "../config/upstream.js";
@@ -23,18 +23,18 @@
 import type { Clock } from "../time/clock.js";
 import type { Member } from "../wire/member.js";
 import type { RecordChanges } from "../wire/recordchanges.js";
-import type { RecordsMark } from "../wire/recordsmark.js";
+import type { RecordsPosition } from "../wire/recordsposition.js";
 import { Gossip } from "./gossip.js";
 import { LearnedShares } from "./learnedshares.js";
+import { LocalUpstreams } from "./localupstreams.js";
 import { MemberList } from "./memberlist.js";
 import type { MembershipSettings } from "./membershipsettings.js";
 import { MembershipWatch } from "./membershipwatch.js";
-import { OwnUpstreams } from "./ownupstreams.js";
 import { RecordFollower } from "./recordfollower.js";
 import { RecordPublisher } from "./recordpublisher.js";
 import type { Registry } from "./registry.js";
 import { RegistryWatcher } from "./registrywatcher.js";
-import { relaysOf } from "./relaysof.js";
+import { selectRelays } from "./selectrelays.js";
 import { upstreamsOf } from "./upstreamsof.js";
 
 type MembershipDependencies = {
@@ -44,7 +44,7 @@
     readonly registry: Registry;
     readonly dialect: Dialect;
     readonly healthPath: (service: ServiceName) => string;
-    readonly watcher: DocumentWatcher;
+    readonly documentWatcher: DocumentWatcher;
     readonly configuration: CurrentConfiguration;
     readonly evacuations: Evacuations;
     readonly puller: ConfigurationPuller;
@@ -61,7 +61,7 @@
 /** Can be started and stopped once; `startLeaving` has to be called before `stop`. */
 export class Membership {
     readonly gossip: Gossip;
-    readonly #ownUpstreams: OwnUpstreams;
+    readonly #ownUpstreams: LocalUpstreams;
     readonly #memberList: MemberList;
     readonly #publisher: RecordPublisher;
     readonly #registryWatcher: RegistryWatcher;
@@ -73,7 +73,7 @@
 
     constructor(private readonly deps: MembershipDependencies) {
         this.#learnedShares = new LearnedShares(deps);
-        this.#ownUpstreams = new OwnUpstreams({
+        this.#ownUpstreams = new LocalUpstreams({
             ...deps,
             onChange: () => this.#onOwnUpstreamsChanged(),
             onSweep: () => this.#publishChangedShares(),
@@ -95,7 +95,7 @@
     get member(): Member {
         const { self: gate, incarnation, settings } = this.deps;
         const { host, hall, region } = settings;
-        const upstreams = this.#isLeaving ? [] : this.#learnedShares.mark(this.#ownUpstreams.all);
+        const upstreams = this.#isLeaving ? [] : this.#learnedShares.withShares(this.#ownUpstreams.all);
         return { gate, host, hall, region, incarnation, version: this.#version, upstreams };
     }
 
@@ -110,20 +110,20 @@
     }
 
     /** Returns the changes after the mark `after`, or the whole list; both include this daemon's own record. */
-    changesSince(after: RecordsMark | undefined): RecordChanges {
+    changesSince(after: RecordsPosition | undefined): RecordChanges {
         const { incarnation: life } = this.deps;
         const { complete, members, gone } = this.#memberList.changesSince(after?.life === life ? after.at : undefined);
         return { mark: { life, at: this.#memberList.changeCount }, complete, members: [this.member, ...members], gone };
     }
 
     /** Returns the median knee of the service's upstreams as a share of their slots, or undefined if not known. */
-    usualShare(service: ServiceName): number | undefined {
-        return this.#learnedShares.usual(service, this.#memberList.hostedUpstreams);
+    medianLimitShare(service: ServiceName): number | undefined {
+        return this.#learnedShares.medianShareOf(service, this.#memberList.hostedUpstreams);
     }
 
     /** Records that an upstream beside this daemon states in its responses that it is leaving for good. */
-    recordEnding(name: UpstreamName): void {
-        this.#ownUpstreams.recordEnding(name);
+    recordLeaving(name: UpstreamName): void {
+        this.#ownUpstreams.recordLeaving(name);
     }
 
     /** Sets the listener that is called after each change of the known upstreams. */
@@ -132,7 +132,7 @@
     }
 
     /** Starts the watches of the store again, since the present ones may be waiting on a dead connection. */
-    renewWatches(): void {
+    restartWatches(): void {
         this.#storeWatch.restart();
     }
 
@@ -145,7 +145,7 @@
 
     /** Publishes this daemon's record; if it knows no other member, reads again: others may just have started. */
     async #publishFirstRecord(): Promise<void> {
-        await Promise.all([this.#ownUpstreams.find(), this.#registryWatcher.readStale()]);
+        await Promise.all([this.#ownUpstreams.discover(), this.#registryWatcher.readStale()]);
         this.#incrementVersion();
         this.#publisher.start();
         if (this.#memberList.size === 0) {
@@ -165,7 +165,7 @@
     stop(): void {
         this.gossip.announceStop();
         this.gossip.stop();
-        this.#storeWatch.set("nothing");
+        this.#storeWatch.setScope("nothing");
         this.#ownUpstreams.stop();
     }
 
@@ -194,7 +194,7 @@
     }
 
     #createStoreWatch(): MembershipWatch {
-        const { incarnation, watcher, clock, peer } = this.deps;
+        const { incarnation, documentWatcher: watcher, clock, peer } = this.deps;
         const memberList = this.#memberList;
         return new MembershipWatch({
             incarnation,
@@ -211,7 +211,7 @@
             self,
             memberList: this.#memberList,
             ownRecord: () => this.member,
-            relays: () => relaysOf(this.members, settings.hall, self),
+            relays: () => selectRelays(this.members, settings.hall, self),
             configurationRevision: () => configuration.revision,
             pullConfiguration: (revision, from) => puller.pull(revision, from),
             evacuations,
@@ -224,7 +224,7 @@
     }
 
     #publishChangedShares(): void {
-        if (this.#learnedShares.hasNews(this.#ownUpstreams.all, this.#memberList.hostedUpstreams, this.deps.clock())) {
+        if (this.#learnedShares.isDue(this.#ownUpstreams.all, this.#memberList.hostedUpstreams, this.deps.clock())) {
             this.#publishRecord();
         }
     }
@@ -245,6 +245,6 @@
     #incrementVersion(): void {
         this.#version += 1;
         this.#memberList.countOwnChange();
-        this.#learnedShares.tell(this.#ownUpstreams.all, this.#memberList.hostedUpstreams);
+        this.#learnedShares.setPublished(this.#ownUpstreams.all, this.#memberList.hostedUpstreams);
     }
 }
--- a/src/membership/membershipwatch.ts
+++ b/src/membership/membershipwatch.ts
@@ -10,7 +10,7 @@
 import type { WatchScope } from "../distribution/watchscope.js";
 import type { Address } from "../ids/address.js";
 import type { Incarnation } from "../ids/incarnation.js";
-import type { RecordsMark } from "../wire/recordsmark.js";
+import type { RecordsPosition } from "../wire/recordsposition.js";
 import type { MemberList } from "./memberlist.js";
 import type { RecordFollower } from "./recordfollower.js";
 import type { RegistryWatcher } from "./registrywatcher.js";
@@ -40,22 +40,22 @@
         return this.#scope;
     }
 
-    set(scope: WatchScope): void {
+    setScope(scope: WatchScope): void {
         this.#scope = scope;
-        this.deps.documentWatcher.set(scope !== "nothing");
+        this.deps.documentWatcher.setWatching(scope !== "nothing");
         this.deps.registryWatcher.setWatching(scope === "all");
     }
 
-    isReached(now: number): boolean {
+    isStoreReachable(now: number): boolean {
         return now - this.#lastResponseAt < STORE_UNREACHABLE_AFTER_MS;
     }
 
-    get records(): RecordsMark | undefined {
+    get records(): RecordsPosition | undefined {
         const { registryWatcher, memberList, incarnation } = this.deps;
         return registryWatcher.isSynchronized ? { life: incarnation, at: memberList.changeCount } : undefined;
     }
 
-    follow(watcher: Address, target: RecordsMark): void {
+    follow(watcher: Address, target: RecordsPosition): void {
         void this.deps.follower.follow(watcher, target);
     }
 
--- a/src/membership/recordfollower.ts
+++ b/src/membership/recordfollower.ts
@@ -9,7 +9,7 @@
 import { log } from "../log/log.js";
 import type { Clock } from "../time/clock.js";
 import type { RecordChanges } from "../wire/recordchanges.js";
-import type { RecordsMark } from "../wire/recordsmark.js";
+import type { RecordsPosition } from "../wire/recordsposition.js";
 import type { MemberList } from "./memberlist.js";
 
 const logger = log("roster");
@@ -17,21 +17,21 @@
 type FollowerDependencies = {
     readonly memberList: MemberList;
     /** Requests the changes of a watcher's list after a mark, or the whole list if there is no mark. */
-    readonly fetch: (watcher: Address, after: RecordsMark | undefined) => Promise<RecordChanges>;
+    readonly fetch: (watcher: Address, after: RecordsPosition | undefined) => Promise<RecordChanges>;
     readonly clock: Clock;
 };
 
 /** Sends one request at a time; a mark that arrives in the meantime is caught up with afterwards. */
 export class RecordFollower {
     #watcher: Address | undefined;
-    #appliedMark: RecordsMark | undefined;
-    #targetMark: RecordsMark | undefined;
+    #appliedMark: RecordsPosition | undefined;
+    #targetMark: RecordsPosition | undefined;
     #isFetching = false;
 
     constructor(private readonly deps: FollowerDependencies) {}
 
     /** Catches up with a watcher whose list is at the mark `target`. */
-    async follow(watcher: Address, target: RecordsMark): Promise<void> {
+    async follow(watcher: Address, target: RecordsPosition): Promise<void> {
         if (watcher !== this.#watcher) {
             this.#watcher = watcher;
             this.#appliedMark = undefined;
--- a/src/membership/recordpublisher.ts
+++ b/src/membership/recordpublisher.ts
@@ -31,7 +31,7 @@
     constructor(private readonly deps: PublisherDependencies) {
         this.#loop = new StoreLoop({
             step: () => this.#step(),
-            failed: err => this.#onStepFailed(err),
+            onFailure: err => this.#onStepFailed(err),
             pauseMs: () => deps.isWatching() ? WATCHER_RENEWAL_INTERVAL_MS : RENEWAL_INTERVAL_MS,
         });
     }
--- a/src/membership/registry.ts
+++ b/src/membership/registry.ts
@@ -13,13 +13,13 @@
     /** Deletes the daemon's record. */
     abstract withdraw(): Promise<void>;
     /** Stores the crash record of a quarantined request for `keepMs` milliseconds, in place of an earlier one. */
-    abstract keepCrashes(record: CrashRecord, keepMs: number): Promise<void>;
+    abstract storeCrashRecord(record: CrashRecord, leaseMs: number): Promise<void>;
     /**
      * Returns all records. A stale list costs the store less, but may be seconds old; its position (`at`) must not be
      * used for a watch.
      */
     abstract list(age: "newest" | "stale"): Promise<RegistryList>;
-    /** Waits for changes after the position `after`; rejects with a HistoryError if the store no longer has them. */
+    /** Waits for changes after the position `after`; rejects with a HistoryUnavailableError if the store no longer has them. */
     abstract watch(
         after: number,
         signal: AbortSignal,
--- a/src/membership/registrywatcher.ts
+++ b/src/membership/registrywatcher.ts
@@ -2,7 +2,7 @@
 import type { Address } from "../ids/address.js";
 import { log } from "../log/log.js";
 import type { CrashRecord } from "../policy/quarantine/crashrecord.js";
-import { HistoryError } from "../store/historyerror.js";
+import { HistoryUnavailableError } from "../store/historyunavailableerror.js";
 import { StoreLoop } from "../store/storeloop.js";
 import type { Clock } from "../time/clock.js";
 import { sleep } from "../time/sleep.js";
@@ -49,7 +49,7 @@
     constructor(private readonly deps: WatcherDependencies) {
         this.#loop = new StoreLoop({
             step: signal => this.#step(signal),
-            failed: err =>
+            onFailure: err =>
                 logger.warn(
                     "The records in the store could not be read or watched; the next attempt follows after a backoff.",
                     err,
@@ -60,7 +60,7 @@
 
     /** True while this daemon watches the store and has read the newest list. */
     get isSynchronized(): boolean {
-        return this.#loop.running && this.#watchedUpTo !== undefined;
+        return this.#loop.isRunning && this.#watchedUpTo !== undefined;
     }
 
     /** Starts or stops the watch. */
@@ -75,7 +75,7 @@
 
     /** Starts the present watch again, since it may be waiting on a dead connection. */
     restart(): void {
-        this.#loop.renew();
+        this.#loop.abortStep();
     }
 
     /**
@@ -122,7 +122,7 @@
             return true;
         }
         catch (err) {
-            if (err instanceof HistoryError) {
+            if (err instanceof HistoryUnavailableError) {
                 return false;
             }
             throw err;
--- a/src/membership/relaysof.ts
+++ b/src/membership/selectrelays.ts
@@ -1,7 +1,7 @@
 /** Selects the daemons that propagate a change to their halls. */
+import type { DaemonLocation } from "../distribution/daemonlocation.js";
 import { hallMembers } from "../distribution/hallmembers.js";
-import { otherHalls } from "../distribution/otherhalls.js";
-import type { Place } from "../distribution/place.js";
+import { otherHallCandidates } from "../distribution/otherhallcandidates.js";
 import { rank } from "../distribution/rank.js";
 import type { Address } from "../ids/address.js";
 import type { HallName } from "../ids/hallname.js";
@@ -15,7 +15,7 @@
  * Returns the highest-ranked daemons of each hall except `self`, those of the own hall first. They watch the store
  * while they can reach it, and notify their halls.
  */
-export function relaysOf(places: readonly Place[], hall: HallName, self: Address): Address[] {
+export function selectRelays(places: readonly DaemonLocation[], hall: HallName, self: Address): Address[] {
     const own = rank(hallMembers(places, hall).filter(gate => gate !== self), hall).slice(0, OWN_HALL_RELAYS);
-    return [...own, ...otherHalls(places, hall, RELAYS_PER_OTHER_HALL).flat()];
+    return [...own, ...otherHallCandidates(places, hall, RELAYS_PER_OTHER_HALL).flat()];
 }
--- a/src/metrics/metrics.ts
+++ b/src/metrics/metrics.ts
@@ -151,7 +151,7 @@
     }
 
     /** Records a connection that was found to carry nothing any more. */
-    silentConnection(kind: ConnectionKind): void {
+    countUnresponsiveConnection(kind: ConnectionKind): void {
         this.#silent.inc({ kind });
     }
 
--- a/src/operator/fromresult.ts
+++ b/src/operator/fromresult.ts
@@ -18,7 +18,7 @@
 
 /** Leaves out what the outcome has not. */
 export function fromResult(result: ChangeResult): ApplyChangesResponse {
-    const other = result.type === "conflict" ? result.other : undefined;
+    const other = result.type === "conflict" ? result.latestChange : undefined;
     return create(ApplyChangesResponseSchema, {
         outcome: outcomes[result.type],
         revision: "revision" in result ? BigInt(result.revision) : 0n,
--- a/src/operator/operatorapi.ts
+++ b/src/operator/operatorapi.ts
@@ -36,7 +36,7 @@
     }
 
     get fresh(): boolean {
-        return this.deps.configuration.fresh(this.deps.clock());
+        return this.deps.configuration.isFresh(this.deps.clock());
     }
 
     get evacuatedHalls(): readonly HallName[] {
@@ -49,7 +49,7 @@
 
     /** The revision that a change made, undefined when it made none; throws a StoreError. */
     find(id: ChangeId): Promise<number | undefined> {
-        return this.deps.publisher.find(id);
+        return this.deps.publisher.findRevision(id);
     }
 
     status(): ReturnType<typeof collectStatus> {
--- a/src/peer/peerclient.ts
+++ b/src/peer/peerclient.ts
@@ -10,7 +10,7 @@
 import { CrashChanges } from "../wire/crashchanges.js";
 import { Member } from "../wire/member.js";
 import { RecordChanges } from "../wire/recordchanges.js";
-import type { RecordsMark } from "../wire/recordsmark.js";
+import type { RecordsPosition } from "../wire/recordsposition.js";
 import { callLink } from "./calllink.js";
 import type { GateStatus } from "./gatestatus.js";
 import type { PeerOptions } from "./peeroptions.js";
@@ -73,7 +73,7 @@
     }
 
     /** What the peer's list of daemons has beyond a mark, or all of it. */
-    async records(address: Address, have: RecordsMark | undefined): Promise<RecordChanges> {
+    async records(address: Address, have: RecordsPosition | undefined): Promise<RecordChanges> {
         return parse(RecordChanges, await this.#client(address).records.query({ have }, this.#bound()));
     }
 
--- a/src/peer/peerrouter.ts
+++ b/src/peer/peerrouter.ts
@@ -2,7 +2,7 @@
 import { initTRPC } from "@trpc/server";
 import { z } from "zod";
 import { CrashChanges } from "../wire/crashchanges.js";
-import { RecordsMark } from "../wire/recordsmark.js";
+import { RecordsPosition } from "../wire/recordsposition.js";
 import type { PeerService } from "./peerservice.js";
 import { RevokeInput } from "./revokeinput.js";
 
@@ -17,7 +17,7 @@
         .query(({ ctx, input }) => ctx.service.update(input.have)),
     member: t.procedure.query(({ ctx }) => ctx.service.member()),
     records: t.procedure
-        .input(z.object({ have: RecordsMark.optional() }))
+        .input(z.object({ have: RecordsPosition.optional() }))
         .query(({ ctx, input }) => ctx.service.records(input.have)),
     crashes: t.procedure.input(CrashChanges).mutation(({ ctx, input }) => ctx.service.crashes(input)),
     status: t.procedure.query(({ ctx }) => ctx.service.status()),
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -8,7 +8,7 @@
 import type { GateIdentity } from "../gate/gateidentity.js";
 import type { GateResponse } from "../hop/gateresponse.js";
 import { HopError } from "../hop/hoperror.js";
-import type { Cancel } from "../http/cancel.js";
+import type { Cancellation } from "../http/cancellation.js";
 import { httpStatus } from "../http/httpstatus.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
 import { LinkSession } from "../link/linksession.js";
@@ -20,7 +20,7 @@
 import type { RequestTarget } from "../policy/routing/requesttarget.js";
 import type { Clock } from "../time/clock.js";
 import { listen } from "../time/listen.js";
-import type { CallHead } from "../wire/callhead.js";
+import type { RequestMetadata } from "../wire/requestmetadata.js";
 import type { ResponseMetadata } from "../wire/responsemetadata.js";
 import { answerCall } from "./answercall.js";
 import type { PeerService } from "./peerservice.js";
@@ -45,7 +45,7 @@
     /** What the rules here say of a request. */
     readonly find: (target: RequestTarget) => MatchedRule | undefined;
     /** True when the sender's older rules let a request repeat that the newer ones do not. */
-    readonly isStale: (head: CallHead, rule: MatchedRule | undefined) => boolean;
+    readonly isStale: (head: RequestMetadata, rule: MatchedRule | undefined) => boolean;
     /** Told who sends requests here, so that load is reported there. */
     readonly onSender: (address: string | undefined) => void;
 };
@@ -131,7 +131,7 @@
         return given.length === this.#key.length && timingSafeEqual(given, this.#key);
     }
 
-    async #serve(call: ServedCall, cancel: Cancel): Promise<ServedAnswer> {
+    async #serve(call: ServedCall, cancel: Cancellation): Promise<ServedAnswer> {
         const { head } = call;
         try {
             this.deps.onSender(head.from);
@@ -149,7 +149,7 @@
      * A sender that does not know the clock here can't say how long its request has been on its way. Where it has lain in the socket until its
      * caller left, the end of the connection lies behind it, and is read first: in the next turn of the event loop, which ends with the second wait.
      */
-    async #readEnd({ gateTime }: CallHead): Promise<void> {
+    async #readEnd({ gateTime }: RequestMetadata): Promise<void> {
         if (gateTime === undefined) {
             await setImmediate();
             await setImmediate();
@@ -166,7 +166,7 @@
         return this.#note({ outcome, reason, ...note });
     }
 
-    async #answer({ head, method, path, headers, body }: ServedCall, cancel: Cancel): Promise<GateResponse> {
+    async #answer({ head, method, path, headers, body }: ServedCall, cancel: Cancellation): Promise<GateResponse> {
         const gate = this.deps.gate(head.upstream);
         if (gate === undefined) {
             throw new HopError("not-run", "no-such-upstream");
--- a/src/peer/peerservice.ts
+++ b/src/peer/peerservice.ts
@@ -5,7 +5,7 @@
 import type { CrashChanges } from "../wire/crashchanges.js";
 import type { Member } from "../wire/member.js";
 import type { RecordChanges } from "../wire/recordchanges.js";
-import type { RecordsMark } from "../wire/recordsmark.js";
+import type { RecordsPosition } from "../wire/recordsposition.js";
 import type { GateStatus } from "./gatestatus.js";
 import type { RevokeInput } from "./revokeinput.js";
 
@@ -20,7 +20,7 @@
     /** This daemon's own record. */
     abstract member(): Member;
     /** What the list of daemons has beyond a mark, or all of it. Throws, as `member` does, where the document names the upstreams. */
-    abstract records(have: RecordsMark | undefined): RecordChanges;
+    abstract records(have: RecordsPosition | undefined): RecordChanges;
     /** What has changed here of requests that crash upstreams; what has changed at the peer is added to it. */
     abstract crashes(changes: CrashChanges): CrashChanges;
     abstract status(): GateStatus[];
--- a/src/peer/remotehop.test.ts
+++ b/src/peer/remotehop.test.ts
@@ -5,7 +5,7 @@
 import { LinkEnds } from "../../test/linkends.js";
 import type { Address } from "../ids/address.js";
 import { LinkSession } from "../link/linksession.js";
-import type { CallHead } from "../wire/callhead.js";
+import type { RequestMetadata } from "../wire/requestmetadata.js";
 import { RemoteHop } from "./remotehop.js";
 
 const KEY = "a-key-for-tests-only";
@@ -14,8 +14,8 @@
 const REMAINING_MS = 900;
 
 /** The head of a request of this kind as it comes to the gate, whose daemon is slow to read the first connection. */
-const headAtSlowGate = async (kind: CallHead["kind"]): Promise<CallHead> => {
-    let got: CallHead | undefined;
+const headAtSlowGate = async (kind: RequestMetadata["kind"]): Promise<RequestMetadata> => {
+    let got: RequestMetadata | undefined;
     const identity = (): typeof LinkEnds.note => ({ ...LinkEnds.note, gateTime: performance.now() });
     const server = createServer({ pauseOnConnect: true }, socket => {
         setTimeout(() => {
--- a/src/peer/remotehop.ts
+++ b/src/peer/remotehop.ts
@@ -4,7 +4,7 @@
 import type { GateResponse } from "../hop/gateresponse.js";
 import { Hop } from "../hop/hop.js";
 import { HopError } from "../hop/hoperror.js";
-import { guardBody } from "../http/guardbody.js";
+import { ignoreBodyErrors } from "../http/ignorebodyerrors.js";
 import type { Address } from "../ids/address.js";
 import type { RevokeResult } from "../ledger/revokeresult.js";
 import { emptyBuffer } from "../link/emptybuffer.js";
@@ -13,7 +13,7 @@
 import { log } from "../log/log.js";
 import { decodeReason } from "../policy/retry/decodereason.js";
 import type { Reason } from "../policy/retry/reason.js";
-import type { CallHead } from "../wire/callhead.js";
+import type { RequestMetadata } from "../wire/requestmetadata.js";
 import type { ResponseMetadata } from "../wire/responsemetadata.js";
 import type { PeerClient } from "./peerclient.js";
 import type { PeerOptions } from "./peeroptions.js";
@@ -43,10 +43,10 @@
         if (note.outcome !== undefined) {
             throw new HopError(note.outcome, this.#reasonOf(note), note);
         }
-        return { status, headers, body: Buffer.isBuffer(body) ? body : guardBody(body), note };
+        return { status, headers, body: Buffer.isBuffer(body) ? body : ignoreBodyErrors(body), note };
     }
 
-    async revoke(head: CallHead): Promise<RevokeResult> {
+    async revoke(head: RequestMetadata): Promise<RevokeResult> {
         const { id, remainingMs } = head;
         const { incarnation, gateTime } = head;
         if (incarnation === undefined || gateTime === undefined) {
@@ -86,8 +86,8 @@
      * The head is stamped when it is sent: with the gate's life and clock, so that the gate can tell its delay, and with what is left by
      * then, since a connection or the gate's clock may have been waited for.
      */
-    #stamp(head: CallHead, askedAt: number, sentAt: number): void {
-        const stamped: { -readonly [Field in keyof CallHead]: CallHead[Field]; } = head;
+    #stamp(head: RequestMetadata, askedAt: number, sentAt: number): void {
+        const stamped: { -readonly [Field in keyof RequestMetadata]: RequestMetadata[Field]; } = head;
         const tookMs = sentAt - askedAt;
         stamped.remainingMs = Math.max(0, head.remainingMs - tookMs);
         stamped.maxWaitMs = Math.max(0, head.maxWaitMs - tookMs);
--- a/src/store/countstoreevents.ts
+++ b/src/store/countstoreevents.ts
@@ -7,6 +7,6 @@
     return {
         onCall: kind => metrics.storeCalled(kind),
         onBytes: bytes => metrics.spent("store", bytes),
-        onUnresponsive: () => metrics.silentConnection("store"),
+        onUnresponsive: () => metrics.countUnresponsiveConnection("store"),
     };
 }
--- a/src/store/historyerror.ts
+++ b/src/store/historyunavailableerror.ts
@@ -2,9 +2,9 @@
 import { StoreError } from "./storeerror.js";
 
 /** Thrown when the store no longer has the requested changes. The caller must read the full state again. */
-export class HistoryError extends StoreError {
+export class HistoryUnavailableError extends StoreError {
     constructor() {
         super(false, "the store no longer has the requested changes");
-        this.name = "HistoryError";
+        this.name = "HistoryUnavailableError";
     }
 }
--- a/src/store/httpstore.ts
+++ b/src/store/httpstore.ts
@@ -4,10 +4,10 @@
 import type { Address } from "../ids/address.js";
 import { Store } from "./store.js";
 import { StoreClient } from "./storeclient.js";
-import type { Stored } from "./stored.js";
 import { StoredHost } from "./storedhost.js";
 import type { StoreEvents } from "./storeevents.js";
-import type { StoreNews } from "./storenews.js";
+import type { StoreUpdate } from "./storeupdate.js";
+import type { VersionedValue } from "./versionedvalue.js";
 
 const KEY_PATH = "/v1/kv/winglock";
 const HOSTS_PATH = "/v1/hosts";
@@ -19,7 +19,7 @@
 const WATCH_WAIT_MS = 5000;
 
 const StoredValue = z.object({ value: z.string(), version: z.int().min(0) });
-const EMPTY_VALUE: Stored = { value: "", version: 0 };
+const EMPTY_VALUE: VersionedValue = { value: "", version: 0 };
 
 /** The store as an HTTP service. `events` is notified of its calls. */
 export class HttpStore extends Store {
@@ -31,12 +31,12 @@
         this.#client = new StoreClient({ address, localIp, ...bounds, ...events });
     }
 
-    async read(): Promise<Stored> {
+    async read(): Promise<VersionedValue> {
         return await this.#client.call(StoredValue, {
             kind: "find",
             method: "GET",
             path: KEY_PATH,
-            empty: [httpStatus.notFound],
+            emptyStatuses: [httpStatus.notFound],
         })
             ?? EMPTY_VALUE;
     }
@@ -48,11 +48,11 @@
             method: "PUT",
             path,
             body: value,
-            empty: [httpStatus.conflict],
+            emptyStatuses: [httpStatus.conflict],
         });
     }
 
-    async watch(version: number, signal: AbortSignal): Promise<StoreNews> {
+    async watch(version: number, signal: AbortSignal): Promise<StoreUpdate> {
         const path = `${KEY_PATH}?after=${version}&waitMs=${WATCH_WAIT_MS}`;
         const document = await this.#client.call(StoredValue, {
             kind: "watch-configuration",
@@ -60,7 +60,7 @@
             path,
             waitMs: WATCH_WAIT_MS,
             signal,
-            empty: [httpStatus.noContent],
+            emptyStatuses: [httpStatus.noContent],
         });
         return document === undefined ? {} : { document };
     }
--- a/src/store/store.ts
+++ b/src/store/store.ts
@@ -1,17 +1,17 @@
 /** Defines the operations of the key-value store that holds the configuration. */
-import type { Stored } from "./stored.js";
 import type { StoredHost } from "./storedhost.js";
-import type { StoreNews } from "./storenews.js";
+import type { StoreUpdate } from "./storeupdate.js";
+import type { VersionedValue } from "./versionedvalue.js";
 
 /** All methods that call the store throw a StoreError on failure. */
 export abstract class Store {
     /** Returns the latest version of the configuration. */
-    abstract read(): Promise<Stored>;
+    abstract read(): Promise<VersionedValue>;
     /**
      * Returns the state of the store. It may be seconds old if such a read costs the store less; `isNewest` is true if
      * it is the latest one.
      */
-    async readOld(): Promise<StoreNews & { readonly isNewest: boolean; }> {
+    async readCached(): Promise<StoreUpdate & { readonly isNewest: boolean; }> {
         return { document: await this.read(), isNewest: true };
     }
     /** Writes the value if the stored version is still `version`; returns false if it is not. */
@@ -20,7 +20,7 @@
      * Waits for a version above `version` or for another change; the result has no change if none comes within the time
      * limit.
      */
-    abstract watch(version: number, signal: AbortSignal): Promise<StoreNews>;
+    abstract watch(version: number, signal: AbortSignal): Promise<StoreUpdate>;
     /** Returns the platform's hosts; empty if the store has no list of them. */
     abstract hosts(): Promise<StoredHost[]>;
     /** Makes later calls on new connections, because the old ones may have become unresponsive. */
--- a/src/store/storeclient.test.ts
+++ b/src/store/storeclient.test.ts
@@ -34,7 +34,7 @@
 };
 
 const find = (client: StoreClient): Promise<unknown> =>
-    client.callDated(ResponseBody, { kind: "find", method: "GET", path: "/find" });
+    client.callWithEra(ResponseBody, { kind: "find", method: "GET", path: "/find" });
 const watch = (client: StoreClient): Promise<unknown> =>
     client.call(ResponseBody, { kind: "watch-records", method: "GET", path: "/watch", waitMs: WATCH_WAIT_MS });
 
--- a/src/store/storeclient.ts
+++ b/src/store/storeclient.ts
@@ -3,13 +3,13 @@
  * have been executed. `Store` and `Registry` define the calls and their formats.
  */
 import type { z } from "zod";
-import { isConnectError } from "../http/connecterror.js";
 import type { HttpHeaders } from "../http/httpheaders.js";
 import { httpStatus } from "../http/httpstatus.js";
+import { isConnectError } from "../http/isconnecterror.js";
 import type { Address } from "../ids/address.js";
 import { log } from "../log/log.js";
 import type { StoreCallKind } from "../metrics/storecallkind.js";
-import { HistoryError } from "./historyerror.js";
+import { HistoryUnavailableError } from "./historyunavailableerror.js";
 import { StoreConnections } from "./storeconnections.js";
 import { StoreError } from "./storeerror.js";
 import type { StoreEvents } from "./storeevents.js";
@@ -48,7 +48,7 @@
     readonly headers?: Record<string, string>;
     readonly body?: string;
     /** Statuses that mean that there is no value; the result does not show which of them was received. */
-    readonly empty?: readonly number[];
+    readonly emptyStatuses?: readonly number[];
     /** For a watch: how long the store may hold it open, in milliseconds. */
     readonly waitMs?: number;
     /** Cancels the call. */
@@ -88,16 +88,16 @@
     }
 
     /**
-     * Returns the value of the response, or undefined if its status is one of `empty`. Throws a HistoryError for status
+     * Returns the value of the response, or undefined if its status is one of `empty`. Throws a HistoryUnavailableError for status
      * 410. Throws a StoreError if there is no response, its status is not 200, it does not match the schema, or its era
      * is older than that of an earlier response.
      */
     async call<Schema extends z.ZodType>(schema: Schema, call: Call): Promise<z.infer<Schema> | undefined> {
-        return (await this.callDated(schema, call))?.value;
+        return (await this.callWithEra(schema, call))?.value;
     }
 
     /** Does the same as `call`, and returns the store's era with the value. */
-    async callDated<Schema extends z.ZodType>(
+    async callWithEra<Schema extends z.ZodType>(
         schema: Schema,
         call: Call,
     ): Promise<WithEra<z.infer<Schema>> | undefined> {
@@ -119,11 +119,11 @@
         const response = await this.#send(call);
         const { status } = response;
         this.#checkEra(response.era);
-        if (call.empty?.includes(status)) {
+        if (call.emptyStatuses?.includes(status)) {
             return undefined;
         }
         if (status === httpStatus.gone) {
-            throw new HistoryError();
+            throw new HistoryUnavailableError();
         }
         if (status !== httpStatus.ok) {
             throw new StoreError(!REFUSAL_STATUSES.has(status), `the store responded with status ${status}`);
--- a/src/store/storeerror.ts
+++ b/src/store/storeerror.ts
@@ -2,7 +2,7 @@
 
 /** `sent` is false only if it is certain that the store has not executed the call. */
 export class StoreError extends Error {
-    constructor(readonly sent: boolean, message: string, options?: ErrorOptions) {
+    constructor(readonly mayHaveBeenSent: boolean, message: string, options?: ErrorOptions) {
         super(message, options);
         this.name = "StoreError";
     }
--- a/src/store/storeloop.ts
+++ b/src/store/storeloop.ts
@@ -7,7 +7,7 @@
     /** Runs one step; ends early when the signal aborts. */
     readonly step: (signal: AbortSignal) => Promise<void>;
     /** Called with the error of each failed step. The pause before the next step grows with each failure in a row. */
-    readonly failed: (err: unknown) => void;
+    readonly onFailure: (err: unknown) => void;
     /** Returns the pause after a successful step. */
     readonly pauseMs: () => number;
 };
@@ -21,7 +21,7 @@
 
     constructor(private readonly deps: LoopDependencies) {}
 
-    get running(): boolean {
+    get isRunning(): boolean {
         return this.#loopController !== undefined;
     }
 
@@ -40,7 +40,7 @@
     }
 
     /** Aborts the present step, which may be waiting on an unresponsive connection. */
-    renew(): void {
+    abortStep(): void {
         this.#stepController.abort();
     }
 
@@ -64,7 +64,7 @@
                 if (stopSignal.aborted) {
                     return;
                 }
-                this.deps.failed(err);
+                this.deps.onFailure(err);
                 await sleep(backoff.nextDelayMs(), stopSignal);
             }
         }
--- a/src/store/storenews.ts
+++ b/src/store/storeupdate.ts
@@ -1,9 +1,9 @@
 /** Defines the result of a watch or a stale read of the store. */
 import type { HallsChange } from "../policy/halls/hallschange.js";
-import type { Stored } from "./stored.js";
+import type { VersionedValue } from "./versionedvalue.js";
 
 /**
  * `document` is the configuration if it has changed. `halls` are the evacuated halls if the store keeps them beside the
  * configuration.
  */
-export type StoreNews = { readonly document?: Stored; readonly halls?: HallsChange; };
+export type StoreUpdate = { readonly document?: VersionedValue; readonly halls?: HallsChange; };
--- a/src/wire/crashchanges.ts
+++ b/src/wire/crashchanges.ts
@@ -2,15 +2,15 @@
 import { z } from "zod";
 import { crashLimits } from "../policy/quarantine/crashlimits.js";
 import { crashRecordSchema } from "./crashrecordschema.js";
-import { RecordsMark } from "./recordsmark.js";
+import { RecordsPosition } from "./recordsposition.js";
 
 const CrashChanges = z.object({
     /** The sender's records that have changed since its last message to the receiver; all of them if there was none. */
     records: z.array(crashRecordSchema).max(crashLimits.maxRequests),
     /** Position in the sender's list up to which the records go. */
-    upTo: RecordsMark,
+    upTo: RecordsPosition,
     /** Position in the receiver's list up to which the sender has received the records. */
-    have: RecordsMark.optional(),
+    have: RecordsPosition.optional(),
     /** Digest of all records of the sender, as in heartbeats. */
     mark: z.int().optional(),
 });
--- a/src/wire/recordchanges.ts
+++ b/src/wire/recordchanges.ts
@@ -2,10 +2,10 @@
 import { z } from "zod";
 import { Address } from "../ids/address.js";
 import { Member } from "./member.js";
-import { RecordsMark } from "./recordsmark.js";
+import { RecordsPosition } from "./recordsposition.js";
 
 const RecordChanges = z.object({
-    mark: RecordsMark,
+    mark: RecordsPosition,
     /** True if `members` has all members, false if it has only those that have changed. */
     complete: z.boolean(),
     members: z.array(Member),
--- a/src/wire/recordsmark.ts
+++ b/src/wire/recordsposition.ts
@@ -2,13 +2,13 @@
 import { z } from "zod";
 import { Incarnation } from "../ids/incarnation.js";
 
-const RecordsMark = z.object({
+const RecordsPosition = z.object({
     /** Incarnation of the daemon; positions compare only within it. */
     life: Incarnation,
     /** Increases with each change of the list. */
     at: z.int().min(0),
 });
-type RecordsMark = z.infer<typeof RecordsMark>;
+type RecordsPosition = z.infer<typeof RecordsPosition>;
 
 /** A daemon with an older position requests the changes since then. */
-export { RecordsMark };
+export { RecordsPosition };
--- a/src/wire/callhead.ts
+++ b/src/wire/requestmetadata.ts
@@ -11,7 +11,7 @@
 
 const NO_TEAM = "none" as TeamName;
 
-const CallHead = z.object({
+const RequestMetadata = z.object({
     /** Identifies the attempt. */
     id: RequestId,
     upstream: UpstreamName,
@@ -43,7 +43,7 @@
     /** The upstream's stated rate limit in requests a second, as known to the sender from earlier responses. */
     limitPerSecond: z.number().min(0).optional(),
 });
-type CallHead = z.infer<typeof CallHead>;
+type RequestMetadata = z.infer<typeof RequestMetadata>;
 
 /** The metadata of one attempt; times in milliseconds. */
-export { CallHead };
+export { RequestMetadata };
--- a/src/wire/headcodec.ts
+++ b/src/wire/requestmetadatacodec.ts
@@ -5,8 +5,8 @@
 import { arrivalSchema } from "./arrivalschema.js";
 import { RecordCodec } from "./recordcodec.js";
 
-/** Order and encoding of the fields that callhead.ts describes. */
-export const headCodec = new RecordCodec([
+/** Order and encoding of the fields that requestmetadata.ts describes. */
+export const requestMetadataCodec = new RecordCodec([
     { name: "id" },
     { name: "upstream" },
     { name: "kind", encoding: Kind.options },
--- a/src/wire/notecodec.ts
+++ b/src/wire/responsemetadatacodec.ts
@@ -11,7 +11,7 @@
 ]);
 
 /** Order and encoding of the fields that responsemetadata.ts describes. */
-export const noteCodec = new RecordCodec([
+export const responseMetadataCodec = new RecordCodec([
     { name: "incarnation" },
     { name: "gateTime", encoding: "time" },
     { name: "revision" },
--- a/test/crashfleet.ts
+++ b/test/crashfleet.ts
@@ -1,6 +1,6 @@
 /** Daemons that know of requests that crash upstreams, without a network, for tests. */
 import { CrashGuard } from "../src/crashes/crashguard.js";
-import { CrashSpread } from "../src/crashes/crashspread.js";
+import { CrashPropagation } from "../src/crashes/crashpropagation.js";
 import type { Message } from "../src/datagram/message.js";
 import type { Address } from "../src/ids/address.js";
 import type { CrashId } from "../src/ids/crashid.js";
@@ -8,22 +8,22 @@
 import type { RequestKey } from "../src/ids/requestkey.js";
 import type { ServiceName } from "../src/ids/servicename.js";
 
-type Daemon = { readonly guard: CrashGuard; readonly spread: CrashSpread; readonly served: Set<RequestKey>; };
+type Daemon = { readonly guard: CrashGuard; readonly propagation: CrashPropagation; readonly served: Set<RequestKey>; };
 
 /** True for a datagram that arrives. */
-type Carries = (to: number, message: Message) => boolean;
+type IsDelivered = (to: number, message: Message) => boolean;
 
 /** They reach each other by calls; datagrams go where `carries` says so. */
 export class CrashFleet {
     readonly daemons: Daemon[] = [];
     /** Records that went over in exchanges, both ways. */
-    told = 0;
-    #lives = 0;
+    exchangedRecordCount = 0;
+    #incarnationCount = 0;
     readonly #all: readonly Address[];
 
-    constructor(size: number, private readonly carries: Carries) {
+    constructor(size: number, private readonly isDelivered: IsDelivered) {
         this.#all = Array.from({ length: size }, (_, number) => CrashFleet.address(number));
-        this.#all.forEach((_, number) => this.startAgain(number));
+        this.#all.forEach((_, number) => this.restart(number));
     }
 
     static address(number: number): Address {
@@ -31,35 +31,35 @@
     }
 
     /** A crash that the daemon has seen, with requests under way. */
-    static crashAt({ guard }: Daemon, crash: number, requests: readonly RequestKey[]): void {
+    static recordCrash({ guard }: Daemon, crash: number, requests: readonly RequestKey[]): void {
         guard.recordCrash({ service: "pages" as ServiceName, crash: `crash-${crash}` as CrashId, requests });
     }
 
     /** Has a daemon begin a new life, in which it knows nothing. */
-    startAgain(number: number): void {
+    restart(number: number): void {
         const served = new Set<RequestKey>();
-        const guard = new CrashGuard({ clock: () => 0, hasServed: key => served.has(key), giveUp: () => {} });
-        this.daemons[number] = { guard, served, spread: this.#makeSpread(number, guard) };
+        const guard = new CrashGuard({ clock: () => 0, hasServed: key => served.has(key), cancel: () => {} });
+        this.daemons[number] = { guard, served, propagation: this.#makeSpread(number, guard) };
     }
 
-    #makeSpread(number: number, guard: CrashGuard): CrashSpread {
-        return new CrashSpread({
+    #makeSpread(number: number, guard: CrashGuard): CrashPropagation {
+        return new CrashPropagation({
             self: CrashFleet.address(number),
-            life: `life-${this.#lives++}` as Incarnation,
+            incarnation: `life-${this.#incarnationCount++}` as Incarnation,
             guard,
             random: () => 0,
-            peers: () => this.#all,
+            members: () => this.#all,
             relays: () => this.#all.slice(0, 2),
             siblings: () => this.#all,
             send: (to, message) => {
-                if (this.carries(this.#numberOf(to), message)) {
-                    this.#at(to).spread.receive(message as Extract<Message, { type: "crash"; }>);
+                if (this.isDelivered(this.#numberOf(to), message)) {
+                    this.#at(to).propagation.receive(message as Extract<Message, { type: "crash"; }>);
                 }
                 return true;
             },
             exchange: async (peer, changes) => {
-                const answer = this.#at(peer).spread.answer(changes);
-                this.told += changes.records.length + answer.records.length;
+                const answer = this.#at(peer).propagation.handleExchange(changes);
+                this.exchangedRecordCount += changes.records.length + answer.records.length;
                 return answer;
             },
         });
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -13,7 +13,7 @@
 import { unpackAnswer } from "../src/link/unpackanswer.js";
 import type { WireAnswer } from "../src/link/wireanswer.js";
 import { writeFrame } from "../src/link/writeframe.js";
-import { headCodec } from "../src/wire/headcodec.js";
+import { requestMetadataCodec } from "../src/wire/requestmetadatacodec.js";
 import { seededRandom } from "../standin/seededrandom.js";
 import { pause } from "./pause.js";
 import { withMesh } from "./withmesh.js";
@@ -81,7 +81,7 @@
 
 test("input: malformed peer calls and operators' calls get a clear answer", async () => {
     await withMesh(async mesh => {
-        const head = headCodec.write({ id: "a.1", upstream: "pages-1", kind: "once", priority: "normal" });
+        const head = requestMetadataCodec.write({ id: "a.1", upstream: "pages-1", kind: "once", priority: "normal" });
         const calls = ["", "{", [], {}, [{ id: 1 }], ["x".repeat(100)], [head], [head, "GET", "/", [], false]];
         for (const call of calls) {
             const payload = typeof call === "string" ? Buffer.from(call) : pack(call);
--- a/test/linkends.ts
+++ b/test/linkends.ts
@@ -2,14 +2,14 @@
 import { once } from "node:events";
 import { type AddressInfo, createServer, type Server, type Socket } from "node:net";
 import type { GateCall } from "../src/hop/gatecall.js";
-import { Cancel } from "../src/http/cancel.js";
+import { Cancellation } from "../src/http/cancellation.js";
 import type { Address } from "../src/ids/address.js";
 import { LinkPool } from "../src/link/linkpool.js";
 import { LinkSession } from "../src/link/linksession.js";
 import type { ServedAnswer } from "../src/link/servedanswer.js";
 import type { ServedCall } from "../src/link/servedcall.js";
 
-type Serve = (call: ServedCall, cancel: Cancel) => Promise<ServedAnswer>;
+type Serve = (call: ServedCall, cancel: Cancellation) => Promise<ServedAnswer>;
 
 const KEY = "a-key-for-tests-only";
 
@@ -63,7 +63,7 @@
             path: "/a/b?c=d",
             headers: { "host": "h", "set-cookie": ["one", "two"] },
             body: undefined,
-            cancel: new Cancel(),
+            cancel: new Cancellation(),
             ...more,
         };
     }
