--- a/src/membership/announcementserver.ts
+++ b/src/membership/announcementserver.ts
@@ -38,7 +38,7 @@
     for await (const chunk of req.setEncoding("utf8")) {
         text += chunk as string;
         if (text.length > MAX_REQUEST_BYTES) {
-            throw new SyntaxError(`request body too large: at most ${MAX_REQUEST_BYTES} bytes are allowed`);
+            throw new SyntaxError(`at most ${MAX_REQUEST_BYTES} bytes`);
         }
     }
     return text;
@@ -75,7 +75,7 @@
             const text = await readText(req);
             const name = PATH.exec(req.url ?? "")?.[1];
             if (name === undefined) {
-                sendJson(res, httpStatus.notFound, { error: "unknown path: expected /v1/upstreams/NAME" });
+                sendJson(res, httpStatus.notFound, { error: "nothing is here" });
                 return;
             }
             await this.#apply(req.method, parse(UpstreamName, decodeURIComponent(name)), text);
@@ -95,7 +95,7 @@
                 this.deps.onLeft(name, parse(Departure, text === "" ? {} : JSON.parse(text)).born);
                 return;
             default:
-                throw new SyntaxError(`method ${method} is not supported: expected POST or DELETE`);
+                throw new SyntaxError(`method ${method} is not known`);
         }
     }
 
