--- a/test/evacuation.test.ts
+++ b/test/evacuation.test.ts
@@ -142,7 +142,9 @@
             mesh.log.some(line => line.includes("An evacuation can't be read") && line.includes("op/evacuate/b\"")),
         );
         assert.ok(mesh.log.some(line => line.includes("An evacuation names no hall")));
-        assert.ok(mesh.log.some(line => line.includes("in which there is no upstream") && line.includes("nowhere")));
+        assert.ok(
+            mesh.log.some(line => line.includes("Evacuated halls have no upstreams") && line.includes("nowhere")),
+        );
         await mesh.configure({ revision: 9, rules: "none" });
         await mesh.readmit("a");
         await eventually("all are used again", () => isUsed(mesh), IN_FORCE_MS);
--- a/test/limit.test.ts
+++ b/test/limit.test.ts
@@ -37,7 +37,7 @@
 /** The daemon beside it knows no limit any more. */
 const isUsed = (mesh: PlatformMesh): boolean => {
     const lines = mesh.log.filter(line => line.includes("The upstream states "));
-    return lines.at(-1)?.includes("no limit any more") === true;
+    return lines.at(-1)?.includes("no longer states a rate limit") === true;
 };
 
 const rule = (name: string, pathPrefix: string): object => ({
