--- a/test/limit.test.ts
+++ b/test/limit.test.ts
@@ -36,7 +36,7 @@
 
 /** The daemon beside it knows no limit any more. */
 const isUsed = (mesh: PlatformMesh): boolean => {
-    const lines = mesh.log.filter(line => line.includes("The upstream states "));
+    const lines = mesh.log.filter(line => /The upstream (?:no longer )?states a rate limit/.test(line));
     return lines.at(-1)?.includes("no longer states a rate limit") === true;
 };
 
