--- a/src/membership/learnedshares.ts
+++ b/src/membership/learnedshares.ts
@@ -39,7 +39,7 @@
 
     constructor(private readonly deps: LearnedSharesDependencies) {}
 
-    /** Takes in this daemon's record from the store; one of an earlier incarnation holds the shares learned then. */
+    /** Records this daemon's record from the store; one of an earlier incarnation holds the shares learned then. */
     recordOwn({ incarnation, upstreams }: Member): void {
         if (incarnation !== this.deps.incarnation) {
             this.#earlierUpstreams = upstreams;
--- a/src/policy/admission/admission.ts
+++ b/src/policy/admission/admission.ts
@@ -33,7 +33,7 @@
 const OTHER_HALL_SHARE = 0.2;
 const RUN: AdmissionDecision = { type: "run" };
 
-/** Requests that `next` removes from the queue; those in `late` have expired. */
+/** Requests that `dequeue` removes from the queue; those in `expired` have passed their deadlines. */
 type Released<Item> = { readonly run: Item[]; readonly expired: Item[]; };
 
 /** Counts the running requests of one upstream and holds the queued ones. */
