--- a/src/config/applychanges.ts
+++ b/src/config/applychanges.ts
@@ -10,16 +10,16 @@
 type Named = { readonly name: string; };
 
 const put = <Item extends Named>(list: Item[], item: Item): Item[] => {
-    const at = list.findIndex(other => other.name === item.name);
-    return at < 0 ? [...list, item] : list.with(at, item);
+    const index = list.findIndex(other => other.name === item.name);
+    return index < 0 ? [...list, item] : list.with(index, item);
 };
 
 const remove = <Item extends Named>(list: Item[], name: string, path: string): Item[] => {
-    const kept = list.filter(item => item.name !== name);
-    if (kept.length === list.length) {
+    const remaining = list.filter(item => item.name !== name);
+    if (remaining.length === list.length) {
         throw new ConfigError([{ code: "not-found", path, message: `nothing is named ${name}` }]);
     }
-    return kept;
+    return remaining;
 };
 
 const setDraining = (document: Document, name: string, draining: boolean): Document => {
--- a/src/config/callerlimits.ts
+++ b/src/config/callerlimits.ts
@@ -8,13 +8,13 @@
 /** As much as the daemon's own settings allow, in bytes. */
 const MAX_BODY_BYTES = 1024 * KIB * KIB;
 /** An hour: as much as the daemon's own settings allow, in milliseconds. */
-const MAX_MS = 3_600_000;
+const MAX_TIMEOUT_MS = 3_600_000;
 
 const CallerLimits = z.strictObject({
     headerBytes: z.int().min(KIB).max(MAX_HEADER_BYTES).optional(),
     bodyBytes: z.int().min(0).max(MAX_BODY_BYTES).optional(),
-    headersTimeoutMs: z.int().min(1).max(MAX_MS).optional(),
-    keepAliveMs: z.int().min(1).max(MAX_MS).optional(),
+    headersTimeoutMs: z.int().min(1).max(MAX_TIMEOUT_MS).optional(),
+    keepAliveMs: z.int().min(1).max(MAX_TIMEOUT_MS).optional(),
 });
 type CallerLimits = z.infer<typeof CallerLimits>;
 
--- a/src/config/checkdocument.ts
+++ b/src/config/checkdocument.ts
@@ -4,36 +4,36 @@
 
 type Named = { readonly name: string; };
 
-const repeatedNames = (list: readonly Named[], path: string): Issue[] => {
+const findDuplicateNames = (list: readonly Named[], path: string): Issue[] => {
     const seen = new Set<string>();
     const issues: Issue[] = [];
-    list.forEach((item, at) => {
+    list.forEach((item, index) => {
         if (seen.has(item.name)) {
-            issues.push({ code: "duplicate", path: `${path}.${at}.name`, message: `${item.name} stands twice` });
+            issues.push({ code: "duplicate", path: `${path}.${index}.name`, message: `${item.name} stands twice` });
         }
         seen.add(item.name);
     });
     return issues;
 };
 
-const missingServices = (document: Document, path: "upstreams" | "rules"): Issue[] => {
-    const known = new Set<string>(document.services.map(service => service.name));
+const findUnknownServices = (document: Document, path: "upstreams" | "rules"): Issue[] => {
+    const serviceNames = new Set<string>(document.services.map(service => service.name));
     const issues: Issue[] = [];
-    document[path].forEach((item, at) => {
-        if (!known.has(item.service)) {
+    document[path].forEach((item, index) => {
+        if (!serviceNames.has(item.service)) {
             const message = `no service is named ${item.service}`;
-            issues.push({ code: "unknown-service", path: `${path}.${at}.service`, message });
+            issues.push({ code: "unknown-service", path: `${path}.${index}.service`, message });
         }
     });
     return issues;
 };
 
-const missingShares = (document: Document): Issue[] => {
-    const known = new Set<string>(document.services.map(service => service.name));
-    return document.rules.flatMap((rule, at) =>
-        (rule.split ?? []).flatMap(({ service }, part) => {
-            const path = `rules.${at}.split.${part}.service`;
-            return known.has(service)
+const findUnknownSplitServices = (document: Document): Issue[] => {
+    const serviceNames = new Set<string>(document.services.map(service => service.name));
+    return document.rules.flatMap((rule, ruleIndex) =>
+        (rule.split ?? []).flatMap(({ service }, index) => {
+            const path = `rules.${ruleIndex}.split.${index}.service`;
+            return serviceNames.has(service)
                 ? []
                 : [{ code: "unknown-service", path, message: `no service is named ${service}` }];
         })
@@ -43,11 +43,11 @@
 /** Lists names that are used twice and references to nothing. */
 export function checkDocument(document: Document): Issue[] {
     return [
-        ...repeatedNames(document.services, "services"),
-        ...repeatedNames(document.upstreams, "upstreams"),
-        ...repeatedNames(document.rules, "rules"),
-        ...missingServices(document, "upstreams"),
-        ...missingServices(document, "rules"),
-        ...missingShares(document),
+        ...findDuplicateNames(document.services, "services"),
+        ...findDuplicateNames(document.upstreams, "upstreams"),
+        ...findDuplicateNames(document.rules, "rules"),
+        ...findUnknownServices(document, "upstreams"),
+        ...findUnknownServices(document, "rules"),
+        ...findUnknownSplitServices(document),
     ];
 }
--- a/src/config/diffdocuments.ts
+++ b/src/config/diffdocuments.ts
@@ -3,21 +3,21 @@
 
 type Named = { readonly name: string; };
 
-const diffLists = (noun: string, before: readonly Named[], after: readonly Named[]): string[] => {
-    const old = new Map(before.map(item => [item.name, JSON.stringify(item)]));
+const diffLists = (itemType: string, before: readonly Named[], after: readonly Named[]): string[] => {
+    const beforeByName = new Map(before.map(item => [item.name, JSON.stringify(item)]));
     const lines: string[] = [];
     for (const item of after) {
         const text = JSON.stringify(item);
-        const was = old.get(item.name);
-        old.delete(item.name);
-        if (was === undefined) {
-            lines.push(`+ ${noun} ${item.name} ${text}`);
+        const beforeText = beforeByName.get(item.name);
+        beforeByName.delete(item.name);
+        if (beforeText === undefined) {
+            lines.push(`+ ${itemType} ${item.name} ${text}`);
         }
-        else if (was !== text) {
-            lines.push(`- ${noun} ${item.name} ${was}`, `+ ${noun} ${item.name} ${text}`);
+        else if (beforeText !== text) {
+            lines.push(`- ${itemType} ${item.name} ${beforeText}`, `+ ${itemType} ${item.name} ${text}`);
         }
     }
-    return [...lines, ...[...old].map(([name, was]) => `- ${noun} ${name} ${was}`)];
+    return [...lines, ...[...beforeByName].map(([name, text]) => `- ${itemType} ${name} ${text}`)];
 };
 
 const asNamed = (names: readonly string[] = []): Named[] => names.map(name => ({ name }));
--- a/src/config/parse.ts
+++ b/src/config/parse.ts
@@ -4,20 +4,20 @@
 import type { Issue } from "./issue.js";
 
 /** Characters of a wrong value in an error: enough to find it. */
-const MAX_SHOWN = 80;
+const MAX_VALUE_CHARS = 80;
 
 const valueAt = (input: unknown, path: readonly PropertyKey[]): unknown =>
     path.reduce<unknown>((at, key) => at === undefined || at === null ? undefined : (at as never)[key], input);
 
-const shown = (value: unknown): string => {
+const formatValue = (value: unknown): string => {
     const text = JSON.stringify(value);
-    return text === undefined ? "nothing" : text.slice(0, MAX_SHOWN);
+    return text === undefined ? "nothing" : text.slice(0, MAX_VALUE_CHARS);
 };
 
 const toIssue = (input: unknown, issue: z.core.$ZodIssue): Issue => ({
     code: issue.code,
     path: issue.path.map(String).join("."),
-    message: `${issue.message}; got ${shown(valueAt(input, issue.path))}`,
+    message: `${issue.message}; got ${formatValue(valueAt(input, issue.path))}`,
 });
 
 /** Returns the checked value; throws a ConfigError that names each wrong field, its value and what is allowed. */
--- a/src/config/priorityofrank.ts
+++ b/src/config/priorityofrank.ts
@@ -1,9 +1,9 @@
 /** Priorities given as numbers. */
 import { Priority } from "./priority.js";
 
-const BY_RANK: readonly Priority[] = Priority.options;
+const PRIORITIES_BY_RANK: readonly Priority[] = Priority.options;
 
 /** Rank 0 is the most urgent; all ranks past the last class are in it. */
 export function priorityOfRank(rank: number): Priority {
-    return BY_RANK[Math.min(rank, BY_RANK.length - 1)]!;
+    return PRIORITIES_BY_RANK[Math.min(rank, PRIORITIES_BY_RANK.length - 1)]!;
 }
--- a/src/dialect/readload.ts
+++ b/src/dialect/readload.ts
@@ -15,9 +15,9 @@
         return undefined;
     }
     const fields = text.split(",").map(Number);
-    const [running, waiting, slots, pace = USUAL_PACE_HUNDREDTHS] = fields;
+    const [running, queued, slots, pace = USUAL_PACE_HUNDREDTHS] = fields;
     if (fields.length < MIN_FIELDS || !fields.every(field => Number.isFinite(field) && field >= 0)) {
         return undefined;
     }
-    return { running: running!, waiting: waiting!, slots: slots!, pace: pace / USUAL_PACE_HUNDREDTHS };
+    return { running: running!, waiting: queued!, slots: slots!, pace: pace / USUAL_PACE_HUNDREDTHS };
 }
--- a/src/log/linebudget.test.ts
+++ b/src/log/linebudget.test.ts
@@ -7,8 +7,8 @@
     const written = Array.from({ length: 10 }, () => budget.spend("decision", 0)).filter(Boolean).length;
     assert.equal(written, 3);
     assert.equal(budget.spend("failure", 0), true);
-    assert.deepEqual(budget.takeLeftOut(), { decision: 7 });
-    assert.equal(budget.takeLeftOut(), undefined);
+    assert.deepEqual(budget.takeDroppedCounts(), { decision: 7 });
+    assert.equal(budget.takeDroppedCounts(), undefined);
 });
 
 test("log budget: it fills again with time", () => {
--- a/src/log/log.ts
+++ b/src/log/log.ts
@@ -1,8 +1,8 @@
 /** Structured logs, a line of JSON each, on standard output. */
-import type { Part } from "./part.js";
+import type { LogPart } from "./logpart.js";
 import { PartLog } from "./partlog.js";
 
 /** The log of one part. */
-export function log(part: Part): PartLog {
+export function log(part: LogPart): PartLog {
     return new PartLog(part);
 }
--- a/src/log/part.ts
+++ b/src/log/logpart.ts
@@ -1,7 +1,7 @@
 /** The parts of a daemon that log. */
 
 /** Stands on each line as `part`. */
-export type Part =
+export type LogPart =
     | "daemon"
     | "ingress"
     | "gate"
--- a/src/log/output.ts
+++ b/src/log/output.ts
@@ -10,18 +10,18 @@
 import { finished } from "node:stream/promises";
 
 /** Its file descriptor. */
-const STANDARD_OUTPUT = 1;
+const STDOUT_FD = 1;
 /** Lines are at most so old when they are handed on, in milliseconds; ten wake-ups a second. */
-const BATCH_MS = 100;
+const BATCH_INTERVAL_MS = 100;
 /** A reader that is slower than this many bytes behind loses lines. */
-const MAX_WAITING_BYTES = 1024 * 1024;
+const MAX_BUFFERED_BYTES = 1024 * 1024;
 
-const open = (): Writable => {
-    const stat = fstatSync(STANDARD_OUTPUT);
+const openStdout = (): Writable => {
+    const stat = fstatSync(STDOUT_FD);
     if (stat.isFIFO() || stat.isSocket()) {
-        return new Socket({ fd: STANDARD_OUTPUT, readable: false, writable: true });
+        return new Socket({ fd: STDOUT_FD, readable: false, writable: true });
     }
-    return createWriteStream("", { fd: STANDARD_OUTPUT, autoClose: false });
+    return createWriteStream("", { fd: STDOUT_FD, autoClose: false });
 };
 
 /** Opened at the first line; `onDrop` is called for each line that is lost to a slow reader. */
@@ -35,31 +35,31 @@
 
     /** Adds a line, which ends with its newline. */
     write(line: string): void {
-        if (this.#bytes + this.#writable().writableLength > MAX_WAITING_BYTES) {
+        if (this.#bytes + this.#openStream().writableLength > MAX_BUFFERED_BYTES) {
             this.onDrop();
             return;
         }
         this.#lines.push(line);
         this.#bytes += line.length;
-        this.#timer ??= setTimeout(() => this.#handOn(), BATCH_MS).unref();
+        this.#timer ??= setTimeout(() => this.#flush(), BATCH_INTERVAL_MS).unref();
     }
 
     /** Resolves when all lines are written, the reader has gone, or `limitMs` milliseconds have passed. */
-    async end(limitMs: number): Promise<void> {
-        this.#handOn();
-        const stream = this.#writable();
+    async end(timeoutMs: number): Promise<void> {
+        this.#flush();
+        const stream = this.#openStream();
         stream.end();
         try {
-            await finished(stream, { signal: AbortSignal.timeout(limitMs) });
+            await finished(stream, { signal: AbortSignal.timeout(timeoutMs) });
         }
         catch {
             // The reader has gone or stands still: there is nowhere left to say so.
         }
     }
 
-    #writable(): Writable {
+    #openStream(): Writable {
         if (this.#stream === undefined) {
-            this.#stream = open();
+            this.#stream = openStdout();
             this.#stream.on("error", () => {
                 // The reader has gone: there is nowhere left to say so.
             });
@@ -67,13 +67,13 @@
         return this.#stream;
     }
 
-    #handOn(): void {
+    #flush(): void {
         clearTimeout(this.#timer);
         this.#timer = undefined;
         const text = this.#lines.join("");
         this.#lines = [];
         this.#bytes = 0;
-        const stream = this.#writable();
+        const stream = this.#openStream();
         if (text !== "" && stream.writable) {
             stream.write(text);
         }
--- a/src/metrics/metrics.ts
+++ b/src/metrics/metrics.ts
@@ -9,13 +9,13 @@
 
 /** Milliseconds. */
 const MS_PER_SECOND = 1000;
-const BUCKETS = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10];
+const LATENCY_BUCKETS_S = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10];
 
 /** Whose request has ended. */
-type Finished = { readonly service: ServiceName; readonly priority: Priority; readonly team: TeamName; };
+type FinishedRequest = { readonly service: ServiceName; readonly priority: Priority; readonly team: TeamName; };
 
 /** What the daemon spends for control. */
-type Spending = "beat" | "load" | "ping" | "relief" | "store" | "pull" | "health";
+type ControlTrafficKind = "beat" | "load" | "ping" | "relief" | "store" | "pull" | "health";
 
 /** One registry for each daemon. */
 export class Metrics {
@@ -25,7 +25,7 @@
         name: "winglock_request_seconds",
         help: "Time from a caller's request to the end of its answer.",
         labelNames: ["service", "class", "tenant", "outcome"] as const,
-        buckets: BUCKETS,
+        buckets: LATENCY_BUCKETS_S,
         registers: [this.registry],
     });
     readonly #retries = new Counter({
@@ -54,7 +54,7 @@
         labelNames: ["service", "reason"] as const,
         registers: [this.registry],
     });
-    readonly #silent = new Counter({
+    readonly #unresponsiveConnections = new Counter({
         name: "winglock_silent_connections_total",
         help: "Open connections that were found to carry nothing any more.",
         labelNames: ["kind"] as const,
@@ -66,13 +66,13 @@
         labelNames: ["kind"] as const,
         registers: [this.registry],
     });
-    readonly #messages = new Counter({
+    readonly #controlMessages = new Counter({
         name: "winglock_control_messages_total",
         help: "Messages and calls sent for control.",
         labelNames: ["kind"] as const,
         registers: [this.registry],
     });
-    readonly #bytes = new Counter({
+    readonly #controlBytes = new Counter({
         name: "winglock_control_bytes_total",
         help: "Bytes sent for control.",
         labelNames: ["kind"] as const,
@@ -122,7 +122,7 @@
     }
 
     /** Records the end of a caller's request; the label is `tenant`, by which dashboards know teams. */
-    finished({ service, priority, team }: Finished, outcome: string, elapsedMs: number): void {
+    finished({ service, priority, team }: FinishedRequest, outcome: string, elapsedMs: number): void {
         this.#requests.observe({
             service,
             class: priority,
@@ -152,7 +152,7 @@
 
     /** Records a connection that was found to carry nothing any more. */
     countUnresponsiveConnection(kind: ConnectionKind): void {
-        this.#silent.inc({ kind });
+        this.#unresponsiveConnections.inc({ kind });
     }
 
     /** Records a call of the store. */
@@ -161,9 +161,9 @@
     }
 
     /** Records what was sent for control. */
-    spent(kind: Spending, bytes: number): void {
-        this.#messages.inc({ kind });
-        this.#bytes.inc({ kind }, bytes);
+    spent(kind: ControlTrafficKind, bytes: number): void {
+        this.#controlMessages.inc({ kind });
+        this.#controlBytes.inc({ kind }, bytes);
     }
 
     #show(name: string, help: string, read: () => number): void {
--- a/src/operator/collectstatus.ts
+++ b/src/operator/collectstatus.ts
@@ -7,11 +7,11 @@
 import type { StatusLine } from "./statusline.js";
 
 /** Daemons asked at the same time: bounds connections when an operator asks for all. */
-const AT_ONCE = 32;
+const MAX_CONCURRENT_REQUESTS = 32;
 
 const logger = log("operator");
 
-const askGate = async (peer: PeerClient, gate: Address): Promise<GateStatus[]> => {
+const requestGateStatuses = async (peer: PeerClient, gate: Address): Promise<GateStatus[]> => {
     try {
         return await peer.status(gate);
     }
@@ -26,10 +26,12 @@
 /** One line for each upstream; asks a bounded number of daemons at once, and only when an operator asks. */
 export async function collectStatus(upstreams: readonly Upstream[], peer: PeerClient): Promise<StatusLine[]> {
     const gates = [...new Set(upstreams.map(upstream => upstream.gate))];
-    const said = new Map<string, GateStatus>();
-    for (let at = 0; at < gates.length; at += AT_ONCE) {
-        const asked = gates.slice(at, at + AT_ONCE).map(gate => askGate(peer, gate));
-        (await Promise.all(asked)).flat().forEach(status => said.set(status.upstream, status));
+    const statusByUpstream = new Map<string, GateStatus>();
+    for (let start = 0; start < gates.length; start += MAX_CONCURRENT_REQUESTS) {
+        const responses = gates.slice(start, start + MAX_CONCURRENT_REQUESTS).map(gate =>
+            requestGateStatuses(peer, gate)
+        );
+        (await Promise.all(responses)).flat().forEach(status => statusByUpstream.set(status.upstream, status));
     }
-    return upstreams.map(upstream => ({ upstream, gate: said.get(upstream.name) }));
+    return upstreams.map(upstream => ({ upstream, gate: statusByUpstream.get(upstream.name) }));
 }
--- a/src/operator/operatorcalls.ts
+++ b/src/operator/createoperatorhandler.ts
@@ -8,6 +8,6 @@
 const MAX_MESSAGE_BYTES = 4 * 1024 * 1024;
 
 /** Serves the calls of the schema; takes an HTTP request that is one. */
-export function operatorCalls(api: OperatorApi): (req: IncomingMessage, res: ServerResponse) => void {
+export function createOperatorHandler(api: OperatorApi): (req: IncomingMessage, res: ServerResponse) => void {
     return connectNodeAdapter({ routes: operatorRoutes(api), readMaxBytes: MAX_MESSAGE_BYTES });
 }
--- a/src/operator/fromchange.ts
+++ b/src/operator/decodechange.ts
@@ -20,20 +20,20 @@
 import { protoPriority } from "./protopriority.js";
 
 /** Numbers and texts that a message leaves at their zero value stand for "not set". */
-const set = <Value>(value: Value): Value | undefined => value ? value : undefined;
+const undefinedIfZero = <Value>(value: Value): Value | undefined => value ? value : undefined;
 
-const toService = (service: ProtoService): Service => {
+const decodeService = (service: ProtoService): Service => {
     const { name, bufferBytes, maxWaitMs, retryRatio, coldPerSecond, coldStartMs } = service;
     return parse(Service, { name, bufferBytes, maxWaitMs, retryRatio, coldPerSecond, coldStartMs });
 };
 
-const toUpstream = (upstream: ProtoUpstream): Upstream => {
+const decodeUpstream = (upstream: ProtoUpstream): Upstream => {
     const { name, service, host, address, gate, hall, region, slots, connections, draining } = upstream;
     const fields = { name, service, host, address, gate, hall, region, slots, draining };
-    return parse(Upstream, { ...fields, connections: set(connections) });
+    return parse(Upstream, { ...fields, connections: undefinedIfZero(connections) });
 };
 
-const toRule = (rule: ProtoRule): Rule =>
+const decodeRule = (rule: ProtoRule): Rule =>
     parse(Rule, {
         name: rule.name,
         host: rule.host,
@@ -41,27 +41,27 @@
         methods: rule.methods,
         service: rule.service,
         priority: nameOf(protoPriority, rule.priority),
-        tenant: set(rule.tenant),
+        tenant: undefinedIfZero(rule.tenant),
         kind: nameOf(protoKind, rule.kind),
-        timeLimitMs: set(rule.timeLimitMs),
+        timeLimitMs: undefinedIfZero(rule.timeLimitMs),
         answer: nameOf(protoAnswerMode, rule.answer),
     });
 
-const toContent = (configuration: Configuration): Extract<Change, { type: "replace"; }>["content"] => ({
-    services: configuration.services.map(toService),
-    upstreams: configuration.upstreams.map(toUpstream),
-    rules: configuration.rules.map(toRule),
+const decodeContent = (configuration: Configuration): Extract<Change, { type: "replace"; }>["content"] => ({
+    services: configuration.services.map(decodeService),
+    upstreams: configuration.upstreams.map(decodeUpstream),
+    rules: configuration.rules.map(decodeRule),
 });
 
 /** Throws a ConfigError that names the field. */
-export function fromChange({ change }: ProtoChange): Change {
+export function decodeChange({ change }: ProtoChange): Change {
     switch (change.case) {
         case "putService":
-            return { type: "putService", service: toService(change.value) };
+            return { type: "putService", service: decodeService(change.value) };
         case "putUpstream":
-            return { type: "putUpstream", upstream: toUpstream(change.value) };
+            return { type: "putUpstream", upstream: decodeUpstream(change.value) };
         case "putRule":
-            return { type: "putRule", rule: toRule(change.value) };
+            return { type: "putRule", rule: decodeRule(change.value) };
         case "deleteService":
         case "deleteUpstream":
         case "deleteRule":
@@ -73,7 +73,7 @@
             return { type: "setEvacuated", hall: parse(z.object({ hall: HallName }), { hall }).hall, evacuated };
         }
         case "replace":
-            return { type: "replace", content: toContent(change.value) };
+            return { type: "replace", content: decodeContent(change.value) };
         default:
             throw new ConfigError([{ code: "required", path: "changes", message: "a change says nothing" }]);
     }
--- a/src/operator/fromresult.ts
+++ b/src/operator/encodechangeresult.ts
@@ -7,7 +7,7 @@
     ChangeOutcome,
 } from "../gen/winglock/operator/v1/operator_pb.js";
 
-const outcomes: Readonly<Record<ChangeResult["type"], ChangeOutcome>> = {
+const PROTO_OUTCOMES: Readonly<Record<ChangeResult["type"], ChangeOutcome>> = {
     "accepted": ChangeOutcome.ACCEPTED,
     "dry-run": ChangeOutcome.DRY_RUN,
     "conflict": ChangeOutcome.CONFLICT,
@@ -17,14 +17,14 @@
 };
 
 /** Leaves out what the outcome has not. */
-export function fromResult(result: ChangeResult): ApplyChangesResponse {
-    const other = result.type === "conflict" ? result.latestChange : undefined;
+export function encodeChangeResult(result: ChangeResult): ApplyChangesResponse {
+    const conflict = result.type === "conflict" ? result.latestChange : undefined;
     return create(ApplyChangesResponseSchema, {
-        outcome: outcomes[result.type],
+        outcome: PROTO_OUTCOMES[result.type],
         revision: "revision" in result ? BigInt(result.revision) : 0n,
         difference: "difference" in result ? [...result.difference] : [],
         issues: "issues" in result ? result.issues.map(issue => ({ ...issue })) : [],
-        conflictingChangeId: other?.id ?? "",
-        conflictingRevision: BigInt(other?.revision ?? 0),
+        conflictingChangeId: conflict?.id ?? "",
+        conflictingRevision: BigInt(conflict?.revision ?? 0),
     });
 }
--- a/src/operator/toconfiguration.ts
+++ b/src/operator/encodeconfiguration.ts
@@ -12,7 +12,7 @@
 import { protoKind } from "./protokind.js";
 import { protoPriority } from "./protopriority.js";
 
-const toRule = (rule: Rule): ProtoRule =>
+const encodeRule = (rule: Rule): ProtoRule =>
     create(RuleSchema, {
         ...rule,
         priority: protoPriority[rule.priority],
@@ -21,12 +21,12 @@
     });
 
 /** The message of the whole document. */
-export function toConfiguration(document: Document): Configuration {
+export function encodeConfiguration(document: Document): Configuration {
     return create(ConfigurationSchema, {
         revision: BigInt(document.revision),
         services: document.services.map(service => ({ ...service })),
         upstreams: document.upstreams.map(upstream => ({ ...upstream })),
-        rules: document.rules.map(toRule),
+        rules: document.rules.map(encodeRule),
         evacuatedHalls: [...document.evacuated ?? []],
     });
 }
--- a/src/operator/explain.ts
+++ b/src/operator/explain.ts
@@ -8,10 +8,10 @@
 import { matchRule } from "../policy/routing/matchrule.js";
 import type { Explanation } from "./explanation.js";
 
-const expected = new ExpectedTime();
+const expectedTime = new ExpectedTime();
 
-const explainKind = (rule: Rule, method: string, fresh: boolean): string => {
-    if (decideKind(rule, method, fresh) !== decideKind(rule, method, true)) {
+const explainKind = (rule: Rule, method: string, isFresh: boolean): string => {
+    if (decideKind(rule, method, isFresh) !== decideKind(rule, method, true)) {
         return "the daemon can't show that its configuration is the newest";
     }
     return rule.kind === undefined ? `the method is ${method}` : "the rule says so";
@@ -19,19 +19,19 @@
 
 const explainUpstream = (view: UpstreamView, now: number): Explanation["candidates"][number] => {
     const availability = view.availability(now);
-    const eligible = availability === "available";
+    const isEligible = availability === "available";
     return {
         upstream: view.upstream,
-        eligible,
-        reason: eligible ? "" : availability,
-        expectedMs: expected.expectedMs(view, now),
+        eligible: isEligible,
+        reason: isEligible ? "" : availability,
+        expectedMs: expectedTime.expectedMs(view, now),
     };
 };
 
 /** The rule, the kind, and each upstream of the service. */
 export function explain(
     document: Document,
-    fresh: boolean,
+    isFresh: boolean,
     upstreams: UpstreamTable,
     { method, url }: { readonly method: string; readonly url: URL; },
     now: number,
@@ -42,8 +42,8 @@
     }
     return {
         rule,
-        kind: decideKind(rule, method, fresh),
-        kindReason: explainKind(rule, method, fresh),
+        kind: decideKind(rule, method, isFresh),
+        kindReason: explainKind(rule, method, isFresh),
         candidates: upstreams.ofService(rule.service).map(view => explainUpstream(view, now)),
     };
 }
--- a/src/operator/operatorapi.ts
+++ b/src/operator/operatorapi.ts
@@ -35,7 +35,7 @@
         return this.deps.configuration.document;
     }
 
-    get fresh(): boolean {
+    get isFresh(): boolean {
         return this.deps.configuration.isFresh(this.deps.clock());
     }
 
@@ -48,7 +48,7 @@
     }
 
     /** The revision that a change made, undefined when it made none; throws a StoreError. */
-    find(id: ChangeId): Promise<number | undefined> {
+    findRevision(id: ChangeId): Promise<number | undefined> {
         return this.deps.publisher.findRevision(id);
     }
 
@@ -57,6 +57,6 @@
     }
 
     explain(method: string, url: URL): Explanation {
-        return explain(this.document, this.fresh, this.deps.upstreams, { method, url }, this.deps.clock());
+        return explain(this.document, this.isFresh, this.deps.upstreams, { method, url }, this.deps.clock());
     }
 }
--- a/src/operator/operatorroutes.ts
+++ b/src/operator/operatorroutes.ts
@@ -14,15 +14,15 @@
     UpstreamStatusSchema,
 } from "../gen/winglock/operator/v1/operator_pb.js";
 import { ChangeId } from "../ids/changeid.js";
-import { fromChange } from "./fromchange.js";
-import { fromResult } from "./fromresult.js";
+import { decodeChange } from "./decodechange.js";
+import { encodeChangeResult } from "./encodechangeresult.js";
+import { encodeConfiguration } from "./encodeconfiguration.js";
 import type { OperatorApi } from "./operatorapi.js";
 import { protoKind } from "./protokind.js";
 import { protoPriority } from "./protopriority.js";
 import type { StatusLine } from "./statusline.js";
-import { toConfiguration } from "./toconfiguration.js";
 
-const under = (path: string, issues: readonly Issue[]): Issue[] =>
+const prefixPaths = (path: string, issues: readonly Issue[]): Issue[] =>
     issues.map(issue => ({ ...issue, path: issue.path === "" ? path : `${path}.${issue.path}` }));
 
 const parseAt = <Value>(path: string, read: () => Value): Value => {
@@ -30,31 +30,31 @@
         return read();
     }
     catch (err) {
-        throw err instanceof ConfigError ? new ConfigError(under(path, err.issues)) : err;
+        throw err instanceof ConfigError ? new ConfigError(prefixPaths(path, err.issues)) : err;
     }
 };
 
-const apply = async (api: OperatorApi, req: ApplyChangesRequest): Promise<ApplyChangesResponse> => {
+const applyChanges = async (api: OperatorApi, req: ApplyChangesRequest): Promise<ApplyChangesResponse> => {
     try {
         const id = parseAt("change_id", () => parse(ChangeId, req.changeId));
-        const changes = req.changes.map((change, at) => parseAt(`changes.${at}`, () => fromChange(change)));
+        const changes = req.changes.map((change, index) => parseAt(`changes.${index}`, () => decodeChange(change)));
         const baseRevision = Number(req.baseRevision);
-        return fromResult(await api.apply({ id, baseRevision, changes, dryRun: req.dryRun }));
+        return encodeChangeResult(await api.apply({ id, baseRevision, changes, dryRun: req.dryRun }));
     }
     catch (err) {
         if (err instanceof ConfigError) {
-            return fromResult({ type: "invalid", issues: err.issues });
+            return encodeChangeResult({ type: "invalid", issues: err.issues });
         }
         throw err;
     }
 };
 
-const resolve = async (
+const resolveChange = async (
     api: OperatorApi,
     changeId: string,
 ): Promise<{ outcome: ChangeOutcome; revision: bigint; }> => {
     try {
-        const revision = await api.find(parse(ChangeId, changeId));
+        const revision = await api.findRevision(parse(ChangeId, changeId));
         const outcome = revision === undefined ? ChangeOutcome.NOT_APPLIED : ChangeOutcome.ACCEPTED;
         return { outcome, revision: BigInt(revision ?? 0) };
     }
@@ -66,7 +66,7 @@
     }
 };
 
-const toStatus = ({ upstream, gate }: StatusLine): ReturnType<typeof create<typeof UpstreamStatusSchema>> =>
+const encodeStatus = ({ upstream, gate }: StatusLine): ReturnType<typeof create<typeof UpstreamStatusSchema>> =>
     create(UpstreamStatusSchema, {
         ...gate,
         upstream: upstream.name,
@@ -90,15 +90,15 @@
 export function operatorRoutes(api: OperatorApi): (router: ConnectRouter) => void {
     return router =>
         router.service(OperatorService, {
-            getConfiguration: () => ({ configuration: toConfiguration(api.document), fresh: api.fresh }),
-            applyChanges: req => apply(api, req),
-            resolveChange: req => resolve(api, req.changeId),
+            getConfiguration: () => ({ configuration: encodeConfiguration(api.document), fresh: api.isFresh }),
+            applyChanges: req => applyChanges(api, req),
+            resolveChange: req => resolveChange(api, req.changeId),
             getStatus: async () =>
                 create(GetStatusResponseSchema, {
                     revision: BigInt(api.document.revision),
-                    fresh: api.fresh,
+                    fresh: api.isFresh,
                     evacuatedHalls: [...api.evacuatedHalls],
-                    upstreams: (await api.status()).map(toStatus),
+                    upstreams: (await api.status()).map(encodeStatus),
                 }),
             explainRequest: req => {
                 const { rule, kind, kindReason, candidates } = explainUrl(api, req.method, req.url);
--- a/src/operator/operatorserver.ts
+++ b/src/operator/operatorserver.ts
@@ -4,19 +4,19 @@
 import { listen } from "../time/listen.js";
 import type { OperatorApi } from "./operatorapi.js";
 
-type Calls = (req: IncomingMessage, res: ServerResponse) => void;
+type RequestHandler = (req: IncomingMessage, res: ServerResponse) => void;
 
 /** Serves the operators' calls; what only these need is loaded at the first of them, since a start must be quick. */
 export class OperatorServer {
     readonly #server: Server;
-    #unready = false;
+    #isMarkedUnready = false;
 
-    #calls: Promise<Calls> | undefined;
+    #requestHandler: Promise<RequestHandler> | undefined;
 
     constructor(
         private readonly api: OperatorApi,
         private readonly metrics: Metrics,
-        private readonly configured: () => boolean,
+        private readonly hasConfiguration: () => boolean,
     ) {
         this.#server = createServer((req, res) => this.#handle(req, res));
     }
@@ -27,7 +27,7 @@
 
     /** From now on the daemon is not ready. */
     unready(): void {
-        this.#unready = true;
+        this.#isMarkedUnready = true;
     }
 
     destroy(): void {
@@ -36,33 +36,35 @@
     }
 
     get ready(): boolean {
-        return this.configured() && !this.#unready;
+        return this.hasConfiguration() && !this.#isMarkedUnready;
     }
 
     #handle(req: IncomingMessage, res: ServerResponse): void {
         switch (req.url) {
             case "/metrics":
-                return void this.#metrics(res);
+                return void this.#sendMetrics(res);
             case "/healthz":
                 return void res.writeHead(200).end("alive\n");
             case "/readyz":
-                return this.#ready(res);
+                return this.#sendReadiness(res);
             default:
-                return void this.#call(req, res);
+                return void this.#handleOperatorRequest(req, res);
         }
     }
 
-    async #call(req: IncomingMessage, res: ServerResponse): Promise<void> {
-        this.#calls ??= import("./operatorcalls.js").then(({ operatorCalls }) => operatorCalls(this.api));
-        (await this.#calls)(req, res);
+    async #handleOperatorRequest(req: IncomingMessage, res: ServerResponse): Promise<void> {
+        this.#requestHandler ??= import("./createoperatorhandler.js").then(({ createOperatorHandler }) =>
+            createOperatorHandler(this.api)
+        );
+        (await this.#requestHandler)(req, res);
     }
 
-    async #metrics(res: ServerResponse): Promise<void> {
+    async #sendMetrics(res: ServerResponse): Promise<void> {
         res.setHeader("content-type", this.metrics.registry.contentType);
         res.end(await this.metrics.registry.metrics());
     }
 
-    #ready(res: ServerResponse): void {
+    #sendReadiness(res: ServerResponse): void {
         const { ready } = this;
         res.writeHead(ready ? 200 : 503).end(ready ? "ready\n" : "not ready\n");
     }
