--- a/src/config/answermode.ts
+++ b/src/config/answermode.ts
@@ -1,8 +1,11 @@
-/** How an answer reaches the caller. */
+/** Defines how a response is passed on to the caller. */
 import { z } from "zod";
 
 const AnswerMode = z.enum(["whole", "streamed"]);
 type AnswerMode = z.infer<typeof AnswerMode>;
 
-/** `whole`: received whole before its first byte is sent; `streamed`: passed on as it comes. */
+/**
+ * - `whole`: the response is received in full before its first byte is sent to the caller.
+ * - `streamed`: each part of the response is passed on as it arrives.
+ */
 export { AnswerMode };
--- a/src/config/applychanges.ts
+++ b/src/config/applychanges.ts
@@ -1,4 +1,4 @@
-/** Makes the next document from the last one. */
+/** Applies operators' changes to a document. */
 import type { ChangeId } from "../ids/changeid.js";
 import type { HallName } from "../ids/hallname.js";
 import type { Change } from "./change.js";
@@ -9,6 +9,7 @@
 
 type Named = { readonly name: string; };
 
+/** Replaces the item of the same name, or appends the item. */
 const put = <Item extends Named>(list: Item[], item: Item): Item[] => {
     const index = list.findIndex(other => other.name === item.name);
     return index < 0 ? [...list, item] : list.with(index, item);
@@ -17,7 +18,7 @@
 const remove = <Item extends Named>(list: Item[], name: string, path: string): Item[] => {
     const remaining = list.filter(item => item.name !== name);
     if (remaining.length === list.length) {
-        throw new ConfigError([{ code: "not-found", path, message: `nothing is named ${name}` }]);
+        throw new ConfigError([{ code: "not-found", path, message: `no item is named ${name}` }]);
     }
     return remaining;
 };
@@ -25,7 +26,7 @@
 const setDraining = (document: Document, name: string, draining: boolean): Document => {
     const upstream = document.upstreams.find(item => item.name === name);
     if (upstream === undefined) {
-        throw new ConfigError([{ code: "not-found", path: "upstreams", message: `nothing is named ${name}` }]);
+        throw new ConfigError([{ code: "not-found", path: "upstreams", message: `no upstream is named ${name}` }]);
     }
     return { ...document, upstreams: put(document.upstreams, { ...upstream, draining }) };
 };
@@ -66,7 +67,10 @@
     }
 };
 
-/** Returns the document with all changes made and its revision one higher; throws a ConfigError and makes none. */
+/**
+ * Returns a document with all changes applied and the next revision; `document` itself is not modified. Throws a
+ * ConfigError if a change or the resulting document is invalid.
+ */
 export function applyChanges(document: Document, id: ChangeId, changes: readonly Change[]): Document {
     const changed = changes.reduce(applyChange, document);
     const issues = checkDocument(changed);
--- a/src/config/applypatch.ts
+++ b/src/config/applypatch.ts
@@ -1,4 +1,4 @@
-/** Applies a patch. */
+/** Applies a patch to the document that a daemon has. */
 import type { Document } from "./document.js";
 import { keptChanges } from "./keptchanges.js";
 import type { Patch } from "./patch.js";
@@ -16,7 +16,7 @@
     return [...byName.values()];
 };
 
-/** Returns the patched document, or undefined when the patch starts from another revision. */
+/** Returns the patched document, or undefined if the patch does not lead from its revision to a newer one. */
 export function applyPatch(document: Document, patch: Patch): Document | undefined {
     if (patch.from !== document.revision || patch.to <= patch.from) {
         return undefined;
--- a/src/config/callerlimits.ts
+++ b/src/config/callerlimits.ts
@@ -1,13 +1,12 @@
-/** What an operator allows callers. */
+/** Defines the limits that an operator can set on requests and connections of callers. */
 import { z } from "zod";
 
-/** Bytes. */
 const KIB = 1024;
-/** As much as the daemon's own settings allow, in bytes. */
+/** Equals the largest value that the daemon's settings allow. */
 const MAX_HEADER_BYTES = 1024 * KIB;
-/** As much as the daemon's own settings allow, in bytes. */
+/** Equals the largest value that the daemon's settings allow. */
 const MAX_BODY_BYTES = 1024 * KIB * KIB;
-/** An hour: as much as the daemon's own settings allow, in milliseconds. */
+/** One hour; equals the largest value that the daemon's settings allow. */
 const MAX_TIMEOUT_MS = 3_600_000;
 
 const CallerLimits = z.strictObject({
@@ -18,5 +17,5 @@
 });
 type CallerLimits = z.infer<typeof CallerLimits>;
 
-/** Bounds on what callers send, in bytes and milliseconds; one that is left out is the daemon's own. */
+/** A limit that is omitted is taken from the daemon's settings. Sizes are bytes, times are milliseconds. */
 export { CallerLimits };
--- a/src/config/change.ts
+++ b/src/config/change.ts
@@ -1,17 +1,20 @@
-/** One step of a change of the document. */
+/** Defines the changes that operators can make to the configuration. */
 import type { HallName } from "../ids/hallname.js";
 import type { Rule } from "./rule.js";
 import type { Service } from "./service.js";
 import type { Upstream } from "./upstream.js";
 
-/** Services, upstreams and rules, without a revision. */
+/** The part of a document that `replace` replaces. */
 type Content = {
     readonly services: readonly Service[];
     readonly upstreams: readonly Upstream[];
     readonly rules: readonly Rule[];
 };
 
-/** Puts replace what has the same name, or add it. */
+/**
+ * A `put` replaces the item of the same name, or adds the item. `replace` replaces all services, upstreams and rules,
+ * and keeps the other fields of the document.
+ */
 export type Change =
     | { readonly type: "putService"; readonly service: Service; }
     | { readonly type: "putUpstream"; readonly upstream: Upstream; }
--- a/src/config/checkdocument.ts
+++ b/src/config/checkdocument.ts
@@ -1,4 +1,4 @@
-/** What must hold between the parts of a document. */
+/** Checks that the parts of a document are consistent; the schema checks each part for itself. */
 import type { Document } from "./document.js";
 import type { Issue } from "./issue.js";
 
@@ -9,7 +9,11 @@
     const issues: Issue[] = [];
     list.forEach((item, index) => {
         if (seen.has(item.name)) {
-            issues.push({ code: "duplicate", path: `${path}.${index}.name`, message: `${item.name} stands twice` });
+            issues.push({
+                code: "duplicate",
+                path: `${path}.${index}.name`,
+                message: `${item.name} is used more than once`,
+            });
         }
         seen.add(item.name);
     });
@@ -40,7 +44,7 @@
     );
 };
 
-/** Lists names that are used twice and references to nothing. */
+/** Returns an issue for each duplicate name and each reference to a service that does not exist. */
 export function checkDocument(document: Document): Issue[] {
     return [
         ...findDuplicateNames(document.services, "services"),
--- a/src/config/configerror.ts
+++ b/src/config/configerror.ts
@@ -1,8 +1,8 @@
-/** The error of this layer. */
+/** Defines the error for invalid configuration, settings and requests. */
 import { formatIssues } from "./formatissues.js";
 import type { Issue } from "./issue.js";
 
-/** A document, setting or call that is refused; lists every issue found. */
+/** Carries every issue that was found; the message has one line for each. */
 export class ConfigError extends Error {
     constructor(readonly issues: readonly Issue[]) {
         super(formatIssues(issues));
--- a/src/config/defaultconnections.ts
+++ b/src/config/defaultconnections.ts
@@ -1,2 +1,2 @@
-/** Connections to an upstream where the document does not say; the field is kept in its form, no limit is made of it yet. */
+/** Default of an upstream's `connections`. The field is stored, but does not limit connections yet. */
 export const defaultConnections = 200;
--- a/src/config/diffdocuments.ts
+++ b/src/config/diffdocuments.ts
@@ -1,4 +1,4 @@
-/** The difference of two documents, as reviewers read it. */
+/** Formats the difference between two documents for operators. */
 import type { Document } from "./document.js";
 
 type Named = { readonly name: string; };
@@ -22,7 +22,7 @@
 
 const asNamed = (names: readonly string[] = []): Named[] => names.map(name => ({ name }));
 
-/** One line for each thing added (`+`) or taken away (`-`); a changed thing gets both. */
+/** Returns a line for each item that was added (`+`) or removed (`-`); a changed item has a line of each. */
 export function diffDocuments(before: Document, after: Document): string[] {
     return [
         ...diffLists("service", before.services, after.services),
--- a/src/config/document.ts
+++ b/src/config/document.ts
@@ -1,4 +1,4 @@
-/** The whole configuration, one value in the platform's store. */
+/** Defines the configuration, which is stored as one value in the platform's store. */
 import { z } from "zod";
 import { HallName } from "../ids/hallname.js";
 import { CallerLimits } from "./callerlimits.js";
@@ -7,7 +7,7 @@
 import { Service } from "./service.js";
 import { Upstream } from "./upstream.js";
 
-/** Bounds the document. */
+/** Limits the size of the document. */
 const MAX_HALLS = 64;
 
 const Document = z.strictObject({
@@ -17,10 +17,10 @@
     upstreams: z.array(Upstream),
     rules: z.array(Rule),
     limits: CallerLimits.optional(),
-    /** Their upstreams get nothing new. */
+    /** Halls whose upstreams are sent no new requests. */
     evacuated: z.array(HallName).max(MAX_HALLS).optional(),
 });
 type Document = z.infer<typeof Document>;
 
-/** Services, upstreams, rules and evacuated halls, with the revision and the ids of the last changes. */
+/** Includes the ids of the latest changes, by which a retried change is recognized. */
 export { Document };
--- a/src/config/emptydocument.ts
+++ b/src/config/emptydocument.ts
@@ -1,5 +1,5 @@
-/** Where every configuration starts. */
+/** Defines the initial configuration. */
 import type { Document } from "./document.js";
 
-/** A document with nothing in it, older than any that was accepted. */
+/** Has revision 0, which is older than every accepted revision. */
 export const emptyDocument: Document = { revision: 0, changes: [], services: [], upstreams: [], rules: [] };
--- a/src/config/formatissues.ts
+++ b/src/config/formatissues.ts
@@ -1,7 +1,7 @@
-/** Issues as people read them. */
+/** Formats issues for people. */
 import type { Issue } from "./issue.js";
 
-/** One line an issue: the field, then what is wrong with it. */
+/** Returns one line for each issue: the path of the field, then the message. */
 export function formatIssues(issues: readonly Issue[]): string {
     return issues.map(issue => `${issue.path || "(top)"}: ${issue.message}`).join("\n");
 }
--- a/src/config/issue.ts
+++ b/src/config/issue.ts
@@ -1,6 +1,6 @@
-/** One thing wrong with a document, a setting or a call. */
+/** Defines a problem with a document, a setting or a request. */
 
-/** Data first: a stable code, the path of the field, and a sentence for people. */
+/** `code` is stable for programs, `path` names the field, and `message` explains the problem to people. */
 export type Issue = {
     readonly code: string;
     readonly path: string;
--- a/src/config/keptchanges.ts
+++ b/src/config/keptchanges.ts
@@ -1,4 +1,5 @@
-/** A bound of the document. */
-
-/** How many change ids a document keeps; a lost answer must be asked for within so many changes. */
+/**
+ * Number of change ids that a document keeps. A client that lost the response to a change can look the change up until
+ * this many newer ones have been made.
+ */
 export const keptChanges = 256;
--- a/src/config/kind.ts
+++ b/src/config/kind.ts
@@ -1,8 +1,8 @@
-/** Whether a request may run more than once. */
+/** Defines whether a request may run more than once. */
 import { z } from "zod";
 
 const Kind = z.enum(["repeatable", "once"]);
 type Kind = z.infer<typeof Kind>;
 
-/** `repeatable` may run again; `once` runs at most once. */
+/** A `repeatable` request may run more than once; a `once` request runs at most once. */
 export { Kind };
--- a/src/config/makepatch.ts
+++ b/src/config/makepatch.ts
@@ -1,4 +1,4 @@
-/** Finds the patch between two documents. */
+/** Computes the patch between two documents. */
 import type { Document } from "./document.js";
 import type { Patch } from "./patch.js";
 
@@ -14,7 +14,7 @@
     return before.filter(item => !remaining.has(item.name)).map(item => item.name);
 };
 
-/** The patch that takes `before` to `after`. */
+/** Returns the patch that turns `before` into `after`. */
 export function makePatch(before: Document, after: Document): Patch {
     return {
         from: before.revision,
--- a/src/config/parse.ts
+++ b/src/config/parse.ts
@@ -1,9 +1,9 @@
-/** Checks data from outside against a schema. */
+/** Validates external data against a schema. */
 import type { z } from "zod";
 import { ConfigError } from "./configerror.js";
 import type { Issue } from "./issue.js";
 
-/** Characters of a wrong value in an error: enough to find it. */
+/** Limits how much of an invalid value an error message shows. */
 const MAX_VALUE_CHARS = 80;
 
 const valueAt = (input: unknown, path: readonly PropertyKey[]): unknown =>
@@ -20,7 +20,7 @@
     message: `${issue.message}; got ${formatValue(valueAt(input, issue.path))}`,
 });
 
-/** Returns the checked value; throws a ConfigError that names each wrong field, its value and what is allowed. */
+/** Returns the validated value. Throws a ConfigError that names each invalid field, its value and what is allowed. */
 export function parse<Schema extends z.ZodType>(schema: Schema, input: unknown): z.infer<Schema> {
     const result = schema.safeParse(input);
     if (result.success) {
--- a/src/config/patch.ts
+++ b/src/config/patch.ts
@@ -1,4 +1,4 @@
-/** The difference of two documents, as daemons send it. */
+/** Defines the difference between two documents that daemons send to their peers. */
 import { z } from "zod";
 import { HallName } from "../ids/hallname.js";
 import { CallerLimits } from "./callerlimits.js";
@@ -22,5 +22,5 @@
 });
 type Patch = z.infer<typeof Patch>;
 
-/** Takes revision `from` to revision `to`: what to put and what to delete. */
+/** Turns revision `from` into revision `to`: lists the items to put and the names to delete. */
 export { Patch };
--- a/src/config/rule.ts
+++ b/src/config/rule.ts
@@ -1,4 +1,4 @@
-/** What an operator sets for the requests that a rule matches. */
+/** Defines the rules by which operators select requests and set how they are handled. */
 import { z } from "zod";
 import { RuleName } from "../ids/rulename.js";
 import { ServiceName } from "../ids/servicename.js";
@@ -9,17 +9,16 @@
 import { priorityOfRank } from "./priorityofrank.js";
 import { Share } from "./share.js";
 
-/** Milliseconds, where the rule does not say. */
 const DEFAULT_TIME_LIMIT_MS = 10_000;
-/** Ten minutes, in milliseconds: bounds how long the ledger remembers a request. */
+/** Ten minutes; also bounds how long the ledger keeps an entry for a request. */
 const MAX_TIME_LIMIT_MS = 600_000;
-/** Characters of a host or a path prefix. */
+/** Limits the length of a host name or a path prefix. */
 const MAX_PATH_CHARS = 1024;
-/** More than there are methods in use. */
+/** More than the number of methods in use. */
 const MAX_METHODS = 16;
-/** Parts of a split; bounds the document. */
+/** Limits the shares of a split, and so the size of the document. */
 const MAX_SHARES = 64;
-/** Attempts of a request; more would only add load. */
+/** Limits the attempts of a request; further attempts would only add load. */
 const MAX_ATTEMPTS = 16;
 
 const Method = z.string().regex(/^[A-Z][A-Z-]{0,31}$/, "must be an HTTP method in capitals");
@@ -33,7 +32,8 @@
     pathPrefix: z.string().max(MAX_PATH_CHARS).startsWith("/"),
     methods: z.array(Method).max(MAX_METHODS).default([]),
     service: ServiceName,
-    split: z.array(Share).max(MAX_SHARES).refine(hasPositiveWeight, "one part must have a weight above 0").optional(),
+    split: z.array(Share).max(MAX_SHARES).refine(hasPositiveWeight, "at least one share must have a weight above 0")
+        .optional(),
     priority: z.union([Priority, z.int().min(0).transform(priorityOfRank)]).default("normal"),
     tenant: TeamName.default("none" as TeamName),
     kind: Kind.optional(),
@@ -45,7 +45,11 @@
 type Rule = z.infer<typeof Rule>;
 
 /**
- * Which requests it matches and how they are handled. No `kind` means the method's own; a `split` goes before the
- * `service`; `targetMs` is the time within which an answer is worth most; `maxTries` bounds the upstreams of a request.
+ * A rule states which requests it matches and how they are handled.
+ *
+ * - `split`: if present, distributes the requests over its services instead of sending them to `service`.
+ * - `kind`: derived from the method if omitted.
+ * - `targetMs`: the time within which a response is most useful to the caller.
+ * - `maxTries`: the largest number of attempts for a request.
  */
 export { Rule };
--- a/src/config/service.ts
+++ b/src/config/service.ts
@@ -1,23 +1,22 @@
-/** What an operator sets for a service. */
+/** Defines the settings of a service. */
 import { z } from "zod";
 import { ServiceName } from "../ids/servicename.js";
 
-/** Answers up to this size are received whole before the caller gets any of them, in bytes. */
+/** Responses up to this size are received in full before any part is sent to the caller. */
 const DEFAULT_BUFFER_BYTES = 1024 * 1024;
-/** Bounds what one answer holds in memory, in bytes. */
+/** Limits the memory that one response uses. */
 const MAX_BUFFER_BYTES = 16 * 1024 * 1024;
-/** Longest wait for a slot, in milliseconds, where the service does not say. */
+/** Longest time that a request is queued for a slot. */
 const DEFAULT_MAX_WAIT_MS = 1000;
-/** Milliseconds; no caller that was seen waits longer. */
+/** Longer than any caller is known to wait. */
 const MAX_WAIT_MS = 60_000;
-/** Characters. */
 const MAX_PATH_CHARS = 1024;
-/** Of the successes, that retries may add to the load. */
+/** Retries that are allowed for each successful request. */
 const DEFAULT_RETRY_RATIO = 0.1;
 
-/** More than any upstream serves. */
+/** More than any upstream can serve. */
 const MAX_REQUESTS_PER_SECOND = 1_000_000;
-/** An hour, in milliseconds. */
+/** One hour. */
 const MAX_COLD_START_MS = 3_600_000;
 
 const Service = z.strictObject({
@@ -32,8 +31,10 @@
 type Service = z.infer<typeof Service>;
 
 /**
- * A named group of upstreams; sizes in bytes, times in milliseconds; no `healthPath` means the daemons' own. A cold upstream takes
- * `coldPerSecond` requests a second, as many as any other where that is not set; one that does not say how long it is cold is taken for
- * cold for `coldStartMs` after its start.
+ * A service is a named group of upstreams that serve the same requests. Sizes are bytes, times are milliseconds.
+ *
+ * - `healthPath`: the path of the upstreams' health endpoints; the daemon's setting if omitted.
+ * - `coldPerSecond`: the requests per second that a cold upstream is sent; as many as other upstreams if omitted.
+ * - `coldStartMs`: for how long an upstream counts as cold after its start if it does not state a time.
  */
 export { Service };
--- a/src/config/share.ts
+++ b/src/config/share.ts
@@ -1,12 +1,12 @@
-/** One part of a rule's split. */
+/** Defines a share of a rule's split. */
 import { z } from "zod";
 import { ServiceName } from "../ids/servicename.js";
 
-/** Keeps the sum of all weights exact. */
+/** Small enough that the sum of all weights is exact. */
 const MAX_WEIGHT = 1_000_000;
 
 const Share = z.strictObject({ service: ServiceName, weight: z.int().min(0).max(MAX_WEIGHT) });
 type Share = z.infer<typeof Share>;
 
-/** A service and the weight of its part of the requests. */
+/** The service is sent a fraction of the rule's requests: its weight divided by the sum of all weights. */
 export { Share };
--- a/src/config/update.ts
+++ b/src/config/update.ts
@@ -1,4 +1,4 @@
-/** What a daemon gives to a peer that is behind. */
+/** Defines the update that a daemon sends to a peer whose configuration is older. */
 import { z } from "zod";
 import { Document } from "./document.js";
 import { Patch } from "./patch.js";
@@ -9,5 +9,5 @@
 ]);
 type Update = z.infer<typeof Update>;
 
-/** Patches when they are at hand, or else the whole document. */
+/** Contains patches if the daemon still has those from the peer's revision on, otherwise the full document. */
 export { Update };
--- a/src/config/upstream.ts
+++ b/src/config/upstream.ts
@@ -1,4 +1,4 @@
-/** What an operator sets for an upstream. */
+/** Defines the settings of an upstream. */
 import { z } from "zod";
 import { Address } from "../ids/address.js";
 import { HallName } from "../ids/hallname.js";
@@ -9,7 +9,7 @@
 import { defaultConnections } from "./defaultconnections.js";
 import { Slots } from "./slots.js";
 
-/** As many as slots at the most. */
+/** Equals the largest number of slots. */
 const MAX_CONNECTIONS = 10_000;
 
 const Upstream = z.strictObject({
@@ -26,5 +26,5 @@
 });
 type Upstream = z.infer<typeof Upstream>;
 
-/** One instance of a service; `gate` is the peer address of the daemon beside it. */
+/** An upstream is one instance of a service. `gate` is the peer address of the daemon on its host. */
 export { Upstream };
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -102,7 +102,7 @@
                 ["upstream", "update", "pages-1", "--address", "host:1"],
                 /changes\.0\.address: must be IP:PORT; got "host:1"/,
             ],
-            [["drain", "nobody"], /nothing is named nobody/],
+            [["drain", "nobody"], /upstreams: no upstream is named nobody/],
         ];
         for (const [args, message] of table) {
             const { code, stderr } = await mesh.cli(...args);
