--- a/src/operator/collectstatus.ts
+++ b/src/operator/collectstatus.ts
@@ -1,4 +1,4 @@
-/** Asks every daemon for the state of its gates. */
+/** Collects the state of the gates from the daemons. */
 import type { Upstream } from "../config/upstream.js";
 import type { Address } from "../ids/address.js";
 import { log } from "../log/log.js";
@@ -6,7 +6,7 @@
 import type { PeerClient } from "../peer/peerclient.js";
 import type { StatusLine } from "./statusline.js";
 
-/** Daemons asked at the same time: bounds connections when an operator asks for all. */
+/** Bounds the connections that are open at once, since a status call covers all daemons. */
 const MAX_CONCURRENT_REQUESTS = 32;
 
 const logger = log("operator");
@@ -16,14 +16,14 @@
         return await peer.status(gate);
     }
     catch (err) {
-        logger.warn("A daemon did not answer for its status; its upstreams are shown without one.", err, {
+        logger.warn("A daemon did not respond to a status request; its upstreams are shown as silent.", err, {
             peer: gate,
         });
         return [];
     }
 };
 
-/** One line for each upstream; asks a bounded number of daemons at once, and only when an operator asks. */
+/** Returns one line for each upstream. Sends a status request to each daemon, and only when it is called. */
 export async function collectStatus(upstreams: readonly Upstream[], peer: PeerClient): Promise<StatusLine[]> {
     const gates = [...new Set(upstreams.map(upstream => upstream.gate))];
     const statusByUpstream = new Map<string, GateStatus>();
--- a/src/operator/decodechange.ts
+++ b/src/operator/decodechange.ts
@@ -1,4 +1,4 @@
-/** From the schema's change to ours, checked. */
+/** Decodes and validates changes that operators send. */
 import { z } from "zod";
 import type { Change } from "../config/change.js";
 import { ConfigError } from "../config/configerror.js";
@@ -19,7 +19,7 @@
 import { protoKind } from "./protokind.js";
 import { protoPriority } from "./protopriority.js";
 
-/** Numbers and texts that a message leaves at their zero value stand for "not set". */
+/** In the schema, a number or string with its zero value means that the field is not set. */
 const undefinedIfZero = <Value>(value: Value): Value | undefined => value ? value : undefined;
 
 const decodeService = (service: ProtoService): Service => {
@@ -53,7 +53,7 @@
     rules: configuration.rules.map(decodeRule),
 });
 
-/** Throws a ConfigError that names the field. */
+/** Returns the change. Throws a ConfigError that names each invalid field. */
 export function decodeChange({ change }: ProtoChange): Change {
     switch (change.case) {
         case "putService":
@@ -75,6 +75,6 @@
         case "replace":
             return { type: "replace", content: decodeContent(change.value) };
         default:
-            throw new ConfigError([{ code: "required", path: "changes", message: "a change says nothing" }]);
+            throw new ConfigError([{ code: "required", path: "changes", message: "the change is empty" }]);
     }
 }
--- a/src/operator/encodechangeresult.ts
+++ b/src/operator/encodechangeresult.ts
@@ -1,4 +1,4 @@
-/** From what became of a change to the schema's answer. */
+/** Encodes the result of a change as the response of the schema. */
 import { create } from "@bufbuild/protobuf";
 import type { ChangeResult } from "../distribution/changeresult.js";
 import {
@@ -16,7 +16,7 @@
     "unknown": ChangeOutcome.UNKNOWN,
 };
 
-/** Leaves out what the outcome has not. */
+/** Returns the response; fields that the result does not have keep their zero value. */
 export function encodeChangeResult(result: ChangeResult): ApplyChangesResponse {
     const conflict = result.type === "conflict" ? result.latestChange : undefined;
     return create(ApplyChangesResponseSchema, {
--- a/src/operator/encodeconfiguration.ts
+++ b/src/operator/encodeconfiguration.ts
@@ -1,4 +1,4 @@
-/** From our document to the schema's message. */
+/** Encodes a document as the Configuration message of the schema. */
 import { create } from "@bufbuild/protobuf";
 import type { Document } from "../config/document.js";
 import type { Rule } from "../config/rule.js";
@@ -20,7 +20,7 @@
         answer: protoAnswerMode[rule.answer],
     });
 
-/** The message of the whole document. */
+/** Returns the message; caller limits and the ids of changes are not part of it. */
 export function encodeConfiguration(document: Document): Configuration {
     return create(ConfigurationSchema, {
         revision: BigInt(document.revision),
--- a/src/operator/explain.ts
+++ b/src/operator/explain.ts
@@ -1,4 +1,4 @@
-/** Explains a request without sending it. */
+/** Explains how this daemon would handle a request, without sending it. */
 import type { Document } from "../config/document.js";
 import type { Rule } from "../config/rule.js";
 import type { UpstreamTable } from "../ingress/upstreamtable.js";
@@ -28,7 +28,7 @@
     };
 };
 
-/** The rule, the kind, and each upstream of the service. */
+/** Returns the matching rule, the kind of the request, and the state of each upstream of the rule's service. */
 export function explain(
     document: Document,
     isFresh: boolean,
--- a/src/operator/explanation.ts
+++ b/src/operator/explanation.ts
@@ -1,9 +1,9 @@
-/** What the daemon would do with a request. */
+/** Defines the explanation of how a daemon would handle a request. */
 import type { Kind } from "../config/kind.js";
 import type { Rule } from "../config/rule.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
 
-/** An upstream, and why it may not be chosen. */
+/** An upstream of the service. `reason` states why it can't be selected, and is empty if it can. */
 type ExplainedCandidate = {
     readonly upstream: UpstreamName;
     readonly eligible: boolean;
@@ -11,7 +11,7 @@
     readonly expectedMs: number;
 };
 
-/** No rule means that the request is refused. */
+/** `rule` is undefined if no rule matches; the request would then be refused. */
 export type Explanation = {
     readonly rule: Rule | undefined;
     readonly kind: Kind | undefined;
--- a/src/operator/nameof.ts
+++ b/src/operator/nameof.ts
@@ -1,6 +1,6 @@
-/** From a number of the schema back to our own name. */
+/** Decodes enum values of the schema. */
 
-/** The key of the value; undefined for one that is not there, such as "unspecified". */
+/** Returns the key of `value` in `names`, or undefined if there is none, as for an unspecified value. */
 export function nameOf<Name extends string>(names: Readonly<Record<Name, number>>, value: number): Name | undefined {
     return (Object.keys(names) as Name[]).find(name => names[name] === value);
 }
--- a/src/operator/operatorapi.ts
+++ b/src/operator/operatorapi.ts
@@ -1,4 +1,4 @@
-/** What operators can ask of a daemon, in the types of the product. */
+/** Implements the operators' calls on winglock's own types, independent of the schema and the transport. */
 import type { Document } from "../config/document.js";
 import type { Upstream } from "../config/upstream.js";
 import type { ChangePublisher } from "../distribution/changepublisher.js";
@@ -15,19 +15,18 @@
 import { explain } from "./explain.js";
 import type { Explanation } from "./explanation.js";
 
-/** What the calls need of their daemon. */
 type OperatorDependencies = {
     readonly clock: Clock;
     readonly configuration: CurrentConfiguration;
     readonly publisher: ChangePublisher;
     readonly evacuations: Evacuations;
     readonly upstreams: UpstreamTable;
-    /** All upstreams that there are: those of the document, and those that announce themselves. */
+    /** Returns all known upstreams: those of the document and those that announce themselves. */
     readonly known: () => readonly Upstream[];
     readonly peer: PeerClient;
 };
 
-/** Knows nothing of how the calls come in. */
+/** Serves calls from the state of one daemon. */
 export class OperatorApi {
     constructor(private readonly deps: OperatorDependencies) {}
 
@@ -35,6 +34,7 @@
         return this.deps.configuration.document;
     }
 
+    /** True if the store has confirmed the daemon's configuration recently. */
     get isFresh(): boolean {
         return this.deps.configuration.isFresh(this.deps.clock());
     }
@@ -47,7 +47,7 @@
         return this.deps.publisher.apply(request);
     }
 
-    /** The revision that a change made, undefined when it made none; throws a StoreError. */
+    /** Returns the revision that a change produced, or undefined if it produced none. Throws a StoreError. */
     findRevision(id: ChangeId): Promise<number | undefined> {
         return this.deps.publisher.findRevision(id);
     }
--- a/src/operator/operatorroutes.ts
+++ b/src/operator/operatorroutes.ts
@@ -1,4 +1,4 @@
-/** The operators' calls: translates the schema's messages into the product's types and back. */
+/** Routes the operators' calls: decodes the requests of the schema and encodes the responses. */
 import { create } from "@bufbuild/protobuf";
 import { Code, ConnectError, type ConnectRouter } from "@connectrpc/connect";
 import { ConfigError } from "../config/configerror.js";
@@ -81,12 +81,12 @@
 
 const explainUrl = (api: OperatorApi, method: string, url: string): ReturnType<OperatorApi["explain"]> => {
     if (!URL.canParse(url)) {
-        throw new ConnectError(`url: must be a whole URL; got ${JSON.stringify(url)}`, Code.InvalidArgument);
+        throw new ConnectError(`url: must be an absolute URL; got ${JSON.stringify(url)}`, Code.InvalidArgument);
     }
     return api.explain(method.toUpperCase(), new URL(url));
 };
 
-/** Registers the calls. */
+/** Returns a function that registers the calls of the OperatorService with a router. */
 export function operatorRoutes(api: OperatorApi): (router: ConnectRouter) => void {
     return router =>
         router.service(OperatorService, {
--- a/src/operator/operatorserver.ts
+++ b/src/operator/operatorserver.ts
@@ -1,4 +1,4 @@
-/** The listener for operators: calls, metrics, liveness and readiness. */
+/** Serves operators' calls, metrics, liveness and readiness on the operators' address. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Metrics } from "../metrics/metrics.js";
 import { listen } from "../time/listen.js";
@@ -6,7 +6,7 @@
 
 type RequestHandler = (req: IncomingMessage, res: ServerResponse) => void;
 
-/** Serves the operators' calls; what only these need is loaded at the first of them, since a start must be quick. */
+/** Loads the modules that only operators' calls need when the first call arrives, so that the daemon starts quickly. */
 export class OperatorServer {
     readonly #server: Server;
     #isMarkedUnready = false;
@@ -25,7 +25,7 @@
         return listen(this.#server, address);
     }
 
-    /** From now on the daemon is not ready. */
+    /** Makes the daemon report that it is not ready, from now on. */
     unready(): void {
         this.#isMarkedUnready = true;
     }
--- a/src/operator/protoanswermode.ts
+++ b/src/operator/protoanswermode.ts
@@ -1,8 +1,8 @@
-/** Answer modes as the schema has them. */
+/** Maps answer modes to the enum of the schema. */
 import type { AnswerMode } from "../config/answermode.js";
 import { AnswerMode as ProtoAnswerMode } from "../gen/winglock/operator/v1/operator_pb.js";
 
-/** By our own name; what is not here is unspecified. */
+/** Has no entry for the unspecified value. */
 export const protoAnswerMode: Readonly<Record<AnswerMode, ProtoAnswerMode>> = {
     whole: ProtoAnswerMode.WHOLE,
     streamed: ProtoAnswerMode.STREAMED,
--- a/src/operator/protopriority.ts
+++ b/src/operator/protopriority.ts
@@ -1,8 +1,8 @@
-/** Classes as the schema has them. */
+/** Maps priority classes to the enum of the schema. */
 import type { Priority } from "../config/priority.js";
 import { Priority as ProtoPriority } from "../gen/winglock/operator/v1/operator_pb.js";
 
-/** By our own name; what is not here is unspecified. */
+/** Has no entry for the unspecified value. */
 export const protoPriority: Readonly<Record<Priority, ProtoPriority>> = {
     urgent: ProtoPriority.URGENT,
     normal: ProtoPriority.NORMAL,
