--- a/src/log/linebudget.test.ts
+++ b/src/log/linebudget.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { LineBudget } from "./linebudget.js";
 
-test("log budget: each kind has its own, and what is left out is counted", () => {
+test("log budget: each kind has its own budget, and dropped lines are counted", () => {
     const budget = new LineBudget(10, 0);
     const written = Array.from({ length: 10 }, () => budget.spend("decision", 0)).filter(Boolean).length;
     assert.equal(written, 3);
@@ -11,10 +11,10 @@
     assert.equal(budget.takeDroppedCounts(), undefined);
 });
 
-test("log budget: it fills again with time", () => {
+test("log budget: a used-up budget refills over time", () => {
     const budget = new LineBudget(10, 0);
     while (budget.spend("belief", 0)) {
-        // Uses it up.
+        // Uses up the budget.
     }
     assert.equal(budget.spend("belief", 1000), true);
 });
--- a/src/log/linebudget.ts
+++ b/src/log/linebudget.ts
@@ -1,12 +1,12 @@
-/** Bounds how many lines of each kind are written in a second. */
+/** Limits the log lines of each kind that are written per second. */
 import { TokenBucket } from "../policy/tokenbucket.js";
 import type { LineKind } from "./linekind.js";
 
-/** Shares of the whole; failures before successes. */
+/** Each kind's share of the total; failures have the largest, since they matter more than successes. */
 const BUDGET_SHARES: Readonly<Record<LineKind, number>> = { belief: 0.3, failure: 0.4, decision: 0.3 };
 const KINDS = Object.keys(BUDGET_SHARES) as LineKind[];
 
-/** Pure; `now` is in milliseconds. */
+/** Counts the lines that exceed the budget. Has no clock of its own; `now` is in milliseconds. */
 export class LineBudget {
     readonly #buckets: ReadonlyMap<LineKind, TokenBucket>;
     readonly #droppedCounts = new Map<LineKind, number>();
@@ -18,7 +18,7 @@
         }));
     }
 
-    /** False when the line must be left out; it is counted. */
+    /** Returns true if a line may be written; otherwise counts it as dropped and returns false. */
     spend(kind: LineKind, now: number): boolean {
         const isAllowed = this.#buckets.get(kind)!.spend(1, now);
         if (!isAllowed) {
@@ -27,12 +27,12 @@
         return isAllowed;
     }
 
-    /** Counts a line that was left out. */
+    /** Counts a dropped line. */
     countDropped(kind: LineKind): void {
         this.#droppedCounts.set(kind, (this.#droppedCounts.get(kind) ?? 0) + 1);
     }
 
-    /** What was left out since the last call; undefined for nothing. */
+    /** Returns the number of lines of each kind that were dropped since the last call, or undefined if none were. */
     takeDroppedCounts(): Partial<Record<LineKind, number>> | undefined {
         if (this.#droppedCounts.size === 0) {
             return undefined;
--- a/src/log/log.ts
+++ b/src/log/log.ts
@@ -1,8 +1,8 @@
-/** Structured logs, a line of JSON each, on standard output. */
+/** Provides structured logs: one line of JSON per entry, on standard output. */
 import type { LogPart } from "./logpart.js";
 import { PartLog } from "./partlog.js";
 
-/** The log of one part. */
+/** Returns the log of one part of the daemon. */
 export function log(part: LogPart): PartLog {
     return new PartLog(part);
 }
--- a/src/log/loglevel.ts
+++ b/src/log/loglevel.ts
@@ -1,8 +1,8 @@
-/** How much is logged. */
+/** Defines the log levels. */
 import { z } from "zod";
 
 const LogLevel = z.enum(["info", "warn", "error", "silent"]);
 type LogLevel = z.infer<typeof LogLevel>;
 
-/** The most talkative first; `silent` writes nothing. */
+/** The most verbose level comes first; `silent` writes nothing. */
 export { LogLevel };
--- a/src/log/logpart.ts
+++ b/src/log/logpart.ts
@@ -1,6 +1,6 @@
-/** The parts of a daemon that log. */
+/** Defines the parts of a daemon that write log lines. */
 
-/** Stands on each line as `part`. */
+/** Written to each line as the field `part`. */
 export type LogPart =
     | "daemon"
     | "ingress"
--- a/src/log/logsink.ts
+++ b/src/log/logsink.ts
@@ -1,4 +1,4 @@
-/** Where all log lines of a process go: standard output, by pino, bounded and never waited for. */
+/** Writes all log lines of a process to standard output with pino, at a bounded rate and without blocking. */
 import { performance } from "node:perf_hooks";
 import { type Logger, pino } from "pino";
 import { LineBudget } from "./linebudget.js";
@@ -7,14 +7,14 @@
 import type { LogPart } from "./logpart.js";
 import { Output } from "./output.js";
 
-/** Until the settings are read; the same as their default. */
+/** Used until the settings are read; equals their default. */
 const DEFAULT_LINES_PER_SECOND = 500;
-/** Milliseconds. */
+/** Minimum time between reports of dropped lines. */
 const DROPPED_REPORT_INTERVAL_MS = 1000;
-/** For which the end of the process waits for a slow reader, in milliseconds: far below a stop's own limit. */
+/** Longest wait for a slow reader when the process ends; far below the time limit for stopping. */
 const END_TIMEOUT_MS = 300;
 
-/** Made once for a process. */
+/** Writes log lines within the budget and reports how many were dropped. One instance exists per process. */
 class LogSink {
     readonly #output = new Output(() => this.#budget.countDropped("decision"));
     readonly #logger: Logger = pino(
@@ -24,7 +24,7 @@
     #budget = new LineBudget(DEFAULT_LINES_PER_SECOND, performance.now());
     #reportedDroppedAt = 0;
 
-    /** Sets what is written. */
+    /** Sets the lowest level that is written and the budget. */
     configure(level: LogLevel, linesPerSecond: number): void {
         this.#logger.level = level;
         this.#budget = new LineBudget(linesPerSecond, performance.now());
@@ -42,7 +42,7 @@
         this.#reportDropped(now);
     }
 
-    /** Writes what waits, at the end of a process; a reader that stands still is not waited for. */
+    /** Flushes buffered lines when the process ends; does not wait long for a reader that has stopped reading. */
     end(): Promise<void> {
         return this.#output.end(END_TIMEOUT_MS);
     }
@@ -54,7 +54,10 @@
         this.#reportedDroppedAt = now;
         const droppedCounts = this.#budget.takeDroppedCounts();
         if (droppedCounts !== undefined) {
-            this.#logger.warn({ part: "daemon", leftOut: droppedCounts }, "Lines were left out.");
+            this.#logger.warn(
+                { part: "daemon", leftOut: droppedCounts },
+                "Log lines were dropped because they exceeded the budget or the output buffer.",
+            );
         }
     }
 }
@@ -63,5 +66,5 @@
     return { level: label };
 }
 
-/** The process's own. */
+/** The log sink of this process. */
 export const logSink = new LogSink();
--- a/src/log/output.ts
+++ b/src/log/output.ts
@@ -1,19 +1,18 @@
 /**
- * Standard output, never waited for.
+ * Writes lines to standard output without blocking.
  *
- * Lines are handed on in batches, since each hand-over costs a wake-up of the process. Pipes and sockets are written
- * without blocking: a thread that waits for a slow reader could not be stopped, and would keep the process from ending.
+ * Lines are written in batches, since each write costs a wake-up of the process. Pipes and sockets are written with
+ * non-blocking I/O: a thread that is blocked by a slow reader can't be stopped, and would keep the process from ending.
  */
 import { createWriteStream, fstatSync } from "node:fs";
 import { Socket } from "node:net";
 import type { Writable } from "node:stream";
 import { finished } from "node:stream/promises";
 
-/** Its file descriptor. */
 const STDOUT_FD = 1;
-/** Lines are at most so old when they are handed on, in milliseconds; ten wake-ups a second. */
+/** Longest time that a line is buffered; causes at most ten wake-ups per second. */
 const BATCH_INTERVAL_MS = 100;
-/** A reader that is slower than this many bytes behind loses lines. */
+/** If a reader is so slow that more than this is buffered, new lines are dropped. */
 const MAX_BUFFERED_BYTES = 1024 * 1024;
 
 const openStdout = (): Writable => {
@@ -24,7 +23,7 @@
     return createWriteStream("", { fd: STDOUT_FD, autoClose: false });
 };
 
-/** Opened at the first line; `onDrop` is called for each line that is lost to a slow reader. */
+/** Opens standard output at the first line. `onDrop` is called for each line that is dropped due to a slow reader. */
 export class Output {
     #stream: Writable | undefined;
     #lines: string[] = [];
@@ -33,7 +32,7 @@
 
     constructor(private readonly onDrop: () => void) {}
 
-    /** Adds a line, which ends with its newline. */
+    /** Buffers a line, which includes its newline, or drops it if the buffer is full. */
     write(line: string): void {
         if (this.#bytes + this.#openStream().writableLength > MAX_BUFFERED_BYTES) {
             this.onDrop();
@@ -44,7 +43,7 @@
         this.#timer ??= setTimeout(() => this.#flush(), BATCH_INTERVAL_MS).unref();
     }
 
-    /** Resolves when all lines are written, the reader has gone, or `limitMs` milliseconds have passed. */
+    /** Resolves when all lines are written, the reader has closed its end, or `timeoutMs` milliseconds have passed. */
     async end(timeoutMs: number): Promise<void> {
         this.#flush();
         const stream = this.#openStream();
@@ -53,7 +52,7 @@
             await finished(stream, { signal: AbortSignal.timeout(timeoutMs) });
         }
         catch {
-            // The reader has gone or stands still: there is nowhere left to say so.
+            // The reader has closed its end or stopped reading, so this error can't be logged.
         }
     }
 
@@ -61,7 +60,7 @@
         if (this.#stream === undefined) {
             this.#stream = openStdout();
             this.#stream.on("error", () => {
-                // The reader has gone: there is nowhere left to say so.
+                // The reader has closed its end, so this error can't be logged.
             });
         }
         return this.#stream;
--- a/src/log/partlog.ts
+++ b/src/log/partlog.ts
@@ -1,28 +1,28 @@
-/** The log of one part of the daemon. */
+/** Writes the log lines of one part of the daemon. */
 import type { LogPart } from "./logpart.js";
 import { logSink } from "./logsink.js";
 
-/** Short sentences, with what they rest on as fields; times in milliseconds, ages in milliseconds. */
+/** Messages are short sentences; the values behind them are fields. Times and ages are in milliseconds. */
 export class PartLog {
     constructor(private readonly part: LogPart) {}
 
-    /** The state of the daemon, or what it knows of others, has changed. */
+    /** Logs a change of the daemon's state or of its view of other daemons. */
     change(message: string, fields: object = {}): void {
         logSink.write("info", "belief", this.part, message, fields);
     }
 
-    /** Something went wrong that is no request's own. */
+    /** Logs an error that does not belong to a single request. */
     warn(message: string, err: unknown, fields: object = {}): void {
         const error = err instanceof Error ? err.message : String(err);
         logSink.write("warn", "belief", this.part, message, { ...fields, error });
     }
 
-    /** A decision on a request, with what it rests on. */
+    /** Logs a decision on a request, with the values that it is based on. */
     decision(id: string, message: string, fields: object): void {
         logSink.write("info", "decision", this.part, message, { id, ...fields });
     }
 
-    /** A decision on a request that failed, was refused, or may run only once: it is written before others. */
+    /** Logs a decision on a request that failed, was refused or may run only once. Has a larger budget than others. */
     failure(id: string, message: string, fields: object): void {
         logSink.write("info", "failure", this.part, message, { id, ...fields });
     }
