--- a/src/dialect/headername.ts
+++ b/src/dialect/headername.ts
@@ -1,4 +1,4 @@
-/** The names of winglock's own header fields. */
+/** Lists the names of winglock's own header fields. */
 
 /** All start with `winglock-`, so that one check of the prefix strips them from callers' requests. */
 export const headerName = {
--- a/src/dialect/owndialect.ts
+++ b/src/dialect/owndialect.ts
@@ -1,4 +1,4 @@
-/** The dialect of callers and upstreams that use winglock's own header fields. */
+/** Implements the dialect of callers and upstreams that use winglock's own header fields. */
 import type { HttpHeaders } from "../http/httpheaders.js";
 import { httpStatus } from "../http/httpstatus.js";
 import { Dialect } from "./dialect.js";
--- a/src/dialect/readload.ts
+++ b/src/dialect/readload.ts
@@ -4,9 +4,9 @@
  */
 import type { UpstreamLoad } from "./upstreamload.js";
 
-/** The pace of an upstream whose service time is its usual one. */
+/** States that the present service time is the usual one. */
 const USUAL_PACE_HUNDREDTHS = 100;
-/** All fields but the pace, which is optional. */
+/** Excludes the pace, which is optional. */
 const MIN_FIELDS = 3;
 
 /** Returns the report, or undefined if it is unreadable; the pace is the usual one if it is omitted. */
--- a/src/dialect/requestkeyof.ts
+++ b/src/dialect/requestkeyof.ts
@@ -6,10 +6,10 @@
 import type { RequestKey } from "../ids/requestkey.js";
 import type { Dialect } from "./dialect.js";
 
-/** The part of the digest that is used: long enough that two requests do not share a key by chance. */
+/** Limits the digest to this length, which is long enough that two requests do not share a key by chance. */
 const KEY_BYTES = 8;
 
-/** The parts of a request that are used, as an ingress sends them to a gate. */
+/** Contains the parts of a request that the key is computed from, as an ingress sends them to a gate. */
 type KeyedRequest = {
     readonly method: string;
     readonly path: string;
--- a/src/dialect/upstreamload.ts
+++ b/src/dialect/upstreamload.ts
@@ -1,4 +1,4 @@
-/** An upstream's own load report. */
+/** Defines the load report that an upstream sends about itself. */
 
 /**
  * `running` and `waiting` are the numbers of requests that run and that are queued at the upstream. `pace` is its
--- a/src/metrics/connectionkind.ts
+++ b/src/metrics/connectionkind.ts
@@ -1,2 +1,2 @@
-/** What a connection leads to; the label of the counter of silent ones. */
+/** The remote end of a connection; a label of the counter of unresponsive connections. */
 export type ConnectionKind = "peer" | "upstream" | "store";
--- a/src/metrics/metrics.ts
+++ b/src/metrics/metrics.ts
@@ -1,4 +1,4 @@
-/** What the daemon counts, for /metrics. */
+/** Defines the metrics that the daemon exposes at /metrics. */
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { Priority } from "../config/priority.js";
 import type { ServiceName } from "../ids/servicename.js";
@@ -7,17 +7,16 @@
 import type { ConnectionKind } from "./connectionkind.js";
 import type { StoreCallKind } from "./storecallkind.js";
 
-/** Milliseconds. */
 const MS_PER_SECOND = 1000;
 const LATENCY_BUCKETS_S = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10];
 
-/** Whose request has ended. */
+/** The labels of a request that has finished. */
 type FinishedRequest = { readonly service: ServiceName; readonly priority: Priority; readonly team: TeamName; };
 
-/** What the daemon spends for control. */
+/** Kinds of traffic that is not part of a caller's request. */
 type ControlTrafficKind = "beat" | "load" | "ping" | "relief" | "store" | "pull" | "health";
 
-/** One registry for each daemon. */
+/** Each daemon has its own registry. Gauges with a callback read their value at each scrape. */
 export class Metrics {
     readonly registry = new Registry();
     readonly revision = this.#gauge("winglock_revision", "The revision of the configuration that is applied.");
@@ -79,7 +78,7 @@
         registers: [this.registry],
     });
 
-    /** Shows how long ago the store confirmed the configuration, asked for at each scrape; in milliseconds. */
+    /** Adds a gauge for the age of the store's last confirmation of the configuration; `ageMs` is in milliseconds. */
     showAge(ageMs: () => number): void {
         this.#show(
             "winglock_configuration_age_seconds",
@@ -88,7 +87,7 @@
         );
     }
 
-    /** Shows how many daemons are known, this one too, and whether this one watches the store; asked for at each scrape. */
+    /** Adds gauges for the number of known daemons, with this one, and for whether this one is its hall's watcher. */
     showMembership(members: () => number, watches: () => boolean): void {
         this.#show("winglock_members", "Daemons that are known, this one too.", members);
         this.#show(
@@ -98,12 +97,12 @@
         );
     }
 
-    /** Shows how many halls are evacuated; asked for at each scrape. */
+    /** Adds a gauge for the number of evacuated halls. */
     showEvacuated(count: () => number): void {
         this.#show("winglock_evacuated_halls", "Halls that operators have evacuated, as this daemon knows.", count);
     }
 
-    /** Shows how many upstreams beside this daemon state a limit; asked for at each scrape. */
+    /** Adds a gauge for the number of local upstreams that state a rate limit. */
     showLimited(count: () => number): void {
         this.#show(
             "winglock_limited_upstreams",
@@ -112,7 +111,7 @@
         );
     }
 
-    /** Shows how many requests are quarantined; asked for at each scrape. */
+    /** Adds a gauge for the number of quarantined requests. */
     showQuarantined(count: () => number): void {
         this.#show(
             "winglock_quarantined_requests",
@@ -121,7 +120,7 @@
         );
     }
 
-    /** Records the end of a caller's request; the label is `tenant`, by which dashboards know teams. */
+    /** Records the end of a caller's request. The team's label is `tenant`, the name that dashboards use for teams. */
     finished({ service, priority, team }: FinishedRequest, outcome: string, elapsedMs: number): void {
         this.#requests.observe({
             service,
@@ -131,36 +130,37 @@
         }, elapsedMs / MS_PER_SECOND);
     }
 
+    /** Records an attempt after the first of a request. */
     retried(service: ServiceName, reason: string): void {
         this.#retries.inc({ service, reason });
     }
 
-    /** Records that an upstream has received a request. */
+    /** Records that a local upstream has received a request. */
     arrived(service: ServiceName, arrival: Arrival): void {
         this.#arrivals.inc({ service, arrival });
     }
 
-    /** Records that an upstream beside this daemon has crashed with requests under way. */
+    /** Records that a local upstream has crashed with requests in flight. */
     crashed(service: ServiceName): void {
         this.#crashes.inc({ service });
     }
 
-    /** Records that a gate has refused a request for its upstream's request rate. */
+    /** Records that a gate has refused a request because its upstream is cold or states a rate limit. */
     heldBack(service: ServiceName, reason: "cold" | "limited"): void {
         this.#heldBack.inc({ service, reason });
     }
 
-    /** Records a connection that was found to carry nothing any more. */
+    /** Records an open connection that was found to be unresponsive. */
     countUnresponsiveConnection(kind: ConnectionKind): void {
         this.#unresponsiveConnections.inc({ kind });
     }
 
-    /** Records a call of the store. */
+    /** Records a call to the store. */
     storeCalled(kind: StoreCallKind): void {
         this.#storeCalls.inc({ kind });
     }
 
-    /** Records what was sent for control. */
+    /** Records a message or call of control traffic and its size. */
     spent(kind: ControlTrafficKind, bytes: number): void {
         this.#controlMessages.inc({ kind });
         this.#controlBytes.inc({ kind }, bytes);
--- a/src/metrics/storecallkind.ts
+++ b/src/metrics/storecallkind.ts
@@ -1,6 +1,6 @@
-/** What a call asks of a store; the store charges each call, a waiting watch as one. */
+/** Defines the kinds of calls to the store. The store charges for each call; a pending watch counts as one. */
 
-/** `find` reads one key, `list` several; `keep` renews a lease. */
+/** `find` reads one key, `list` reads several, `keep` renews a lease. */
 export type StoreCallKind =
     | "find"
     | "list"
