--- a/src/config/keptchanges.ts
+++ b/src/config/keptchanges.ts
@@ -1,5 +1,5 @@
 /**
- * Number of change ids that a document keeps. A client that lost the response to a change can look the change up until
+ * Limits the change ids that a document keeps. A client that lost the response to a change can look the change up until
  * this many newer ones have been made.
  */
 export const keptChanges = 256;
--- a/src/config/service.ts
+++ b/src/config/service.ts
@@ -6,9 +6,9 @@
 const DEFAULT_BUFFER_BYTES = 1024 * 1024;
 /** Limits the memory that one response uses. */
 const MAX_BUFFER_BYTES = 16 * 1024 * 1024;
-/** Longest time that a request is queued for a slot. */
+/** Bounds how long a request is queued for a slot, unless the service sets `maxWaitMs`. */
 const DEFAULT_MAX_WAIT_MS = 1000;
-/** Longer than any caller is known to wait. */
+/** Exceeds the longest wait of any known caller. */
 const MAX_WAIT_MS = 60_000;
 const MAX_PATH_CHARS = 1024;
 /** Retries that are allowed for each successful request. */
--- a/src/dialect/dialect.ts
+++ b/src/dialect/dialect.ts
@@ -10,29 +10,29 @@
 
 /** Names are in lower case. A field from an upstream is proof only where the comment of a method says so. */
 export abstract class Dialect {
-    /** On requests: the id of the attempt, which an upstream may return in its response. */
+    /** Carries the id of the attempt on requests; an upstream may return it in its response. */
     abstract readonly requestId: string;
     /** True if callers give each attempt an id of their own, which is passed on to the upstream. */
     abstract readonly callersGiveIds: boolean;
-    /** From callers: their time limit in milliseconds; undefined if callers can't give one. */
+    /** Carries the time limit of a caller in milliseconds; undefined if callers can't give one. */
     abstract readonly callerTimeLimit: string | undefined;
-    /** To upstreams: the milliseconds left until the deadline. */
+    /** Informs an upstream of the milliseconds left until the deadline. */
     abstract readonly timeLimit: string;
-    /** To upstreams: the name of the upstream that the request is for. */
+    /** Names the upstream that a request is for. */
     abstract readonly upstream: string;
-    /** To upstreams: the service on the host that the request comes from. */
+    /** Names the service on the host that a request to an upstream comes from. */
     abstract readonly callerService: string;
-    /** To upstreams, and back from them on the calls that they make: links a call to its request. */
+    /** Links a call to its request: sent to upstreams, and returned by them on the calls that they make. */
     abstract readonly context: string;
-    /** From upstreams: their load report. */
+    /** Carries the load report of an upstream. */
     abstract readonly upstreamLoad: string;
-    /** From upstreams that limit their rate: the requests per second that they accept. */
+    /** Carries the rate limit that an upstream states, in requests per second. */
     abstract readonly requestLimit: string;
-    /** From upstreams, on their health endpoints: their own name. */
+    /** Carries the name that an upstream states for itself on its health endpoint. */
     abstract readonly ownName: string;
-    /** From callers: fields that identify who sends the request, if present. */
+    /** Lists the fields of a caller's request that identify who sends it, if present. */
     readonly callerFields: readonly string[] = ["authorization", "cookie"];
-    /** To callers, on problems: `not-run` or `unknown`. */
+    /** Carries the outcome to callers when a request fails: `not-run` or `unknown`. */
     abstract readonly outcome: string;
 
     /**
--- a/src/dialect/headername.ts
+++ b/src/dialect/headername.ts
@@ -2,26 +2,26 @@
 
 /** All start with `winglock-`, so that one check of the prefix strips them from callers' requests. */
 export const headerName = {
-    /** On every call between daemons: the key that they share. */
+    /** Carries the key that daemons share, on every call between them. */
     key: "winglock-key",
-    /** To callers on problems, and from upstreams that shed load: `not-run` or `unknown`. */
+    /** Carries `not-run` or `unknown`: sent to callers on problems, and by upstreams that shed load. */
     outcome: "winglock-outcome",
-    /** To upstreams, and back from them on calls through their own daemon: links a call to its request. */
+    /** Links a call to its request: sent to upstreams, and returned by them on calls through their own daemon. */
     context: "winglock-context",
-    /** To upstreams: the milliseconds left until the request's deadline. */
+    /** Informs an upstream of the milliseconds left until the request's deadline. */
     timeout: "winglock-timeout-ms",
-    /** To upstreams: the request's id; if a response returns an id, it must be this one. */
+    /** Carries the request's id to the upstream; if the response returns an id, it must be this one. */
     requestId: "winglock-request-id",
-    /** To upstreams: the name of the upstream that the request is for. */
+    /** Names the upstream that a request is for. */
     upstream: "winglock-upstream",
-    /** To upstreams: the service on the host that the request comes from. */
+    /** Names the service on the host that a request to an upstream comes from. */
     caller: "winglock-caller",
-    /** From upstreams: running requests, queued requests, slots and pace in hundredths, separated by commas. */
+    /** Carries an upstream's running requests, queued requests, slots and pace in hundredths, separated by commas. */
     load: "winglock-load",
-    /** From upstreams, on their health endpoints: for how many more milliseconds they are cold. */
+    /** States on health endpoints for how many more milliseconds the upstream is cold. */
     cold: "winglock-cold-ms",
-    /** From upstreams that limit their rate: the requests per second that they accept, a decimal number. */
+    /** States the requests per second that an upstream with a rate limit accepts, as a decimal number. */
     limit: "winglock-limit",
-    /** From upstreams: present if they are about to stop. */
+    /** Present in responses of an upstream that is about to stop. */
     leaving: "winglock-leaving",
 } as const;
--- a/src/log/logsink.ts
+++ b/src/log/logsink.ts
@@ -7,11 +7,11 @@
 import type { LogPart } from "./logpart.js";
 import { Output } from "./output.js";
 
-/** Used until the settings are read; equals their default. */
+/** Applies until the settings are read; equals their default. */
 const DEFAULT_LINES_PER_SECOND = 500;
-/** Minimum time between reports of dropped lines. */
+/** Limits how often dropped lines are reported. */
 const DROPPED_REPORT_INTERVAL_MS = 1000;
-/** Longest wait for a slow reader when the process ends; far below the time limit for stopping. */
+/** Bounds the wait for a slow reader when the process ends; far below the time limit for stopping. */
 const END_TIMEOUT_MS = 300;
 
 /** Writes log lines within the budget and reports how many were dropped. One instance exists per process. */
--- a/src/log/output.ts
+++ b/src/log/output.ts
@@ -10,7 +10,7 @@
 import { finished } from "node:stream/promises";
 
 const STDOUT_FD = 1;
-/** Longest time that a line is buffered; causes at most ten wake-ups per second. */
+/** A line is buffered for at most this long, which causes at most ten wake-ups per second. */
 const BATCH_INTERVAL_MS = 100;
 /** If a reader is so slow that more than this is buffered, new lines are dropped. */
 const MAX_BUFFERED_BYTES = 1024 * 1024;
--- a/src/metrics/metrics.ts
+++ b/src/metrics/metrics.ts
@@ -145,7 +145,7 @@
         this.#crashes.inc({ service });
     }
 
-    /** Records that a gate has refused a request because its upstream is cold or states a rate limit. */
+    /** Records that a gate has refused a request because its upstream's cold limit or stated rate limit is used up. */
     heldBack(service: ServiceName, reason: "cold" | "limited"): void {
         this.#heldBack.inc({ service, reason });
     }
