--- a/src/config/diffdocuments.ts
+++ b/src/config/diffdocuments.ts
@@ -1,28 +1,28 @@
-/** The difference of two documents, as reviewers read it. */
+/** Formats the difference between two documents for operators. */
 import type { Document } from "./document.js";
 
 type Named = { readonly name: string; };
 
-const diffLists = (noun: string, before: readonly Named[], after: readonly Named[]): string[] => {
-    const old = new Map(before.map(item => [item.name, JSON.stringify(item)]));
+const diffLists = (itemType: string, before: readonly Named[], after: readonly Named[]): string[] => {
+    const beforeByName = new Map(before.map(item => [item.name, JSON.stringify(item)]));
     const lines: string[] = [];
     for (const item of after) {
         const text = JSON.stringify(item);
-        const was = old.get(item.name);
-        old.delete(item.name);
-        if (was === undefined) {
-            lines.push(`+ ${noun} ${item.name} ${text}`);
+        const beforeText = beforeByName.get(item.name);
+        beforeByName.delete(item.name);
+        if (beforeText === undefined) {
+            lines.push(`+ ${itemType} ${item.name} ${text}`);
         }
-        else if (was !== text) {
-            lines.push(`- ${noun} ${item.name} ${was}`, `+ ${noun} ${item.name} ${text}`);
+        else if (beforeText !== text) {
+            lines.push(`- ${itemType} ${item.name} ${beforeText}`, `+ ${itemType} ${item.name} ${text}`);
         }
     }
-    return [...lines, ...[...old].map(([name, was]) => `- ${noun} ${name} ${was}`)];
+    return [...lines, ...[...beforeByName].map(([name, text]) => `- ${itemType} ${name} ${text}`)];
 };
 
 const asNamed = (names: readonly string[] = []): Named[] => names.map(name => ({ name }));
 
-/** One line for each thing added (`+`) or taken away (`-`); a changed thing gets both. */
+/** Returns a line for each item that was added (`+`) or removed (`-`); a changed item has a line of each. */
 export function diffDocuments(before: Document, after: Document): string[] {
     return [
         ...diffLists("service", before.services, after.services),
--- a/src/dialect/readload.ts
+++ b/src/dialect/readload.ts
@@ -4,9 +4,9 @@
  */
 import type { UpstreamLoad } from "./upstreamload.js";
 
-/** The pace of an upstream whose service time is its usual one. */
+/** States that the present service time is the usual one. */
 const USUAL_PACE_HUNDREDTHS = 100;
-/** All fields but the pace, which is optional. */
+/** Excludes the pace, which is optional. */
 const MIN_FIELDS = 3;
 
 /** Returns the report, or undefined if it is unreadable; the pace is the usual one if it is omitted. */
@@ -15,9 +15,9 @@
         return undefined;
     }
     const fields = text.split(",").map(Number);
-    const [running, waiting, slots, pace = USUAL_PACE_HUNDREDTHS] = fields;
+    const [running, queued, slots, pace = USUAL_PACE_HUNDREDTHS] = fields;
     if (fields.length < MIN_FIELDS || !fields.every(field => Number.isFinite(field) && field >= 0)) {
         return undefined;
     }
-    return { running: running!, waiting: waiting!, slots: slots!, pace: pace / USUAL_PACE_HUNDREDTHS };
+    return { running: running!, waiting: queued!, slots: slots!, pace: pace / USUAL_PACE_HUNDREDTHS };
 }
--- a/src/log/logsink.ts
+++ b/src/log/logsink.ts
@@ -1,60 +1,63 @@
-/** Where all log lines of a process go: standard output, by pino, bounded and never waited for. */
+/** Writes all log lines of a process to standard output with pino, at a bounded rate and without blocking. */
 import { performance } from "node:perf_hooks";
 import { type Logger, pino } from "pino";
 import { LineBudget } from "./linebudget.js";
 import type { LineKind } from "./linekind.js";
 import type { LogLevel } from "./loglevel.js";
+import type { LogPart } from "./logpart.js";
 import { Output } from "./output.js";
-import type { Part } from "./part.js";
 
-/** Until the settings are read; the same as their default. */
+/** Applies until the settings are read; equals their default. */
 const DEFAULT_LINES_PER_SECOND = 500;
-/** Milliseconds. */
-const SAY_LEFT_OUT_EVERY_MS = 1000;
-/** For which the end of the process waits for a slow reader, in milliseconds: far below a stop's own limit. */
-const END_MS = 300;
+/** Limits how often dropped lines are reported. */
+const DROPPED_REPORT_INTERVAL_MS = 1000;
+/** Bounds the wait for a slow reader when the process ends; far below the time limit for stopping. */
+const END_TIMEOUT_MS = 300;
 
-/** Made once for a process. */
+/** Writes log lines within the budget and reports how many were dropped. One instance exists per process. */
 class LogSink {
-    readonly #output = new Output(() => this.#budget.leaveOut("decision"));
+    readonly #output = new Output(() => this.#budget.countDropped("decision"));
     readonly #logger: Logger = pino(
         { base: null, messageKey: "message", formatters: { level: toLevel } },
         this.#output,
     );
     #budget = new LineBudget(DEFAULT_LINES_PER_SECOND, performance.now());
-    #saidAt = 0;
+    #reportedDroppedAt = 0;
 
-    /** Sets what is written. */
+    /** Sets the lowest level that is written and the budget. */
     configure(level: LogLevel, linesPerSecond: number): void {
         this.#logger.level = level;
         this.#budget = new LineBudget(linesPerSecond, performance.now());
     }
 
     /** Writes a line if the budget allows it. */
-    write(level: "info" | "warn" | "error", kind: LineKind, part: Part, sentence: string, fields: object): void {
+    write(level: "info" | "warn" | "error", kind: LineKind, part: LogPart, message: string, fields: object): void {
         if (!this.#logger.isLevelEnabled(level)) {
             return;
         }
         const now = performance.now();
         if (this.#budget.spend(kind, now)) {
-            this.#logger[level]({ part, ...fields }, sentence);
+            this.#logger[level]({ part, ...fields }, message);
         }
-        this.#sayLeftOut(now);
+        this.#reportDropped(now);
     }
 
-    /** Writes what waits, at the end of a process; a reader that stands still is not waited for. */
+    /** Flushes buffered lines when the process ends; does not wait long for a reader that has stopped reading. */
     end(): Promise<void> {
-        return this.#output.end(END_MS);
+        return this.#output.end(END_TIMEOUT_MS);
     }
 
-    #sayLeftOut(now: number): void {
-        if (now - this.#saidAt < SAY_LEFT_OUT_EVERY_MS) {
+    #reportDropped(now: number): void {
+        if (now - this.#reportedDroppedAt < DROPPED_REPORT_INTERVAL_MS) {
             return;
         }
-        this.#saidAt = now;
-        const leftOut = this.#budget.takeLeftOut();
-        if (leftOut !== undefined) {
-            this.#logger.warn({ part: "daemon", leftOut }, "Lines were left out.");
+        this.#reportedDroppedAt = now;
+        const droppedCounts = this.#budget.takeDroppedCounts();
+        if (droppedCounts !== undefined) {
+            this.#logger.warn(
+                { part: "daemon", leftOut: droppedCounts },
+                "Log lines were dropped because they exceeded the budget or the output buffer.",
+            );
         }
     }
 }
@@ -63,5 +66,5 @@
     return { level: label };
 }
 
-/** The process's own. */
+/** The log sink of this process. */
 export const logSink = new LogSink();
--- a/src/operator/fromresult.ts
+++ b/src/operator/encodechangeresult.ts
@@ -1,4 +1,4 @@
-/** From what became of a change to the schema's answer. */
+/** Encodes the result of a change as the response of the schema. */
 import { create } from "@bufbuild/protobuf";
 import type { ChangeResult } from "../distribution/changeresult.js";
 import {
@@ -7,7 +7,7 @@
     ChangeOutcome,
 } from "../gen/winglock/operator/v1/operator_pb.js";
 
-const outcomes: Readonly<Record<ChangeResult["type"], ChangeOutcome>> = {
+const PROTO_OUTCOMES: Readonly<Record<ChangeResult["type"], ChangeOutcome>> = {
     "accepted": ChangeOutcome.ACCEPTED,
     "dry-run": ChangeOutcome.DRY_RUN,
     "conflict": ChangeOutcome.CONFLICT,
@@ -16,15 +16,15 @@
     "unknown": ChangeOutcome.UNKNOWN,
 };
 
-/** Leaves out what the outcome has not. */
-export function fromResult(result: ChangeResult): ApplyChangesResponse {
-    const other = result.type === "conflict" ? result.latestChange : undefined;
+/** Returns the response; fields that the result does not have keep their zero value. */
+export function encodeChangeResult(result: ChangeResult): ApplyChangesResponse {
+    const conflict = result.type === "conflict" ? result.latestChange : undefined;
     return create(ApplyChangesResponseSchema, {
-        outcome: outcomes[result.type],
+        outcome: PROTO_OUTCOMES[result.type],
         revision: "revision" in result ? BigInt(result.revision) : 0n,
         difference: "difference" in result ? [...result.difference] : [],
         issues: "issues" in result ? result.issues.map(issue => ({ ...issue })) : [],
-        conflictingChangeId: other?.id ?? "",
-        conflictingRevision: BigInt(other?.revision ?? 0),
+        conflictingChangeId: conflict?.id ?? "",
+        conflictingRevision: BigInt(conflict?.revision ?? 0),
     });
 }
--- a/src/operator/toconfiguration.ts
+++ b/src/operator/encodeconfiguration.ts
@@ -1,4 +1,4 @@
-/** From our document to the schema's message. */
+/** Encodes a document as the Configuration message of the schema. */
 import { create } from "@bufbuild/protobuf";
 import type { Document } from "../config/document.js";
 import type { Rule } from "../config/rule.js";
@@ -12,7 +12,7 @@
 import { protoKind } from "./protokind.js";
 import { protoPriority } from "./protopriority.js";
 
-const toRule = (rule: Rule): ProtoRule =>
+const encodeRule = (rule: Rule): ProtoRule =>
     create(RuleSchema, {
         ...rule,
         priority: protoPriority[rule.priority],
@@ -20,13 +20,13 @@
         answer: protoAnswerMode[rule.answer],
     });
 
-/** The message of the whole document. */
-export function toConfiguration(document: Document): Configuration {
+/** Returns the message; caller limits and the ids of changes are not part of it. */
+export function encodeConfiguration(document: Document): Configuration {
     return create(ConfigurationSchema, {
         revision: BigInt(document.revision),
         services: document.services.map(service => ({ ...service })),
         upstreams: document.upstreams.map(upstream => ({ ...upstream })),
-        rules: document.rules.map(toRule),
+        rules: document.rules.map(encodeRule),
         evacuatedHalls: [...document.evacuated ?? []],
     });
 }
