--- a/src/link/linksession.ts
+++ b/src/link/linksession.ts
@@ -14,7 +14,7 @@
 import { frameType } from "./frametype.js";
 import { gatherBody } from "./gatherbody.js";
 import { isBodyFrame } from "./isbodyframe.js";
-import { packAnswer } from "./packanswer.js";
+import { packAnswer } from "./packresponse.js";
 import { sendBody } from "./sendbody.js";
 import type { ServedAnswer } from "./servedanswer.js";
 import type { ServedCall } from "./servedcall.js";
--- a/src/link/silentlink.test.ts
+++ b/src/link/unresponsivelink.test.ts
@@ -10,7 +10,7 @@
 import { FrameReader } from "./framereader.js";
 import { frameType } from "./frametype.js";
 import type { LinkPool } from "./linkpool.js";
-import { packAnswer } from "./packanswer.js";
+import { packAnswer } from "./packresponse.js";
 import { writeFrame } from "./writeframe.js";
 
 type Serve = Parameters<typeof LinkEnds.between>[0];
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -11,10 +11,10 @@
 import type { Cancellation } from "../http/cancellation.js";
 import { httpStatus } from "../http/httpstatus.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
+import { splitProtocol } from "../link/detectprotocol.js";
 import { LinkSession } from "../link/linksession.js";
 import type { ServedAnswer } from "../link/servedanswer.js";
 import type { ServedCall } from "../link/servedcall.js";
-import { splitProtocol } from "../link/splitprotocol.js";
 import { log } from "../log/log.js";
 import type { MatchedRule } from "../policy/routing/matchedrule.js";
 import type { RequestTarget } from "../policy/routing/requesttarget.js";
@@ -22,7 +22,7 @@
 import { listen } from "../time/listen.js";
 import type { RequestMetadata } from "../wire/requestmetadata.js";
 import type { ResponseMetadata } from "../wire/responsemetadata.js";
-import { answerCall } from "./answercall.js";
+import { answerCall } from "./handlecall.js";
 import type { PeerService } from "./peerservice.js";
 
 /** A refusal has a note only. */
