--- a/src/link/detectprotocol.ts
+++ b/src/link/detectprotocol.ts
@@ -3,19 +3,19 @@
 import { frameType } from "./frametype.js";
 
 /** A connection without its first byte for so long is ended; milliseconds. */
-const SILENT_MS = 10_000;
+const FIRST_BYTE_TIMEOUT_MS = 10_000;
 
 /** Calls one of the two when the first bytes have come; HTTP finds them unread. */
-export function splitProtocol(socket: Socket, onHttp: () => void, onLink: (first: Buffer) => void): void {
+export function detectProtocol(socket: Socket, onHttp: () => void, onPeerProtocol: (firstBytes: Buffer) => void): void {
     /** `close` follows; nothing has begun on this connection yet. */
     const onError = (): void => {};
     socket.on("error", onError);
-    socket.setTimeout(SILENT_MS, () => socket.destroy());
+    socket.setTimeout(FIRST_BYTE_TIMEOUT_MS, () => socket.destroy());
     socket.once("data", (first: Buffer) => {
         socket.removeListener("error", onError);
         socket.setTimeout(0).removeAllListeners("timeout");
         if (first[0] === frameType.greeting) {
-            onLink(first);
+            onPeerProtocol(first);
             return;
         }
         socket.pause();
--- a/src/link/framedbody.ts
+++ b/src/link/framedbody.ts
@@ -10,12 +10,12 @@
     readonly stream: Readable;
     #ended = false;
 
-    constructor(private readonly socket: Socket, onLeft: () => void) {
+    constructor(private readonly socket: Socket, onAbandoned: () => void) {
         this.stream = new Readable({
             read: () => socket.resume(),
             destroy: (err, callback) => {
                 if (!this.#ended) {
-                    onLeft();
+                    onAbandoned();
                 }
                 callback(err);
             },
@@ -38,14 +38,14 @@
             this.stream.push(null);
         }
         else {
-            this.breakOff("broken-body");
+            this.fail("broken-body");
         }
         this.socket.resume();
         return true;
     }
 
     /** Fails the reader. */
-    breakOff(reason: LinkError["reason"]): void {
+    fail(reason: LinkError["reason"]): void {
         this.#ended = true;
         this.stream.destroy(new LinkError(reason));
     }
--- a/src/link/framereader.ts
+++ b/src/link/framereader.ts
@@ -7,33 +7,36 @@
 
 /** Bodies that are at hand are sent whole up to a bound far below this one. */
 const MAX_PAYLOAD_BYTES = 32 * 1024 * 1024;
-const TYPES: ReadonlySet<number> = new Set(Object.values(frameType));
+const FRAME_TYPES: ReadonlySet<number> = new Set(Object.values(frameType));
 
 /** Of one connection. */
 export class FrameReader {
-    #rest: Buffer = emptyBuffer;
+    #remainder: Buffer = emptyBuffer;
 
     /** Adds bytes and returns the frames that they complete; throws a LinkError for bytes that are none. */
     read(chunk: Buffer): Frame[] {
-        const bytes = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk]);
+        const bytes = this.#remainder.length === 0 ? chunk : Buffer.concat([this.#remainder, chunk]);
         const frames: Frame[] = [];
-        let at = 0;
-        while (bytes.length - at >= frameHeadBytes) {
-            const length = this.#lengthAt(bytes, at);
-            const end = at + frameHeadBytes + length;
+        let offset = 0;
+        while (bytes.length - offset >= frameHeadBytes) {
+            const length = this.#payloadLength(bytes, offset);
+            const end = offset + frameHeadBytes + length;
             if (end > bytes.length) {
                 break;
             }
-            frames.push({ type: bytes[at] as Frame["type"], payload: bytes.subarray(at + frameHeadBytes, end) });
-            at = end;
+            frames.push({
+                type: bytes[offset] as Frame["type"],
+                payload: bytes.subarray(offset + frameHeadBytes, end),
+            });
+            offset = end;
         }
-        this.#rest = at === bytes.length ? emptyBuffer : bytes.subarray(at);
+        this.#remainder = offset === bytes.length ? emptyBuffer : bytes.subarray(offset);
         return frames;
     }
 
-    #lengthAt(bytes: Buffer, at: number): number {
-        const length = bytes.readUInt32BE(at + 1);
-        if (!TYPES.has(bytes[at]!) || length > MAX_PAYLOAD_BYTES) {
+    #payloadLength(bytes: Buffer, offset: number): number {
+        const length = bytes.readUInt32BE(offset + 1);
+        if (!FRAME_TYPES.has(bytes[offset]!) || length > MAX_PAYLOAD_BYTES) {
             throw new LinkError("not-a-frame");
         }
         return length;
--- a/src/link/frametype.ts
+++ b/src/link/frametype.ts
@@ -7,7 +7,7 @@
     /** A request, with its body if that is at hand. */
     call: 2,
     /** An answer, or a refusal, with the body if that is at hand. */
-    answer: 3,
+    response: 3,
     /** A part of a body that did not come with the frame before it. */
     data: 4,
     /** The end of such a body. */
@@ -17,5 +17,5 @@
     /** A question whether the connection carries anything, from the caller's side at any time. */
     probe: 7,
     /** The answer to it: a note of who answers, empty from daemons of older versions. */
-    alive: 8,
+    probeResponse: 8,
 } as const;
--- a/src/link/link.test.ts
+++ b/src/link/link.test.ts
@@ -25,9 +25,9 @@
     body: Buffer.from(`${method} ${path} ${await textOf(body)}`),
 });
 
-const send = async (pool: LinkPool, what: GateCall): Promise<Awaited<ReturnType<LinkConnectionSend>>> =>
-    await (await pool.take()).send(what);
-type LinkConnectionSend = Awaited<ReturnType<LinkPool["take"]>>["send"];
+const send = async (pool: LinkPool, call: GateCall): Promise<Awaited<ReturnType<SendFunction>>> =>
+    await (await pool.acquire()).send(call);
+type SendFunction = Awaited<ReturnType<LinkPool["acquire"]>>["send"];
 
 test("link: a request and its answer come over as they were, one after the other on one connection", async () => {
     await LinkEnds.between(echo, async ({ pool, sockets }) => {
@@ -130,7 +130,7 @@
 
 test("link: nobody there proves that nothing was sent", async () => {
     const pool = LinkEnds.makePool("127.0.0.1:1" as Address);
-    await assert.rejects(pool.take(), { reason: "unreachable", unsent: true });
+    await assert.rejects(pool.acquire(), { reason: "unreachable", unsent: true });
 });
 
 test("link: calling a request off reaches the server, one called off before is not sent", async () => {
--- a/src/link/linkconnection.ts
+++ b/src/link/linkconnection.ts
@@ -23,42 +23,45 @@
 const logger = log("peer");
 
 /** An answer whose body is whole, or comes as a stream that fails when it breaks off. */
-type LinkAnswer = Omit<WireAnswer, "body"> & { readonly body: Buffer | Readable | undefined; };
+type LinkResponse = Omit<WireAnswer, "body"> & { readonly body: Buffer | Readable | undefined; };
 
 /** An answer that takes longer has the connection checked, in milliseconds: most answers come sooner. */
 const OVERDUE_MS = 250;
 /** A request's own bytes are on their way first: a megabit a second, less than any link that was seen. */
-const LEAST_BYTES_PER_MS = 125;
+const MIN_BYTES_PER_MS = 125;
 
 /** `onFree` is called after each request when the connection may carry another, `onOverdue` while an answer is overdue. */
 type LinkEvents = {
     readonly clock: Clock;
-    readonly onFree: (connection: LinkConnection) => void;
+    readonly onIdle: (connection: LinkConnection) => void;
     readonly onOverdue: (connection: LinkConnection) => Promise<void>;
     /** The other end answers probes. */
-    readonly onProbes: () => void;
+    readonly onProbeSupport: () => void;
 };
 
-type Waiting = { readonly resolve: (answer: LinkAnswer) => void; readonly reject: (err: LinkError) => void; };
+type PendingResponse = {
+    readonly resolve: (response: LinkResponse) => void;
+    readonly reject: (err: LinkError) => void;
+};
 
 export class LinkConnection {
     readonly #reader = new FrameReader();
-    #waiting: Waiting | undefined;
+    #pending: PendingResponse | undefined;
     #body: FramedBody | undefined;
-    #last = false;
-    #sending = false;
-    #forget: () => void = () => {};
-    #signAt = -Infinity;
-    #onSign: () => void = () => {};
-    #onAlive: (note: ResponseMetadata | undefined) => void = () => {};
-    #overdue: NodeJS.Timeout | undefined;
+    #isLast = false;
+    #isSending = false;
+    #removeAbortListener: () => void = () => {};
+    #receivedAt = -Infinity;
+    #onReceived: () => void = () => {};
+    #onProbeResponse: (note: ResponseMetadata | undefined) => void = () => {};
+    #overdueTimer: NodeJS.Timeout | undefined;
 
     constructor(private readonly socket: Socket, private readonly events: LinkEvents) {
         socket.on("data", (chunk: Buffer) => this.#read(chunk));
         socket.on("error", () => {
             // `close` follows, and ends what waits for an answer.
         });
-        socket.on("close", () => this.#broke());
+        socket.on("close", () => this.#handleClose());
     }
 
     get open(): boolean {
@@ -66,16 +69,16 @@
     }
 
     /** Sends a request; rejects with a LinkError. Calling it off ends the connection. */
-    send(call: GateCall): Promise<LinkAnswer> {
+    send(call: GateCall): Promise<LinkResponse> {
         if (call.cancel.aborted) {
-            this.events.onFree(this);
+            this.events.onIdle(this);
             return Promise.reject(new LinkError("called-off"));
         }
-        this.#forget = call.cancel.onAbort(() => this.destroy());
+        this.#removeAbortListener = call.cancel.onAbort(() => this.destroy());
         return new Promise((resolve, reject) => {
-            this.#waiting = { resolve, reject };
+            this.#pending = { resolve, reject };
             this.#write(call);
-            this.#watchFor(call.body);
+            this.#watchUnlessStreaming(call.body);
         });
     }
 
@@ -84,7 +87,7 @@
         this.socket.write(writeFrame(frameType.probe, emptyBuffer));
         return new Promise(resolve => {
             const timer = setTimeout(() => resolve(false), timeoutMs);
-            this.#onSign = () => {
+            this.#onReceived = () => {
                 clearTimeout(timer);
                 resolve(true);
             };
@@ -95,7 +98,7 @@
      * Asks who is at the other end; resolves with undefined when it does not say: older versions answer without a word, or end the
      * connection. Rejects with a LinkError when nothing comes.
      */
-    greet(timeoutMs: number): Promise<ResponseMetadata | undefined> {
+    requestIdentity(timeoutMs: number): Promise<ResponseMetadata | undefined> {
         this.socket.write(writeFrame(frameType.probe, emptyBuffer));
         return new Promise((resolve, reject) => {
             const timer = setTimeout(() => {
@@ -107,23 +110,23 @@
                 resolve(undefined);
             };
             this.socket.once("close", onClose);
-            this.#onAlive = note => {
+            this.#onProbeResponse = note => {
                 clearTimeout(timer);
                 this.socket.removeListener("close", onClose);
-                this.#onAlive = () => {};
+                this.#onProbeResponse = () => {};
                 resolve(note);
             };
         });
     }
 
     /** True when anything has come on it since, or when none is read here, since the answer's reader holds it up. */
-    hasSignSince(at: number): boolean {
-        return this.#signAt >= at || this.socket.isPaused();
+    hasActivitySince(since: number): boolean {
+        return this.#receivedAt >= since || this.socket.isPaused();
     }
 
     /** True while a request has no answer, or its answer's body is still coming. */
     get busy(): boolean {
-        return this.#waiting !== undefined || this.#body !== undefined;
+        return this.#pending !== undefined || this.#body !== undefined;
     }
 
     destroy(): void {
@@ -136,39 +139,39 @@
             this.socket.write(writeFrame(frameType.call, packCall(call, body)));
             return;
         }
-        this.#sending = true;
+        this.#isSending = true;
         this.socket.write(writeFrame(frameType.call, packCall(call, "follows")));
-        sendBody(body, this.socket, () => this.#sending = false);
+        sendBody(body, this.socket, () => this.#isSending = false);
     }
 
     /** A probe would lie behind a body that the other end need not have read: such a request has all of its time. */
-    #watchFor(body: GateCall["body"]): void {
+    #watchUnlessStreaming(body: GateCall["body"]): void {
         if (!(body instanceof Readable)) {
-            this.#watch(OVERDUE_MS + (body?.length ?? 0) / LEAST_BYTES_PER_MS);
+            this.#scheduleOverdueCheck(OVERDUE_MS + (body?.length ?? 0) / MIN_BYTES_PER_MS);
         }
     }
 
     /** Looks again and again, since a connection that carried something may fall silent later. */
-    #watch(afterMs = OVERDUE_MS): void {
+    #scheduleOverdueCheck(afterMs = OVERDUE_MS): void {
         const since = this.events.clock();
-        clearTimeout(this.#overdue);
-        const timer = setTimeout(() => void this.#look(since, timer), afterMs);
-        this.#overdue = timer;
+        clearTimeout(this.#overdueTimer);
+        const timer = setTimeout(() => void this.#checkOverdue(since, timer), afterMs);
+        this.#overdueTimer = timer;
     }
 
     /** Goes on only while it is the same request's: the next one may be of those that are not watched. */
-    async #look(since: number, timer: NodeJS.Timeout): Promise<void> {
-        if (!this.hasSignSince(since)) {
+    async #checkOverdue(since: number, timer: NodeJS.Timeout): Promise<void> {
+        if (!this.hasActivitySince(since)) {
             await this.events.onOverdue(this);
         }
-        if (this.#overdue === timer && this.busy && this.open) {
-            this.#watch();
+        if (this.#overdueTimer === timer && this.busy && this.open) {
+            this.#scheduleOverdueCheck();
         }
     }
 
     #read(chunk: Buffer): void {
-        this.#signAt = this.events.clock();
-        this.#onSign();
+        this.#receivedAt = this.events.clock();
+        this.#onReceived();
         try {
             this.#reader.read(chunk).forEach(frame => this.#receive(frame));
         }
@@ -179,12 +182,14 @@
     }
 
     #receive(frame: Frame): void {
-        if (frame.type === frameType.answer) {
-            this.#receiveAnswer(unpackAnswer(frame.payload));
+        if (frame.type === frameType.response) {
+            this.#receiveResponse(unpackAnswer(frame.payload));
             return;
         }
-        if (frame.type === frameType.alive) {
-            this.#onAlive(frame.payload.length === 0 ? undefined : readResponseMetadata(unpackList(frame.payload)));
+        if (frame.type === frameType.probeResponse) {
+            this.#onProbeResponse(
+                frame.payload.length === 0 ? undefined : readResponseMetadata(unpackList(frame.payload)),
+            );
             return;
         }
         if (!isBodyFrame(frame)) {
@@ -192,50 +197,50 @@
             return;
         }
         if (this.#body?.add(frame)) {
-            this.#done();
+            this.#finish();
         }
     }
 
-    #receiveAnswer({ note: { probes, ...note }, ...rest }: WireAnswer): void {
-        const answer = { ...rest, note };
+    #receiveResponse({ note: { probes, ...note }, ...rest }: WireAnswer): void {
+        const response = { ...rest, note };
         if (probes === true) {
-            this.events.onProbes();
+            this.events.onProbeSupport();
         }
-        const waiting = this.#waiting;
-        if (waiting === undefined) {
+        const pending = this.#pending;
+        if (pending === undefined) {
             this.destroy();
             return;
         }
-        this.#waiting = undefined;
-        this.#last = answer.last;
-        if (answer.body === "follows") {
+        this.#pending = undefined;
+        this.#isLast = response.last;
+        if (response.body === "follows") {
             this.#body = new FramedBody(this.socket, () => this.destroy());
-            waiting.resolve({ ...answer, body: this.#body.stream });
+            pending.resolve({ ...response, body: this.#body.stream });
             return;
         }
-        this.#done();
-        waiting.resolve({ ...answer, body: answer.body });
+        this.#finish();
+        pending.resolve({ ...response, body: response.body });
     }
 
-    #done(): void {
-        clearTimeout(this.#overdue);
-        this.#overdue = undefined;
-        this.#forget();
-        this.#forget = () => {};
+    #finish(): void {
+        clearTimeout(this.#overdueTimer);
+        this.#overdueTimer = undefined;
+        this.#removeAbortListener();
+        this.#removeAbortListener = () => {};
         this.#body = undefined;
-        if (this.#last || this.#sending) {
+        if (this.#isLast || this.#isSending) {
             this.destroy();
             return;
         }
-        this.events.onFree(this);
+        this.events.onIdle(this);
     }
 
-    #broke(): void {
-        clearTimeout(this.#overdue);
-        this.#forget();
-        this.#waiting?.reject(new LinkError("peer-broke"));
-        this.#waiting = undefined;
-        this.#body?.breakOff("peer-broke");
+    #handleClose(): void {
+        clearTimeout(this.#overdueTimer);
+        this.#removeAbortListener();
+        this.#pending?.reject(new LinkError("peer-broke"));
+        this.#pending = undefined;
+        this.#body?.fail("peer-broke");
         this.#body = undefined;
     }
 }
--- a/src/link/linkpool.ts
+++ b/src/link/linkpool.ts
@@ -15,9 +15,9 @@
 /** Several times the way between data halls, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 500;
 /** For the answer to the first question, in milliseconds: a peer that has just started is slow. */
-const GREET_TIMEOUT_MS = 1000;
+const IDENTITY_TIMEOUT_MS = 1000;
 /** Shorter than the peer keeps an idle connection. */
-const KEEP_IDLE_MS = 4000;
+const IDLE_TIMEOUT_MS = 4000;
 
 /** `localIp` is the address that connections go out from; `key` is shared by all daemons. */
 type PoolOptions = {
@@ -31,38 +31,38 @@
 /** The one that was used last is used first, so that those not needed end. */
 export class LinkPool {
     readonly #idle: LinkConnection[] = [];
-    readonly #all = new Set<LinkConnection>();
+    readonly #connections = new Set<LinkConnection>();
     readonly #check: LinkCheck;
     #closed = false;
-    #peerAnswersProbes = false;
+    #peerSupportsProbes = false;
 
     constructor(readonly address: Address, private readonly options: PoolOptions) {
         this.#check = new LinkCheck({
             clock: options.clock,
             open: () => this.#open(),
-            free: connection => this.#give(connection),
+            release: connection => this.#release(connection),
         });
     }
 
     /** A connection that carries nothing; rejects with a LinkError. */
-    async take(): Promise<LinkConnection> {
+    async acquire(): Promise<LinkConnection> {
         for (let idle = this.#idle.pop(); idle !== undefined; idle = this.#idle.pop()) {
             if (idle.open) {
                 return idle;
             }
         }
-        if (this.#all.size >= MAX_CONNECTIONS) {
+        if (this.#connections.size >= MAX_CONNECTIONS) {
             throw new LinkError("too-many-connections");
         }
         return await this.#open();
     }
 
     /** Asks the peer who it is; undefined from one that does not say. Rejects with a LinkError. */
-    async greet(): Promise<ResponseMetadata | undefined> {
-        const connection = await this.take();
-        const note = await connection.greet(GREET_TIMEOUT_MS);
+    async requestIdentity(): Promise<ResponseMetadata | undefined> {
+        const connection = await this.acquire();
+        const note = await connection.requestIdentity(IDENTITY_TIMEOUT_MS);
         if (connection.open) {
-            this.#give(connection);
+            this.#release(connection);
         }
         return note;
     }
@@ -70,16 +70,16 @@
     /** Ends idle connections, and each of the others after what it carries. */
     close(): void {
         this.#closed = true;
-        this.dropIdle();
+        this.closeIdle();
     }
 
     /** Ends connections that carry nothing now: they may have gone silent. */
-    dropIdle(): void {
+    closeIdle(): void {
         this.#idle.splice(0).forEach(connection => connection.destroy());
     }
 
-    async #endIfSilent(connection: LinkConnection): Promise<void> {
-        if (this.#peerAnswersProbes && await this.#check.isSilent(connection) && connection.busy) {
+    async #closeIfUnresponsive(connection: LinkConnection): Promise<void> {
+        if (this.#peerSupportsProbes && await this.#check.isUnresponsive(connection) && connection.busy) {
             connection.destroy();
             this.options.onSilent(this.address);
         }
@@ -101,25 +101,25 @@
                 clearTimeout(timer);
                 socket.removeListener("error", fail);
                 socket.write(writeFrame(frameType.greeting, Buffer.from(key)));
-                const connection = this.#connection(socket);
-                this.#all.add(connection);
-                socket.once("close", () => this.#all.delete(connection));
-                socket.setTimeout(KEEP_IDLE_MS, () => this.#endIfIdle(connection));
+                const connection = this.#createConnection(socket);
+                this.#connections.add(connection);
+                socket.once("close", () => this.#connections.delete(connection));
+                socket.setTimeout(IDLE_TIMEOUT_MS, () => this.#closeIfIdle(connection));
                 resolve(connection);
             });
         });
     }
 
-    #connection(socket: Socket): LinkConnection {
+    #createConnection(socket: Socket): LinkConnection {
         return new LinkConnection(socket, {
             clock: this.options.clock,
-            onFree: freed => this.#give(freed),
-            onOverdue: overdue => this.#endIfSilent(overdue),
-            onProbes: () => this.#peerAnswersProbes = true,
+            onIdle: freed => this.#release(freed),
+            onOverdue: overdue => this.#closeIfUnresponsive(overdue),
+            onProbeSupport: () => this.#peerSupportsProbes = true,
         });
     }
 
-    #give(connection: LinkConnection): void {
+    #release(connection: LinkConnection): void {
         if (this.#closed) {
             connection.destroy();
             return;
@@ -127,10 +127,10 @@
         this.#idle.push(connection);
     }
 
-    #endIfIdle(connection: LinkConnection): void {
-        const at = this.#idle.indexOf(connection);
-        if (at >= 0) {
-            this.#idle.splice(at, 1);
+    #closeIfIdle(connection: LinkConnection): void {
+        const index = this.#idle.indexOf(connection);
+        if (index >= 0) {
+            this.#idle.splice(index, 1);
             connection.destroy();
         }
     }
--- a/src/link/linksession.ts
+++ b/src/link/linksession.ts
@@ -7,14 +7,14 @@
 import { log } from "../log/log.js";
 import type { ResponseMetadata } from "../wire/responsemetadata.js";
 import { responseMetadataCodec } from "../wire/responsemetadatacodec.js";
+import { bufferShortBody } from "./buffershortbody.js";
 import { emptyBuffer } from "./emptybuffer.js";
 import type { Frame } from "./frame.js";
 import { FramedBody } from "./framedbody.js";
 import { FrameReader } from "./framereader.js";
 import { frameType } from "./frametype.js";
-import { gatherBody } from "./gatherbody.js";
 import { isBodyFrame } from "./isbodyframe.js";
-import { packAnswer } from "./packresponse.js";
+import { packResponse } from "./packresponse.js";
 import { sendBody } from "./sendbody.js";
 import type { ServedAnswer } from "./servedanswer.js";
 import type { ServedCall } from "./servedcall.js";
@@ -40,7 +40,7 @@
 /** Ends the connection for whatever is not of the protocol. */
 export class LinkSession {
     readonly #reader = new FrameReader();
-    #greeted = false;
+    #isAuthenticated = false;
     #isFirst = true;
     #serving: Cancellation | undefined;
     #body: FramedBody | undefined;
@@ -52,10 +52,10 @@
             // `close` follows, and ends what is served.
         });
         socket.on("end", () => {
-            this.#left();
+            this.#handleClose();
             socket.destroy();
         });
-        socket.on("close", () => this.#left());
+        socket.on("close", () => this.#handleClose());
     }
 
     get busy(): boolean {
@@ -74,18 +74,18 @@
     }
 
     /** Ends the connection if it carries nothing. */
-    endIfIdle(): void {
+    closeIfIdle(): void {
         if (!this.busy) {
             this.socket.end();
         }
     }
 
     /** Ends a connection on which nothing has moved for long, if it is idle or nobody takes what was written. */
-    endIfStill(): void {
+    closeIfStalled(): void {
         if (this.socket.writableLength > 0) {
             this.destroy();
         }
-        this.endIfIdle();
+        this.closeIfIdle();
     }
 
     destroy(): void {
@@ -93,12 +93,14 @@
     }
 
     #receive(frame: Frame): void {
-        if (!this.#greeted) {
-            this.#greet(frame);
+        if (!this.#isAuthenticated) {
+            this.#authenticate(frame);
             return;
         }
         if (frame.type === frameType.probe) {
-            this.socket.write(writeFrame(frameType.alive, pack(responseMetadataCodec.write(this.deps.identity()))));
+            this.socket.write(
+                writeFrame(frameType.probeResponse, pack(responseMetadataCodec.write(this.deps.identity()))),
+            );
             return;
         }
         if (frame.type === frameType.call) {
@@ -114,16 +116,16 @@
         }
     }
 
-    #greet({ type, payload }: Frame): void {
-        this.#greeted = type === frameType.greeting && this.#isKey(payload);
-        if (!this.#greeted) {
+    #authenticate({ type, payload }: Frame): void {
+        this.#isAuthenticated = type === frameType.greeting && this.#matchesKey(payload);
+        if (!this.#isAuthenticated) {
             this.destroy();
         }
     }
 
-    #isKey(given: Buffer): boolean {
+    #matchesKey(received: Buffer): boolean {
         const { key } = this.deps;
-        return given.length === key.length && timingSafeEqual(given, key);
+        return received.length === key.length && timingSafeEqual(received, key);
     }
 
     #receiveCall(payload: Buffer): void {
@@ -131,19 +133,19 @@
             this.destroy();
             return;
         }
-        const call = this.#unpack(payload);
+        const call = this.#readCall(payload);
         if (call !== undefined) {
             this.#serve(call);
         }
     }
 
     /** Undefined for what can't be read; that is refused and logged by the listener. */
-    #unpack(payload: Buffer): WireCall | undefined {
+    #readCall(payload: Buffer): WireCall | undefined {
         try {
             return unpackCall(payload);
         }
         catch (err) {
-            void this.#answer(this.deps.refuseBad(err), true);
+            void this.#respond(this.deps.refuseBad(err), true);
             return undefined;
         }
     }
@@ -151,8 +153,8 @@
     #serve(call: WireCall): void {
         const cancel = this.#serving = new Cancellation();
         const body = call.body === "follows" ? this.#openBody() : call.body;
-        void this.deps.serve({ ...call, body }, cancel).then(answer =>
-            this.#answer(answer, call.head.answer === "whole")
+        void this.deps.serve({ ...call, body }, cancel).then(response =>
+            this.#respond(response, call.head.answer === "whole")
         );
     }
 
@@ -163,35 +165,35 @@
         return this.#body.stream;
     }
 
-    async #answer({ body, ...answer }: ServedAnswer, whole: boolean): Promise<void> {
-        const gathered = whole && body instanceof Readable ? await gatherBody(body) : body;
+    async #respond({ body, ...response }: ServedAnswer, whole: boolean): Promise<void> {
+        const buffered = whole && body instanceof Readable ? await bufferShortBody(body) : body;
         const last = this.deps.isClosing();
         if (this.socket.destroyed) {
             return;
         }
-        if (gathered instanceof Readable) {
-            this.#write({ ...answer, last, body: "follows" });
-            sendBody(gathered, this.socket, () => this.#done(last));
+        if (buffered instanceof Readable) {
+            this.#write({ ...response, last, body: "follows" });
+            sendBody(buffered, this.socket, () => this.#finish(last));
             return;
         }
-        if (gathered === "broken") {
-            this.#write({ ...answer, last, body: "follows" });
+        if (buffered === "broken") {
+            this.#write({ ...response, last, body: "follows" });
             this.socket.write(writeFrame(frameType.broken, emptyBuffer));
-            this.#done(last);
+            this.#finish(last);
             return;
         }
-        this.#write({ ...answer, last, body: gathered });
-        this.#done(last);
+        this.#write({ ...response, last, body: buffered });
+        this.#finish(last);
     }
 
-    #write({ note, ...answer }: WireAnswer): void {
-        const told = this.#isFirst ? { ...note, probes: true } : note;
+    #write({ note, ...response }: WireAnswer): void {
+        const sentNote = this.#isFirst ? { ...note, probes: true } : note;
         this.#isFirst = false;
-        this.socket.write(writeFrame(frameType.answer, packAnswer({ ...answer, note: told })));
+        this.socket.write(writeFrame(frameType.response, packResponse({ ...response, note: sentNote })));
     }
 
     /** A request whose body is still coming when it has its answer leaves the connection useless. */
-    #done(last: boolean): void {
+    #finish(last: boolean): void {
         this.#serving = undefined;
         this.#body?.stream.resume();
         if (last) {
@@ -199,8 +201,8 @@
         }
     }
 
-    #left(): void {
-        this.#body?.breakOff("peer-broke");
+    #handleClose(): void {
+        this.#body?.fail("peer-broke");
         this.#body = undefined;
         this.#serving?.abort();
         this.#serving = undefined;
--- a/src/link/readheaders.ts
+++ b/src/link/readheaders.ts
@@ -7,11 +7,11 @@
         return undefined;
     }
     const headers: HttpHeaders = {};
-    for (let at = 0; at < list.length; at += 2) {
-        const name = list[at] as string;
-        const value = list[at + 1] as string;
-        const before = headers[name];
-        headers[name] = before === undefined ? value : [before, value].flat();
+    for (let index = 0; index < list.length; index += 2) {
+        const name = list[index] as string;
+        const value = list[index + 1] as string;
+        const previous = headers[name];
+        headers[name] = previous === undefined ? value : [previous, value].flat();
     }
     return headers;
 }
--- a/src/link/sendbody.ts
+++ b/src/link/sendbody.ts
@@ -9,13 +9,13 @@
 export function sendBody(body: Readable, socket: Socket, onEnd: () => void): void {
     let ended = false;
     const resume = (): void => void body.resume();
-    const leave = (): void => void body.destroy();
+    const abandon = (): void => void body.destroy();
     const end = (type: typeof frameType.end | typeof frameType.broken): void => {
         if (ended) {
             return;
         }
         ended = true;
-        socket.removeListener("drain", resume).removeListener("close", leave);
+        socket.removeListener("drain", resume).removeListener("close", abandon);
         if (!socket.destroyed) {
             socket.write(writeFrame(type, emptyBuffer));
         }
@@ -34,5 +34,5 @@
     body.on("end", () => end(frameType.end));
     body.on("error", () => end(frameType.broken));
     body.on("close", () => end(frameType.broken));
-    socket.once("close", leave);
+    socket.once("close", abandon);
 }
--- a/src/link/unresponsivelink.test.ts
+++ b/src/link/unresponsivelink.test.ts
@@ -10,17 +10,17 @@
 import { FrameReader } from "./framereader.js";
 import { frameType } from "./frametype.js";
 import type { LinkPool } from "./linkpool.js";
-import { packAnswer } from "./packresponse.js";
+import { packResponse } from "./packresponse.js";
 import { writeFrame } from "./writeframe.js";
 
 type Serve = Parameters<typeof LinkEnds.between>[0];
 
 const { note, call, between } = LinkEnds;
-const answer = { note, status: 200, headers: {}, body: undefined };
-const serve: Serve = () => Promise.resolve(answer);
+const response = { note, status: 200, headers: {}, body: undefined };
+const serve: Serve = () => Promise.resolve(response);
 
 const send = async (pool: LinkPool, body?: Readable): Promise<number> =>
-    (await (await pool.take()).send(call({ body }))).status;
+    (await (await pool.acquire()).send(call({ body }))).status;
 
 test("silent link: it is found while others work, what was on it ends as broken, and idle ones go", async () => {
     await between(serve, async ends => {
@@ -31,7 +31,7 @@
         await assert.rejects(send(pool), { reason: "peer-broke", unsent: false });
         assert.ok(performance.now() - sentAt < 1000, "found within a second");
         assert.deepEqual(found, [pool.address]);
-        pool.dropIdle();
+        pool.closeIdle();
         assert.equal(await send(pool), 200);
     });
 });
@@ -51,7 +51,7 @@
 test("silent link: a slow answer on a sound connection is waited for", async () => {
     const slow: Serve = async () => {
         await wait(1200);
-        return answer;
+        return response;
     };
     await between(slow, async ({ pool, sockets, found }) => {
         assert.equal(await send(pool), 200);
@@ -84,16 +84,16 @@
 });
 
 test("silent link: one on which an answer is not being read here, or a body is being sent, is none", async () => {
-    const large: Serve = () => Promise.resolve({ ...answer, body: Readable.from([Buffer.alloc(4_000_000)]) });
+    const large: Serve = () => Promise.resolve({ ...response, body: Readable.from([Buffer.alloc(4_000_000)]) });
     await between(large, async ({ pool, found }) => {
-        const { body } = await (await pool.take()).send(call({ head: { ...call().head, answer: "streamed" } }));
+        const { body } = await (await pool.acquire()).send(call({ head: { ...call().head, answer: "streamed" } }));
         await wait(1500);
         assert.deepEqual(found, []);
         assert.equal((await bufferBody(body as Readable, Infinity)).size, 4_000_000);
     });
     const unread: Serve = async ({ body }) => {
         await wait(1500);
-        return { ...answer, body: Buffer.from(String((await bufferBody(body as Readable, Infinity)).size)) };
+        return { ...response, body: Buffer.from(String((await bufferBody(body as Readable, Infinity)).size)) };
     };
     await between(unread, async ({ pool, found }) => {
         assert.equal(await send(pool, Readable.from([Buffer.from("x")])), 200);
@@ -103,18 +103,18 @@
 });
 
 test("silent link: a streamed answer may rest for longer than an idle connection", async () => {
-    const rests = new PassThrough();
-    await between(() => Promise.resolve({ ...answer, body: rests }), async ({ pool, found }) => {
-        rests.write("one");
-        const { body } = await (await pool.take()).send(call({ head: { ...call().head, answer: "streamed" } }));
-        setTimeout(() => rests.end("two"), 1500);
+    const pausedBody = new PassThrough();
+    await between(() => Promise.resolve({ ...response, body: pausedBody }), async ({ pool, found }) => {
+        pausedBody.write("one");
+        const { body } = await (await pool.acquire()).send(call({ head: { ...call().head, answer: "streamed" } }));
+        setTimeout(() => pausedBody.end("two"), 1500);
         assert.equal(String(Buffer.concat((await bufferBody(body as Readable, Infinity)).chunks)), "onetwo");
         assert.deepEqual(found, []);
     });
 });
 
 /** A peer of a version that ends a connection when it is sent a probe. */
-const serveAsBefore = (socket: Socket): void => {
+const serveWithoutProbes = (socket: Socket): void => {
     const reader = new FrameReader();
     socket.on("data", (chunk: Buffer) =>
         reader.read(chunk).forEach(({ type }) => {
@@ -123,7 +123,7 @@
             }
             if (type === frameType.call) {
                 setTimeout(
-                    () => socket.write(writeFrame(frameType.answer, packAnswer({ ...answer, last: false }))),
+                    () => socket.write(writeFrame(frameType.response, packResponse({ ...response, last: false }))),
                     700,
                 );
             }
@@ -131,7 +131,7 @@
 };
 
 test("silent link: a peer that does not know probes is sent none", async () => {
-    const server = createServer(serveAsBefore);
+    const server = createServer(serveWithoutProbes);
     server.listen(0, "127.0.0.1");
     await once(server, "listening");
     const pool = LinkEnds.makePool(`127.0.0.1:${(server.address() as AddressInfo).port}` as Address);
@@ -142,17 +142,17 @@
 });
 
 test("link: a peer says who it is when it is asked, and one that does not know the question is not believed to be gone", async () => {
-    await between(() => Promise.resolve(answer), async ({ pool }) => {
-        const note = await pool.greet();
+    await between(() => Promise.resolve(response), async ({ pool }) => {
+        const note = await pool.requestIdentity();
         assert.equal(note?.incarnation, LinkEnds.note.incarnation);
         assert.equal(note?.gateTime, LinkEnds.note.gateTime);
         assert.equal(await send(pool), 200);
     });
-    const server = createServer(serveAsBefore);
+    const server = createServer(serveWithoutProbes);
     server.listen(0, "127.0.0.1");
     await once(server, "listening");
     const pool = LinkEnds.makePool(`127.0.0.1:${(server.address() as AddressInfo).port}` as Address);
-    assert.equal(await pool.greet(), undefined);
+    assert.equal(await pool.requestIdentity(), undefined);
     assert.equal(await send(pool), 200);
     pool.close();
     server.close();
--- a/src/peer/calllink.ts
+++ b/src/peer/calllink.ts
@@ -13,7 +13,7 @@
 /** A call as it goes out. */
 type Call = { readonly method: "GET" | "POST"; readonly path: string; readonly body?: string; };
 
-const Answer = z.union([
+const ResponseBody = z.union([
     z.object({ result: z.object({ data: z.unknown().optional() }) }),
     z.object({ error: z.object({ message: z.string() }) }),
 ]);
@@ -26,11 +26,11 @@
         observable(observer => {
             const fail = (err: unknown): void => observer.error(TRPCClientError.from(err as Error));
             send(toCall(op), op.signal ?? undefined).then(body => {
-                const answer = Answer.parse(body);
-                if ("error" in answer) {
-                    throw new TRPCClientError(answer.error.message);
+                const response = ResponseBody.parse(body);
+                if ("error" in response) {
+                    throw new TRPCClientError(response.error.message);
                 }
-                observer.next({ result: { type: "data", data: answer.result.data } });
+                observer.next({ result: { type: "data", data: response.result.data } });
                 observer.complete();
             }).catch(fail);
         });
--- a/src/peer/handlecall.ts
+++ b/src/peer/handlecall.ts
@@ -12,16 +12,16 @@
 import type { PeerService } from "./peerservice.js";
 
 /** Of a call's body: many times the largest. */
-const MAX_BYTES = 64 * 1024;
-const PATH = /^\/trpc\/([a-z]+)$/;
+const MAX_BODY_BYTES = 64 * 1024;
+const PATH_PATTERN = /^\/trpc\/([a-z]+)$/;
 
 /** Never rejects: what fails is an answer too. */
-export async function answerCall(req: IncomingMessage, res: ServerResponse, service: PeerService): Promise<void> {
+export async function handleCall(req: IncomingMessage, res: ServerResponse, service: PeerService): Promise<void> {
     try {
         const url = new URL(`http://peer${req.url ?? "/"}`);
         const data = await callTRPCProcedure({
             router: peerRouter,
-            path: PATH.exec(url.pathname)?.[1] ?? "",
+            path: PATH_PATTERN.exec(url.pathname)?.[1] ?? "",
             type: req.method === "POST" ? "mutation" : "query",
             getRawInput: () => readInput(req, url),
             ctx: { service },
@@ -50,8 +50,8 @@
     let text = "";
     for await (const chunk of req.setEncoding("utf8")) {
         text += chunk as string;
-        if (text.length > MAX_BYTES) {
-            throw new TRPCError({ code: "PAYLOAD_TOO_LARGE", message: `at most ${MAX_BYTES} bytes` });
+        if (text.length > MAX_BODY_BYTES) {
+            throw new TRPCError({ code: "PAYLOAD_TOO_LARGE", message: `at most ${MAX_BODY_BYTES} bytes` });
         }
     }
     return text;
--- a/src/peer/peerclient.ts
+++ b/src/peer/peerclient.ts
@@ -40,19 +40,19 @@
 
     /** Makes later calls on new connections: the old ones may have gone silent. Calls under way end by their time limit. */
     renewConnections(): void {
-        const old = this.#agent;
+        const oldAgent = this.#agent;
         this.#agent = this.#makeAgent();
-        old.close().catch((err: unknown) => logger.warn("Old connections to peers could not be ended.", err));
+        oldAgent.close().catch((err: unknown) => logger.warn("Old connections to peers could not be ended.", err));
     }
 
     hello(address: Address): Promise<ReturnType<PeerService["hello"]>> {
-        return this.#client(address).hello.query(undefined, this.#bound());
+        return this.#client(address).hello.query(undefined, this.#timeout());
     }
 
     /** Returns `unknown` when the gate does not answer. */
     async revoke(address: Address, input: RevokeInput): Promise<RevokeResult> {
         try {
-            return await this.#client(address).revoke.mutate(input, this.#bound(REVOKE_TIMEOUT_MS));
+            return await this.#client(address).revoke.mutate(input, this.#timeout(REVOKE_TIMEOUT_MS));
         }
         catch (err) {
             logger.warn("A gate did not answer a revocation; what became of the request is unknown.", err, {
@@ -64,26 +64,26 @@
 
     /** What the peer has that is newer than `have`. */
     async update(address: Address, have: number): Promise<Update | undefined> {
-        return await this.#client(address).update.query({ have }, this.#bound()) as Update | undefined;
+        return await this.#client(address).update.query({ have }, this.#timeout()) as Update | undefined;
     }
 
     /** The peer's own record. */
     async member(address: Address): Promise<Member> {
-        return parse(Member, await this.#client(address).member.query(undefined, this.#bound()));
+        return parse(Member, await this.#client(address).member.query(undefined, this.#timeout()));
     }
 
     /** What the peer's list of daemons has beyond a mark, or all of it. */
     async records(address: Address, have: RecordsPosition | undefined): Promise<RecordChanges> {
-        return parse(RecordChanges, await this.#client(address).records.query({ have }, this.#bound()));
+        return parse(RecordChanges, await this.#client(address).records.query({ have }, this.#timeout()));
     }
 
     /** Tells a peer what has changed here of requests that crash upstreams; returns what has changed there. */
     async crashes(address: Address, changes: CrashChanges): Promise<CrashChanges> {
-        return parse(CrashChanges, await this.#client(address).crashes.mutate(changes, this.#bound()));
+        return parse(CrashChanges, await this.#client(address).crashes.mutate(changes, this.#timeout()));
     }
 
     status(address: Address): Promise<GateStatus[]> {
-        return this.#client(address).status.query(undefined, this.#bound());
+        return this.#client(address).status.query(undefined, this.#timeout());
     }
 
     close(): Promise<void> {
@@ -98,7 +98,7 @@
         });
     }
 
-    #bound(timeoutMs = CALL_TIMEOUT_MS): { signal: AbortSignal; } {
+    #timeout(timeoutMs = CALL_TIMEOUT_MS): { signal: AbortSignal; } {
         return { signal: AbortSignal.timeout(timeoutMs) };
     }
 
--- a/src/peer/peerserver.test.ts
+++ b/src/peer/peerserver.test.ts
@@ -58,8 +58,11 @@
     const { run, lock } = await takeRunNumber();
     const host = `127.${run}.3.1`;
     await server.listen(`${host}:${PORT}`);
-    const send = async (leaves: boolean): Promise<void> => {
-        const caller = new Worker(CALLER, { eval: true, workerData: { host, port: PORT, bytes: request(), leaves } });
+    const send = async (callerLeaves: boolean): Promise<void> => {
+        const caller = new Worker(CALLER, {
+            eval: true,
+            workerData: { host, port: PORT, bytes: request(), leaves: callerLeaves },
+        });
         await once(caller, "message");
         caller.postMessage("send");
         stall(100);
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -11,7 +11,7 @@
 import type { Cancellation } from "../http/cancellation.js";
 import { httpStatus } from "../http/httpstatus.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
-import { splitProtocol } from "../link/detectprotocol.js";
+import { detectProtocol } from "../link/detectprotocol.js";
 import { LinkSession } from "../link/linksession.js";
 import type { ServedAnswer } from "../link/servedanswer.js";
 import type { ServedCall } from "../link/servedcall.js";
@@ -22,12 +22,12 @@
 import { listen } from "../time/listen.js";
 import type { RequestMetadata } from "../wire/requestmetadata.js";
 import type { ResponseMetadata } from "../wire/responsemetadata.js";
-import { answerCall } from "./handlecall.js";
+import { handleCall } from "./handlecall.js";
 import type { PeerService } from "./peerservice.js";
 
 /** A refusal has a note only. */
 const REFUSAL = { status: 0, headers: {}, body: undefined };
-const BAD_CALL = "bad-call";
+const INVALID_CALL = "bad-call";
 /** Longer than a peer keeps an idle connection (link/linkpool.ts), in milliseconds. */
 const KEEP_ALIVE_MS = 10_000;
 
@@ -55,18 +55,22 @@
     readonly #server: Server;
     readonly #key: Buffer;
     readonly #sessions = new Set<LinkSession>();
-    #calls = 0;
+    #openCalls = 0;
     #isClosing = false;
 
     constructor(private readonly deps: PeerServerDependencies) {
         this.#key = Buffer.from(deps.key);
         this.#server = createServer({ keepAliveTimeout: KEEP_ALIVE_MS, requestTimeout: 0 }, (req, res) => {
-            this.#handle(req, res);
+            this.#handleHttp(req, res);
         });
         const [serveHttp] = this.#server.listeners("connection") as [(socket: Socket) => void];
         this.#server.removeAllListeners("connection");
         this.#server.on("connection", (socket: Socket) => {
-            splitProtocol(socket, () => serveHttp.call(this.#server, socket), first => this.#open(socket, first));
+            detectProtocol(
+                socket,
+                () => serveHttp.call(this.#server, socket),
+                first => this.#openSession(socket, first),
+            );
         });
     }
 
@@ -76,7 +80,7 @@
 
     /** Requests and calls that have not been answered whole. */
     get inFlight(): number {
-        return this.#calls + [...this.#sessions].filter(session => session.busy).length;
+        return this.#openCalls + [...this.#sessions].filter(session => session.busy).length;
     }
 
     /** From now on each answer ends its connection. */
@@ -87,7 +91,7 @@
     /** Ends idle connections and goes on listening. */
     closeIdle(): void {
         this.#server.closeIdleConnections();
-        this.#sessions.forEach(session => session.endIfIdle());
+        this.#sessions.forEach(session => session.closeIfIdle());
     }
 
     /** Ends once all connections have. */
@@ -101,47 +105,47 @@
         this.#sessions.forEach(session => session.destroy());
     }
 
-    #open(socket: Socket, first: Buffer): void {
+    #openSession(socket: Socket, firstBytes: Buffer): void {
         const session = new LinkSession(socket, {
             key: this.#key,
             serve: (call, cancel) => this.#serve(call, cancel),
-            refuseBad: err => this.#refuseBad(socket, err),
+            refuseBad: err => this.#refuseInvalid(socket, err),
             identity: () => this.#note({}),
             isClosing: () => this.#isClosing,
         });
-        socket.setTimeout(KEEP_ALIVE_MS, () => session.endIfStill());
+        socket.setTimeout(KEEP_ALIVE_MS, () => session.closeIfStalled());
         this.#sessions.add(session);
         socket.on("close", () => this.#sessions.delete(session));
-        session.read(first);
+        session.read(firstBytes);
     }
 
-    #handle(req: IncomingMessage, res: ServerResponse): void {
-        this.#calls += 1;
-        res.on("close", () => this.#calls -= 1);
+    #handleHttp(req: IncomingMessage, res: ServerResponse): void {
+        this.#openCalls += 1;
+        res.on("close", () => this.#openCalls -= 1);
         res.shouldKeepAlive = res.shouldKeepAlive && !this.#isClosing;
-        if (!this.#isPeer(req)) {
+        if (!this.#hasKey(req)) {
             res.writeHead(httpStatus.forbidden).end();
             return;
         }
-        void answerCall(req, res, this.deps.service);
+        void handleCall(req, res, this.deps.service);
     }
 
-    #isPeer(req: IncomingMessage): boolean {
-        const given = Buffer.from(String(req.headers[headerName.key] ?? ""));
-        return given.length === this.#key.length && timingSafeEqual(given, this.#key);
+    #hasKey(req: IncomingMessage): boolean {
+        const received = Buffer.from(String(req.headers[headerName.key] ?? ""));
+        return received.length === this.#key.length && timingSafeEqual(received, this.#key);
     }
 
     async #serve(call: ServedCall, cancel: Cancellation): Promise<ServedAnswer> {
         const { head } = call;
         try {
             this.deps.onSender(head.from);
-            await this.#readEnd(head);
+            await this.#waitForPendingClose(head);
             await this.deps.catchUp(head.revision, head.from);
-            const { note, ...answer } = await this.#answer(call, cancel);
-            return { ...answer, note: note ?? this.#note({}) };
+            const { note, ...response } = await this.#sendToGate(call, cancel);
+            return { ...response, note: note ?? this.#note({}) };
         }
         catch (err) {
-            return { note: this.#noteOf(err, head.upstream), ...REFUSAL };
+            return { note: this.#errorNote(err, head.upstream), ...REFUSAL };
         }
     }
 
@@ -149,14 +153,14 @@
      * A sender that does not know the clock here can't say how long its request has been on its way. Where it has lain in the socket until its
      * caller left, the end of the connection lies behind it, and is read first: in the next turn of the event loop, which ends with the second wait.
      */
-    async #readEnd({ gateTime }: RequestMetadata): Promise<void> {
+    async #waitForPendingClose({ gateTime }: RequestMetadata): Promise<void> {
         if (gateTime === undefined) {
             await setImmediate();
             await setImmediate();
         }
     }
 
-    #noteOf(err: unknown, upstream: UpstreamName): ResponseMetadata {
+    #errorNote(err: unknown, upstream: UpstreamName): ResponseMetadata {
         if (!(err instanceof HopError)) {
             logger.warn("A peer's request failed at its gate.", err, { upstream });
             return this.#note({ outcome: "unknown", reason: "gate-error" });
@@ -166,7 +170,7 @@
         return this.#note({ outcome, reason, ...note });
     }
 
-    async #answer({ head, method, path, headers, body }: ServedCall, cancel: Cancellation): Promise<GateResponse> {
+    async #sendToGate({ head, method, path, headers, body }: ServedCall, cancel: Cancellation): Promise<GateResponse> {
         const gate = this.deps.gate(head.upstream);
         if (gate === undefined) {
             throw new HopError("not-run", "no-such-upstream");
@@ -179,9 +183,9 @@
         return await gate.serve({ head, rule: matched?.rule.name, method, path, headers, body, cancel });
     }
 
-    #refuseBad({ remoteAddress }: Socket, err: unknown): ServedAnswer {
+    #refuseInvalid({ remoteAddress }: Socket, err: unknown): ServedAnswer {
         logger.warn("A peer's call can't be read.", err, { peer: remoteAddress });
-        return { note: this.#note({ outcome: "not-run", reason: BAD_CALL }), ...REFUSAL };
+        return { note: this.#note({ outcome: "not-run", reason: INVALID_CALL }), ...REFUSAL };
     }
 
     #note(more: Partial<ResponseMetadata>): ResponseMetadata {
--- a/src/peer/remotehop.test.ts
+++ b/src/peer/remotehop.test.ts
@@ -10,19 +10,19 @@
 
 const KEY = "a-key-for-tests-only";
 /** Milliseconds: the gate's host reads nothing from a new connection for so long. */
-const SLOW_MS = 200;
+const READ_DELAY_MS = 200;
 const REMAINING_MS = 900;
 
 /** The head of a request of this kind as it comes to the gate, whose daemon is slow to read the first connection. */
 const headAtSlowGate = async (kind: RequestMetadata["kind"]): Promise<RequestMetadata> => {
-    let got: RequestMetadata | undefined;
+    let receivedHead: RequestMetadata | undefined;
     const identity = (): typeof LinkEnds.note => ({ ...LinkEnds.note, gateTime: performance.now() });
     const server = createServer({ pauseOnConnect: true }, socket => {
         setTimeout(() => {
             const session = new LinkSession(socket, {
                 key: Buffer.from(KEY),
                 serve: async ({ head }) => {
-                    got = head;
+                    receivedHead = head;
                     return { note: identity(), status: 200, headers: {}, body: undefined };
                 },
                 refuseBad: () => assert.fail(),
@@ -31,7 +31,7 @@
             });
             socket.resume();
             return session;
-        }, SLOW_MS);
+        }, READ_DELAY_MS);
     });
     server.listen(0, "127.0.0.1");
     await once(server, "listening");
@@ -47,12 +47,12 @@
     await hop.send({ ...call, head: { ...call.head, kind, remainingMs: REMAINING_MS, maxWaitMs: 100 } });
     server.close();
     await hop.close();
-    return got!;
+    return receivedHead!;
 };
 
 test("remote hop: the time that the question for the gate's clock takes is taken off what the request has left", async () => {
     const { remainingMs, maxWaitMs } = await headAtSlowGate("once");
-    assert.ok(remainingMs <= REMAINING_MS - SLOW_MS + 1, `${remainingMs} ms left`);
+    assert.ok(remainingMs <= REMAINING_MS - READ_DELAY_MS + 1, `${remainingMs} ms left`);
     assert.ok(remainingMs > 0);
     assert.equal(maxWaitMs, 0);
 });
--- a/src/peer/remotehop.ts
+++ b/src/peer/remotehop.ts
@@ -35,11 +35,11 @@
     }
 
     async send(call: GateCall): Promise<GateResponse> {
-        const askedAt = this.options.clock();
+        const preparedAt = this.options.clock();
         if (call.head.kind === "once" && this.clock.incarnation === undefined) {
             await this.handshake();
         }
-        const { status, headers, body = emptyBuffer, note } = await this.#request(call, askedAt);
+        const { status, headers, body = emptyBuffer, note } = await this.#request(call, preparedAt);
         if (note.outcome !== undefined) {
             throw new HopError(note.outcome, this.#reasonOf(note), note);
         }
@@ -58,7 +58,7 @@
     async handshake(): Promise<void> {
         try {
             const askedAt = this.options.clock();
-            this.#readClock(await this.#pool.greet() ?? await this.peer.hello(this.address), askedAt);
+            this.#observeClock(await this.#pool.requestIdentity() ?? await this.peer.hello(this.address), askedAt);
         }
         catch (err) {
             throw new HopError("not-run", "unreachable", undefined, { cause: err });
@@ -67,17 +67,17 @@
 
     /** Ends idle connections: they may have gone silent. */
     dropIdle(): void {
-        this.#pool.dropIdle();
+        this.#pool.closeIdle();
     }
 
     async close(): Promise<void> {
         this.#pool.close();
     }
 
-    #reasonOf({ reason: word }: ResponseMetadata): Reason {
-        const reason = decodeReason(word);
+    #reasonOf({ reason: receivedReason }: ResponseMetadata): Reason {
+        const reason = decodeReason(receivedReason);
         if (reason === "unknown-reason") {
-            logger.warn("A peer refused for a reason that is not known here.", word, { peer: this.address });
+            logger.warn("A peer refused for a reason that is not known here.", receivedReason, { peer: this.address });
         }
         return reason;
     }
@@ -86,32 +86,35 @@
      * The head is stamped when it is sent: with the gate's life and clock, so that the gate can tell its delay, and with what is left by
      * then, since a connection or the gate's clock may have been waited for.
      */
-    #stamp(head: RequestMetadata, askedAt: number, sentAt: number): void {
+    #stamp(head: RequestMetadata, preparedAt: number, sentAt: number): void {
         const stamped: { -readonly [Field in keyof RequestMetadata]: RequestMetadata[Field]; } = head;
-        const tookMs = sentAt - askedAt;
-        stamped.remainingMs = Math.max(0, head.remainingMs - tookMs);
-        stamped.maxWaitMs = Math.max(0, head.maxWaitMs - tookMs);
+        const elapsedMs = sentAt - preparedAt;
+        stamped.remainingMs = Math.max(0, head.remainingMs - elapsedMs);
+        stamped.maxWaitMs = Math.max(0, head.maxWaitMs - elapsedMs);
         stamped.incarnation = this.clock.incarnation;
         stamped.gateTime = this.clock.estimate(sentAt);
     }
 
     /** The gate has said what its clock showed, some time after it was asked. */
-    #readClock({ incarnation, gateTime }: Pick<ResponseMetadata, "incarnation" | "gateTime">, askedAt: number): void {
+    #observeClock(
+        { incarnation, gateTime }: Pick<ResponseMetadata, "incarnation" | "gateTime">,
+        askedAt: number,
+    ): void {
         this.clock.observe(incarnation, gateTime, { askedAt, now: this.options.clock() });
     }
 
     /** `askedAt`: when what the head says was true. */
     async #request(
         call: GateCall,
-        askedAt: number,
-    ): Promise<Awaited<ReturnType<Awaited<ReturnType<LinkPool["take"]>>["send"]>>> {
+        preparedAt: number,
+    ): Promise<Awaited<ReturnType<Awaited<ReturnType<LinkPool["acquire"]>>["send"]>>> {
         try {
-            const connection = await this.#pool.take();
+            const connection = await this.#pool.acquire();
             const sentAt = this.options.clock();
-            this.#stamp(call.head, askedAt, sentAt);
-            const answer = await connection.send(call);
-            this.#readClock(answer.note, sentAt);
-            return answer;
+            this.#stamp(call.head, preparedAt, sentAt);
+            const response = await connection.send(call);
+            this.#observeClock(response.note, sentAt);
+            return response;
         }
         catch (err) {
             const { unsent, reason } = err instanceof LinkError ? err : new LinkError("peer-broke", { cause: err });
