--- a/src/link/buffershortbody.ts
+++ b/src/link/buffershortbody.ts
@@ -1,17 +1,17 @@
-/** Reads a body into memory, if it is short. */
+/** Reads a short body into memory and leaves a long one as a stream. */
 import { PassThrough, type Readable } from "node:stream";
 import { bufferBody } from "../http/bufferbody.js";
 
-/** Most answers are far below it; longer ones go on as they come. */
+/** Most responses are far shorter; longer ones are streamed. */
 const MAX_BUFFERED_BYTES = 256 * 1024;
 
-const BROKEN_MESSAGE = "the body broke off";
+const BROKEN_MESSAGE = "response body broke off before it was complete";
 
 const streamWithBuffered = (body: Readable, buffered: readonly Buffer[]): Readable => {
     const out = new PassThrough();
     buffered.forEach(chunk => out.write(chunk));
     out.on("error", () => {
-        // Whoever sends it on has a listener of its own.
+        // The stream's reader has its own listener; this one keeps an error without a reader from ending the process.
     });
     out.on("close", () => body.destroy());
     if (body.destroyed && !body.readableEnded) {
@@ -25,7 +25,7 @@
     return body.pipe(out);
 };
 
-/** Resolves with the whole body, with a stream of all of it when it is long, or with `broken` when it broke off. */
+/** Resolves with the whole body if it is short, with a stream of it if it is long, or with `broken` if it broke off. */
 export async function bufferShortBody(body: Readable): Promise<Buffer | Readable | "broken"> {
     try {
         const { whole, chunks } = await bufferBody(body, MAX_BUFFERED_BYTES);
@@ -35,7 +35,7 @@
         return chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
     }
     catch {
-        // The peer is told so, and logs it with the request's id.
+        // The peer receives a `broken` frame, and logs the failure with the request's id.
         return "broken";
     }
 }
--- a/src/link/detectprotocol.ts
+++ b/src/link/detectprotocol.ts
@@ -1,13 +1,13 @@
-/** Tells the two protocols of a listener apart by the first byte. */
+/** Detects by its first byte whether a connection uses HTTP or the daemons' framed protocol. */
 import type { Socket } from "node:net";
 import { frameType } from "./frametype.js";
 
-/** A connection without its first byte for so long is ended; milliseconds. */
+/** A connection on which no byte arrives for this time is closed. */
 const FIRST_BYTE_TIMEOUT_MS = 10_000;
 
-/** Calls one of the two when the first bytes have come; HTTP finds them unread. */
+/** Calls `onHttp` or `onPeerProtocol` when the first bytes arrive; for HTTP they are pushed back into the socket. */
 export function detectProtocol(socket: Socket, onHttp: () => void, onPeerProtocol: (firstBytes: Buffer) => void): void {
-    /** `close` follows; nothing has begun on this connection yet. */
+    /** Ignores the error: the socket closes after it, and no request has begun on the connection. */
     const onError = (): void => {};
     socket.on("error", onError);
     socket.setTimeout(FIRST_BYTE_TIMEOUT_MS, () => socket.destroy());
--- a/src/link/emptybuffer.ts
+++ b/src/link/emptybuffer.ts
@@ -1,2 +1,2 @@
-/** The payload of a frame that carries nothing, and the rest of bytes that are all read. */
+/** An empty buffer, shared by frames without a payload and by readers without unread bytes. */
 export const emptyBuffer = Buffer.alloc(0);
--- a/src/link/frame.ts
+++ b/src/link/frame.ts
@@ -1,7 +1,7 @@
-/** A frame of the protocol between daemons. */
+/** Defines a frame of the protocol between daemons. */
 import type { frameType } from "./frametype.js";
 
-/** `payload` is a part of a larger buffer. */
+/** A received frame; `payload` is a view of the buffer that the bytes were received in. */
 export type Frame = {
     readonly type: (typeof frameType)[keyof typeof frameType];
     readonly payload: Buffer;
--- a/src/link/framedbody.ts
+++ b/src/link/framedbody.ts
@@ -1,11 +1,14 @@
-/** A body that comes in frames. */
+/** Provides a body that is received in frames as a stream. */
 import type { Socket } from "node:net";
 import { Readable } from "node:stream";
 import type { Frame } from "./frame.js";
 import { frameType } from "./frametype.js";
 import { LinkError } from "./linkerror.js";
 
-/** The socket waits while nobody reads; `onLeft` is called when the reader leaves before the end. */
+/**
+ * Pauses the socket while the stream's reader is slower than the sender. Calls `onAbandoned` if the reader destroys the
+ * stream before the body has ended.
+ */
 export class FramedBody {
     readonly stream: Readable;
     #ended = false;
@@ -21,11 +24,11 @@
             },
         });
         this.stream.on("error", () => {
-            // Whoever reads the body has a listener of its own.
+            // The reader has its own listener; this one keeps an error without a reader from ending the process.
         });
     }
 
-    /** Adds a frame; true when the body has ended with it. */
+    /** Adds a frame of the body; returns true if it is the last one. */
     add({ type, payload }: Frame): boolean {
         if (type === frameType.data) {
             if (!this.stream.push(payload)) {
@@ -44,7 +47,7 @@
         return true;
     }
 
-    /** Fails the reader. */
+    /** Destroys the stream, so that its reader gets a LinkError. */
     fail(reason: LinkError["reason"]): void {
         this.#ended = true;
         this.stream.destroy(new LinkError(reason));
--- a/src/link/frameheadbytes.ts
+++ b/src/link/frameheadbytes.ts
@@ -1,2 +1,2 @@
-/** The size of what precedes a frame's payload: a byte for the type, four for the payload's length. */
+/** The size in bytes of a frame's header: one byte for the type, four for the payload's length. */
 export const frameHeadBytes = 5;
--- a/src/link/framereader.ts
+++ b/src/link/framereader.ts
@@ -1,19 +1,19 @@
-/** Cuts a stream of bytes into frames. */
+/** Splits a stream of bytes into frames. */
 import { emptyBuffer } from "./emptybuffer.js";
 import type { Frame } from "./frame.js";
 import { frameHeadBytes } from "./frameheadbytes.js";
 import { frameType } from "./frametype.js";
 import { LinkError } from "./linkerror.js";
 
-/** Bodies that are at hand are sent whole up to a bound far below this one. */
+/** Far above the largest body that is sent within a single frame. */
 const MAX_PAYLOAD_BYTES = 32 * 1024 * 1024;
 const FRAME_TYPES: ReadonlySet<number> = new Set(Object.values(frameType));
 
-/** Of one connection. */
+/** Reads the frames of one connection, and keeps the bytes of an incomplete frame. */
 export class FrameReader {
     #remainder: Buffer = emptyBuffer;
 
-    /** Adds bytes and returns the frames that they complete; throws a LinkError for bytes that are none. */
+    /** Adds bytes and returns the frames that they complete; throws a LinkError if a frame's header is invalid. */
     read(chunk: Buffer): Frame[] {
         const bytes = this.#remainder.length === 0 ? chunk : Buffer.concat([this.#remainder, chunk]);
         const frames: Frame[] = [];
--- a/src/link/frametype.ts
+++ b/src/link/frametype.ts
@@ -1,21 +1,21 @@
-/** The kinds of frames that daemons send each other. */
+/** Defines the types of frames that daemons send each other. */
 
-/** The number is the frame's first byte; no HTTP request begins with one of them. */
+/** The values are the first byte of a frame; no HTTP request begins with one of them. */
 export const frameType = {
-    /** First on each connection, from the caller's side: the key that daemons share. */
+    /** The key that all daemons share; the first frame on each connection, sent by the end that opened it. */
     greeting: 1,
-    /** A request, with its body if that is at hand. */
+    /** A request, with its body if it is buffered. */
     call: 2,
-    /** An answer, or a refusal, with the body if that is at hand. */
+    /** A response or a refusal, with its body if it is buffered. */
     response: 3,
-    /** A part of a body that did not come with the frame before it. */
+    /** A part of a streamed body, whose request or response was sent in an earlier frame. */
     data: 4,
-    /** The end of such a body. */
+    /** The end of a complete streamed body. */
     end: 5,
-    /** Such a body has broken off, and the connection is in order. */
+    /** The end of a streamed body that broke off; the connection itself can still be used. */
     broken: 6,
-    /** A question whether the connection carries anything, from the caller's side at any time. */
+    /** Asks whether the connection works; the end that opened it may send it at any time. */
     probe: 7,
-    /** The answer to it: a note of who answers, empty from daemons of older versions. */
+    /** Responds to a probe with the metadata of the responding daemon; empty from older versions. */
     probeResponse: 8,
 } as const;
--- a/src/link/isbodyframe.ts
+++ b/src/link/isbodyframe.ts
@@ -1,10 +1,10 @@
-/** Which frames belong to a body. */
+/** Tells the frames of streamed bodies from other frames. */
 import type { Frame } from "./frame.js";
 import { frameType } from "./frametype.js";
 
 const BODY_TYPES: ReadonlySet<number> = new Set([frameType.data, frameType.end, frameType.broken]);
 
-/** True for a part of a body and for its end, whole or broken. */
+/** Returns true for a part of a streamed body and for its end, whether it is complete or broke off. */
 export function isBodyFrame({ type }: Frame): boolean {
     return BODY_TYPES.has(type);
 }
--- a/src/link/link.test.ts
+++ b/src/link/link.test.ts
@@ -29,22 +29,22 @@
     await (await pool.acquire()).send(call);
 type SendFunction = Awaited<ReturnType<LinkPool["acquire"]>>["send"];
 
-test("link: a request and its answer come over as they were, one after the other on one connection", async () => {
+test("link: requests and responses are transferred unchanged, one after the other on one connection", async () => {
     await LinkEnds.between(echo, async ({ pool, sockets }) => {
         for (const body of [undefined, Buffer.from("x"), Buffer.alloc(100_000, "y")]) {
-            const answer = await send(pool, LinkEnds.call({ body }));
-            assert.equal(await textOf(answer.body), `POST /a/b?c=d ${body?.toString() ?? ""}`);
-            assert.deepEqual(answer.headers, { "host": "h", "set-cookie": ["one", "two"] });
-            assert.equal(answer.status, 200);
-            assert.deepEqual(answer.note, note);
+            const response = await send(pool, LinkEnds.call({ body }));
+            assert.equal(await textOf(response.body), `POST /a/b?c=d ${body?.toString() ?? ""}`);
+            assert.deepEqual(response.headers, { "host": "h", "set-cookie": ["one", "two"] });
+            assert.equal(response.status, 200);
+            assert.deepEqual(response.note, note);
         }
         assert.equal(sockets.length, 1);
     });
 });
 
-test("link: bodies that are not at hand are streamed both ways", async () => {
-    const parts = Array.from({ length: 40 }, (_, at) => Buffer.alloc(20_000, 65 + at % 26));
-    const whole = Buffer.concat(parts).toString();
+test("link: bodies that are not buffered are streamed in both directions", async () => {
+    const chunks = Array.from({ length: 40 }, (_, index) => Buffer.alloc(20_000, 65 + index % 26));
+    const whole = Buffer.concat(chunks).toString();
     const serve: Serve = async ({ body }) => ({
         note,
         status: 200,
@@ -52,12 +52,12 @@
         body: Readable.from([await textOf(body)], { objectMode: false }),
     });
     await LinkEnds.between(serve, async ({ pool }) => {
-        const answer = await send(pool, LinkEnds.call({ body: Readable.from(parts, { objectMode: false }) }));
-        assert.equal(await textOf(answer.body), whole);
+        const response = await send(pool, LinkEnds.call({ body: Readable.from(chunks, { objectMode: false }) }));
+        assert.equal(await textOf(response.body), whole);
     });
 });
 
-test("link: streamed bodies leave nothing behind on the connection they shared", async () => {
+test("link: streamed bodies leave no listeners on the connection that they shared", async () => {
     const serve: Serve = async () => ({ note, status: 200, headers: {}, body: Readable.from([Buffer.from("x")]) });
     await LinkEnds.between(serve, async ({ pool, sockets }) => {
         const streamed = { ...LinkEnds.call().head, answer: "streamed" as const };
@@ -71,21 +71,21 @@
     });
 });
 
-test("link: requests at the same time have connections of their own, and the answers are not mixed up", async () => {
+test("link: concurrent requests use separate connections and get their own responses", async () => {
     const serve: Serve = async ({ path }) => {
         await new Promise(resolve => setTimeout(resolve, path.length % 7 * 3));
         return { note, status: 200, headers: {}, body: Buffer.from(path) };
     };
     await LinkEnds.between(serve, async ({ pool }) => {
-        const paths = Array.from({ length: 50 }, (_, at) => `/${"p".repeat(at)}`);
-        const told = await Promise.all(
+        const paths = Array.from({ length: 50 }, (_, index) => `/${"p".repeat(index)}`);
+        const bodies = await Promise.all(
             paths.map(async path => await textOf((await send(pool, LinkEnds.call({ path }))).body)),
         );
-        assert.deepEqual(told, paths);
+        assert.deepEqual(bodies, paths);
     });
 });
 
-test("link: a body that breaks off is broken at the other end, and the connection serves on", async () => {
+test("link: a body that breaks off fails at the other end, and the connection stays in use", async () => {
     const serve: Serve = async ({ path }) => ({
         note,
         status: 200,
@@ -107,20 +107,20 @@
     });
 });
 
-test("link: a body that had broken off before it was read is broken at the other end too", async () => {
-    for (const answer of ["whole", "streamed"] as const) {
+test("link: a body that broke off before it was read fails at the other end too", async () => {
+    for (const mode of ["whole", "streamed"] as const) {
         const body = new Readable({ read() {} }).on("error", () => {});
         body.destroy(new Error("broke"));
         await new Promise(resolve => body.on("close", resolve));
         await LinkEnds.between(async () => ({ note, status: 200, headers: {}, body }), async ({ pool }) => {
             const { head } = LinkEnds.call();
-            const sent = await send(pool, LinkEnds.call({ head: { ...head, answer } }));
-            await assert.rejects(textOf(sent.body), answer);
+            const response = await send(pool, LinkEnds.call({ head: { ...head, answer: mode } }));
+            await assert.rejects(textOf(response.body), mode);
         });
     }
 });
 
-test("link: a connection that is cut is an error of its request, which may have run", async () => {
+test("link: a reset connection fails its request, which may have run", async () => {
     await LinkEnds.between(() => new Promise(() => {}), async ({ pool, sockets }) => {
         const sent = send(pool, LinkEnds.call());
         setTimeout(() => sockets[0]!.resetAndDestroy(), 30);
@@ -128,26 +128,26 @@
     });
 });
 
-test("link: nobody there proves that nothing was sent", async () => {
+test("link: a refused connection proves that nothing was sent", async () => {
     const pool = LinkEnds.makePool("127.0.0.1:1" as Address);
     await assert.rejects(pool.acquire(), { reason: "unreachable", unsent: true });
 });
 
-test("link: calling a request off reaches the server, one called off before is not sent", async () => {
-    let leftAt: number | undefined;
-    const serve: Serve = (_call, cancel) => new Promise(() => cancel.onAbort(() => leftAt = performance.now()));
+test("link: the server learns of a cancelled request; one that was cancelled before is not sent", async () => {
+    let cancelledAt: number | undefined;
+    const serve: Serve = (_call, cancel) => new Promise(() => cancel.onAbort(() => cancelledAt = performance.now()));
     await LinkEnds.between(serve, async ({ pool }) => {
         const cancel = new Cancellation();
         const sent = send(pool, LinkEnds.call({ cancel }));
         setTimeout(() => cancel.abort(), 20);
         await assert.rejects(sent);
         await new Promise(resolve => setTimeout(resolve, 50));
-        assert.ok(leftAt !== undefined);
+        assert.ok(cancelledAt !== undefined);
         await assert.rejects(send(pool, LinkEnds.call({ cancel })), { reason: "called-off", unsent: true });
     });
 });
 
-test("link: a server that winds up ends the connection after the answer", async () => {
+test("link: a closing server ends the connection after the response", async () => {
     await LinkEnds.between(echo, async ends => {
         await send(ends.pool, LinkEnds.call());
         ends.isClosing = true;
@@ -159,7 +159,7 @@
     });
 });
 
-test("link: a wrong key, and bytes that are no frame, end the connection", async () => {
+test("link: a wrong key or an invalid frame ends the connection", async () => {
     await LinkEnds.between(echo, async ({ pool }) => {
         const other = LinkEnds.makePool(pool.address, { key: "another-key-for-tests" });
         await assert.rejects(send(other, LinkEnds.call()), { reason: "peer-broke" });
@@ -169,13 +169,13 @@
     assert.throws(() => new FrameReader().read(Buffer.from([frameType.data, 255, 255, 255, 255])));
 });
 
-test("link: frames are found however the bytes are cut", () => {
-    const bytes = Buffer.concat([1, 2, 3].map(at => writeFrame(frameType.data, Buffer.alloc(at * 5, at))));
+test("link: frames are read however the bytes are split into chunks", () => {
+    const bytes = Buffer.concat([1, 2, 3].map(count => writeFrame(frameType.data, Buffer.alloc(count * 5, count))));
     for (let step = 1; step < bytes.length; step++) {
         const reader = new FrameReader();
         const lengths: number[] = [];
-        for (let at = 0; at < bytes.length; at += step) {
-            reader.read(bytes.subarray(at, at + step)).forEach(frame => lengths.push(frame.payload.length));
+        for (let offset = 0; offset < bytes.length; offset += step) {
+            reader.read(bytes.subarray(offset, offset + step)).forEach(frame => lengths.push(frame.payload.length));
         }
         assert.deepEqual(lengths, [5, 10, 15]);
     }
--- a/src/link/linkcheck.ts
+++ b/src/link/linkcheck.ts
@@ -1,38 +1,40 @@
 /**
- * Does a connection to a peer carry anything at all, when the answer on it is overdue?
+ * Determines whether a connection on which a response is overdue is unresponsive.
  *
- * It is asked by a probe, which the other end answers at once whatever it does for the request. Without an answer a new connection is
- * opened and asked too: when that one answers and the old one still has not, the old one is silent. When neither does, the host is
- * slow, cut off or gone, which is for failuredetection to find out. Peers of a version that does not know probes are never asked.
+ * It sends a probe, which the peer responds to at once, whatever the state of the request. If there is no response in
+ * time, it opens a new connection and probes that one too. If the new connection responds and the old one still does
+ * not, the old one is unresponsive. If neither responds, the host is slow, unreachable or gone, which the failure
+ * detection handles.
+ * The pool does not use the check for peers of older versions, which do not support probes.
  */
 import type { Clock } from "../time/clock.js";
 import { sleep } from "../time/sleep.js";
 import type { LinkConnection } from "./linkconnection.js";
 
-/** How long a probe may go unanswered: the way there and back through two busy processes, in milliseconds. */
+/** Covers the round trip through two busy processes. */
 const PROBE_TIMEOUT_MS = 200;
-/** How long the new connection has for the same, in milliseconds. */
+/** Timeout of the probe on the new connection. */
 const CONFIRM_TIMEOUT_MS = 500;
 
-/** After a stall here the answers of both wait to be read, in no order; milliseconds. */
+/** After a stall of this process the responses on both connections may be unread; they are read in any order. */
 const SETTLE_DELAY_MS = 50;
 
-/** What the check needs of its pool; `open` rejects when the peer takes no connection. */
+/** What the check needs of its pool; `open` rejects if the peer does not accept a connection. */
 type CheckDependencies = {
     readonly clock: Clock;
     readonly open: () => Promise<LinkConnection>;
-    /** Takes back a connection that was opened for the check. */
+    /** Adds a connection that was opened for the check to the idle ones. */
     readonly release: (connection: LinkConnection) => void;
 };
 
-/** Of one peer. */
+/** Checks the connections to one peer. */
 export class LinkCheck {
     #confirmedAt = -Infinity;
     #confirming: Promise<void> | undefined;
 
     constructor(private readonly deps: CheckDependencies) {}
 
-    /** Resolves with true when the connection is silent; it may have ended meanwhile. */
+    /** Resolves with true if the connection is unresponsive; it may have been closed by then. */
     async isUnresponsive(connection: LinkConnection): Promise<boolean> {
         const probedAt = this.deps.clock();
         if (await connection.probe(PROBE_TIMEOUT_MS)) {
@@ -49,21 +51,21 @@
         return !connection.hasActivitySince(probedAt);
     }
 
-    /** Asks on a new connection; connections that are checked at the same time share one. */
+    /** Probes a new connection; checks that run at the same time share it. */
     async #confirm(): Promise<void> {
-        const { clock, open, release: free } = this.deps;
+        const { clock, open, release } = this.deps;
         try {
-            const fresh = await open();
-            if (!await fresh.probe(CONFIRM_TIMEOUT_MS)) {
-                // A request on it would wait again for what this question has waited for.
-                fresh.destroy();
+            const newConnection = await open();
+            if (!await newConnection.probe(CONFIRM_TIMEOUT_MS)) {
+                // A request on this connection would have to wait for the same response.
+                newConnection.destroy();
                 return;
             }
             this.#confirmedAt = clock();
-            free(fresh);
+            release(newConnection);
         }
         catch {
-            // No connection: the peer is gone or cut off, and requests to it find that out and log it.
+            // The peer is gone or unreachable; requests to it fail for the same reason and log it.
         }
         finally {
             this.#confirming = undefined;
--- a/src/link/linkconnection.ts
+++ b/src/link/linkconnection.ts
@@ -1,4 +1,4 @@
-/** The calling end of one connection to a peer, which carries one request at a time. */
+/** Implements the requesting end of a connection to a peer, which carries one request at a time. */
 import type { Socket } from "node:net";
 import { Readable } from "node:stream";
 import type { GateCall } from "../hop/gatecall.js";
@@ -22,20 +22,20 @@
 
 const logger = log("peer");
 
-/** An answer whose body is whole, or comes as a stream that fails when it breaks off. */
+/** A response whose body is buffered, or a stream that fails if the body breaks off. */
 type LinkResponse = Omit<WireAnswer, "body"> & { readonly body: Buffer | Readable | undefined; };
 
-/** An answer that takes longer has the connection checked, in milliseconds: most answers come sooner. */
+/** A response that takes longer causes a check of the connection; most responses arrive sooner. */
 const OVERDUE_MS = 250;
-/** A request's own bytes are on their way first: a megabit a second, less than any link that was seen. */
+/** Extends the time to the check by the request's transmission, at 1 Mbit/s: slower than any known link. */
 const MIN_BYTES_PER_MS = 125;
 
-/** `onFree` is called after each request when the connection may carry another, `onOverdue` while an answer is overdue. */
+/** `onIdle` is called when the connection can carry another request, `onOverdue` repeatedly while a response is overdue. */
 type LinkEvents = {
     readonly clock: Clock;
     readonly onIdle: (connection: LinkConnection) => void;
     readonly onOverdue: (connection: LinkConnection) => Promise<void>;
-    /** The other end answers probes. */
+    /** Called when the peer has stated that it responds to probes. */
     readonly onProbeSupport: () => void;
 };
 
@@ -59,7 +59,7 @@
     constructor(private readonly socket: Socket, private readonly events: LinkEvents) {
         socket.on("data", (chunk: Buffer) => this.#read(chunk));
         socket.on("error", () => {
-            // `close` follows, and ends what waits for an answer.
+            // The `close` event follows and rejects the pending request.
         });
         socket.on("close", () => this.#handleClose());
     }
@@ -68,7 +68,7 @@
         return !this.socket.destroyed && this.socket.writable && this.socket.readable;
     }
 
-    /** Sends a request; rejects with a LinkError. Calling it off ends the connection. */
+    /** Sends a request; rejects with a LinkError. Cancelling the request closes the connection. */
     send(call: GateCall): Promise<LinkResponse> {
         if (call.cancel.aborted) {
             this.events.onIdle(this);
@@ -82,7 +82,7 @@
         });
     }
 
-    /** Asks the other end for a sign; resolves with false when none comes in time. */
+    /** Sends a probe; resolves with false if nothing is received in time. */
     probe(timeoutMs: number): Promise<boolean> {
         this.socket.write(writeFrame(frameType.probe, emptyBuffer));
         return new Promise(resolve => {
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Asks who is at the other end; resolves with undefined when it does not say: older versions answer without a word, or end the
-     * connection. Rejects with a LinkError when nothing comes.
+     * Requests the peer's incarnation and clock with a probe. Resolves with undefined if the peer does not state them:
+     * older versions respond with an empty frame or close the connection. Rejects with a LinkError on a timeout.
      */
     requestIdentity(timeoutMs: number): Promise<ResponseMetadata | undefined> {
         this.socket.write(writeFrame(frameType.probe, emptyBuffer));
@@ -119,12 +119,12 @@
         });
     }
 
-    /** True when anything has come on it since, or when none is read here, since the answer's reader holds it up. */
+    /** Returns true if bytes were received since then, or if reading is paused for a slow reader of the response. */
     hasActivitySince(since: number): boolean {
         return this.#receivedAt >= since || this.socket.isPaused();
     }
 
-    /** True while a request has no answer, or its answer's body is still coming. */
+    /** True while a request has no response, or its response's body is incomplete. */
     get busy(): boolean {
         return this.#pending !== undefined || this.#body !== undefined;
     }
@@ -144,14 +144,17 @@
         sendBody(body, this.socket, () => this.#isSending = false);
     }
 
-    /** A probe would lie behind a body that the other end need not have read: such a request has all of its time. */
+    /**
+     * Excludes requests with a streamed body from the check: a probe would queue behind a body that the peer need not
+     * read, so that a missing response to it proves nothing. Such a request can use all of its time.
+     */
     #watchUnlessStreaming(body: GateCall["body"]): void {
         if (!(body instanceof Readable)) {
             this.#scheduleOverdueCheck(OVERDUE_MS + (body?.length ?? 0) / MIN_BYTES_PER_MS);
         }
     }
 
-    /** Looks again and again, since a connection that carried something may fall silent later. */
+    /** Schedules the next check; checks are repeated, since a connection can become unresponsive later. */
     #scheduleOverdueCheck(afterMs = OVERDUE_MS): void {
         const since = this.events.clock();
         clearTimeout(this.#overdueTimer);
@@ -159,7 +162,7 @@
         this.#overdueTimer = timer;
     }
 
-    /** Goes on only while it is the same request's: the next one may be of those that are not watched. */
+    /** Schedules another check only for the same request: the next one may be excluded from the checks. */
     async #checkOverdue(since: number, timer: NodeJS.Timeout): Promise<void> {
         if (!this.hasActivitySince(since)) {
             await this.events.onOverdue(this);
@@ -176,7 +179,7 @@
             this.#reader.read(chunk).forEach(frame => this.#receive(frame));
         }
         catch (err) {
-            logger.warn("A peer's answer can't be read; its connection is ended.", err);
+            logger.warn("Could not decode a response from a peer; its connection is closed.", err);
             this.destroy();
         }
     }
--- a/src/link/linkpool.ts
+++ b/src/link/linkpool.ts
@@ -1,4 +1,4 @@
-/** The connections to one peer. */
+/** Pools the connections to one peer. */
 import { connect, type Socket } from "node:net";
 import type { Address } from "../ids/address.js";
 import { splitAddress } from "../ids/splitaddress.js";
@@ -10,25 +10,25 @@
 import { LinkError } from "./linkerror.js";
 import { writeFrame } from "./writeframe.js";
 
-/** To one peer: more than its upstream's slots and queue that were seen; bounds descriptors. */
+/** Limits file descriptors; more than the slots and the queue of any known upstream require. */
 const MAX_CONNECTIONS = 256;
-/** Several times the way between data halls, in milliseconds. */
+/** Several times the round trip between data halls. */
 const CONNECT_TIMEOUT_MS = 500;
-/** For the answer to the first question, in milliseconds: a peer that has just started is slow. */
+/** A peer that has just started responds slowly. */
 const IDENTITY_TIMEOUT_MS = 1000;
-/** Shorter than the peer keeps an idle connection. */
+/** Shorter than the time for which the peer keeps an idle connection (peer/peerserver.ts). */
 const IDLE_TIMEOUT_MS = 4000;
 
-/** `localIp` is the address that connections go out from; `key` is shared by all daemons. */
+/** `localIp` is the source address of the connections; `key` is shared by all daemons. */
 type PoolOptions = {
     readonly localIp: string;
     readonly key: string;
     readonly clock: Clock;
-    /** Told of a connection that carries nothing any more, and has been ended. */
+    /** Called after an unresponsive connection to the address has been closed. */
     readonly onSilent: (address: Address) => void;
 };
 
-/** The one that was used last is used first, so that those not needed end. */
+/** Reuses the most recently used idle connection first, so that surplus connections reach their idle timeout. */
 export class LinkPool {
     readonly #idle: LinkConnection[] = [];
     readonly #connections = new Set<LinkConnection>();
@@ -44,7 +44,7 @@
         });
     }
 
-    /** A connection that carries nothing; rejects with a LinkError. */
+    /** Resolves with an idle connection, or a new one if there is none; rejects with a LinkError. */
     async acquire(): Promise<LinkConnection> {
         for (let idle = this.#idle.pop(); idle !== undefined; idle = this.#idle.pop()) {
             if (idle.open) {
@@ -57,7 +57,7 @@
         return await this.#open();
     }
 
-    /** Asks the peer who it is; undefined from one that does not say. Rejects with a LinkError. */
+    /** Requests the peer's incarnation and clock; see `LinkConnection.requestIdentity` for the results. */
     async requestIdentity(): Promise<ResponseMetadata | undefined> {
         const connection = await this.acquire();
         const note = await connection.requestIdentity(IDENTITY_TIMEOUT_MS);
@@ -67,13 +67,13 @@
         return note;
     }
 
-    /** Ends idle connections, and each of the others after what it carries. */
+    /** Closes idle connections now, and each of the others after its request. */
     close(): void {
         this.#closed = true;
         this.closeIdle();
     }
 
-    /** Ends connections that carry nothing now: they may have gone silent. */
+    /** Closes idle connections, which may have become unresponsive unnoticed. */
     closeIdle(): void {
         this.#idle.splice(0).forEach(connection => connection.destroy());
     }
@@ -113,8 +113,8 @@
     #createConnection(socket: Socket): LinkConnection {
         return new LinkConnection(socket, {
             clock: this.options.clock,
-            onIdle: freed => this.#release(freed),
-            onOverdue: overdue => this.#closeIfUnresponsive(overdue),
+            onIdle: connection => this.#release(connection),
+            onOverdue: connection => this.#closeIfUnresponsive(connection),
             onProbeSupport: () => this.#peerSupportsProbes = true,
         });
     }
--- a/src/link/linksession.ts
+++ b/src/link/linksession.ts
@@ -1,4 +1,4 @@
-/** The serving end of one connection from a peer, which carries one request at a time. */
+/** Implements the serving end of a connection from a peer, which carries one request at a time. */
 import { pack } from "msgpackr";
 import { timingSafeEqual } from "node:crypto";
 import type { Socket } from "node:net";
@@ -29,15 +29,15 @@
 type SessionDependencies = {
     readonly key: Buffer;
     readonly serve: (call: ServedCall, cancel: Cancellation) => Promise<ServedAnswer>;
-    /** The refusal of a call that can't be read. */
+    /** Returns the refusal of a request that can't be decoded. */
     readonly refuseBad: (err: unknown) => ServedAnswer;
-    /** Who serves here, and its clock: the answer to a probe. */
+    /** Returns this daemon's incarnation and clock, which are the response to a probe. */
     readonly identity: () => ResponseMetadata;
-    /** True when each answer is to be its connection's last. */
+    /** Returns true if each response is to be its connection's last one. */
     readonly isClosing: () => boolean;
 };
 
-/** Ends the connection for whatever is not of the protocol. */
+/** Serves the requests on the connection, and closes it if the peer violates the protocol. */
 export class LinkSession {
     readonly #reader = new FrameReader();
     #isAuthenticated = false;
@@ -49,7 +49,7 @@
         socket.setNoDelay(true);
         socket.on("data", (chunk: Buffer) => this.read(chunk));
         socket.on("error", () => {
-            // `close` follows, and ends what is served.
+            // The `close` event follows and cancels the request that is being served.
         });
         socket.on("end", () => {
             this.#handleClose();
@@ -62,25 +62,25 @@
         return this.#serving !== undefined;
     }
 
-    /** Reads bytes that have come from the socket. */
+    /** Handles bytes received from the socket. */
     read(chunk: Buffer): void {
         try {
             this.#reader.read(chunk).forEach(frame => this.#receive(frame));
         }
         catch (err) {
-            logger.warn("A peer's connection is ended: it sent what is no frame.", err);
+            logger.warn("Could not decode a frame from a peer; its connection is closed.", err);
             this.destroy();
         }
     }
 
-    /** Ends the connection if it carries nothing. */
+    /** Closes the connection if it is idle. */
     closeIfIdle(): void {
         if (!this.busy) {
             this.socket.end();
         }
     }
 
-    /** Ends a connection on which nothing has moved for long, if it is idle or nobody takes what was written. */
+    /** Closes a connection without traffic if it is idle, or if the peer does not read what was written to it. */
     closeIfStalled(): void {
         if (this.socket.writableLength > 0) {
             this.destroy();
@@ -139,7 +139,7 @@
         }
     }
 
-    /** Undefined for what can't be read; that is refused and logged by the listener. */
+    /** Returns the request, or undefined if it can't be decoded; the listener logs and refuses such a request. */
     #readCall(payload: Buffer): WireCall | undefined {
         try {
             return unpackCall(payload);
@@ -160,7 +160,7 @@
 
     #openBody(): Readable {
         this.#body = new FramedBody(this.socket, () => {
-            // The rest of the body is read, and the connection serves on.
+            // The rest of the body is read and discarded, and the connection stays in use.
         });
         return this.#body.stream;
     }
@@ -192,7 +192,10 @@
         this.socket.write(writeFrame(frameType.response, packResponse({ ...response, note: sentNote })));
     }
 
-    /** A request whose body is still coming when it has its answer leaves the connection useless. */
+    /**
+     * Ends the request. If its body is incomplete, the rest is read and discarded; the peer does not reuse a connection
+     * on which it was still sending a body when the response arrived.
+     */
     #finish(last: boolean): void {
         this.#serving = undefined;
         this.#body?.stream.resume();
--- a/src/link/packresponse.ts
+++ b/src/link/packresponse.ts
@@ -1,10 +1,13 @@
-/** Writes an answer as the payload of a frame. */
+/** Encodes a response as the payload of a frame. */
 import { pack } from "msgpackr";
 import { responseMetadataCodec } from "../wire/responsemetadatacodec.js";
 import type { WireAnswer } from "./wireanswer.js";
 import { writeHeaders } from "./writeheaders.js";
 
-/** A list of the note, the status, the fields, whether the connection ends, whether a body follows, and the body. */
+/**
+ * Returns a MessagePack list of the metadata, the status, the header fields, whether the connection closes, whether the
+ * body follows in frames, and the body if it is buffered.
+ */
 export function packResponse({ note, status, headers, last, body }: WireAnswer): Buffer {
     const follows = body === "follows";
     const list = [responseMetadataCodec.write(note), status, writeHeaders(headers), last, follows];
--- a/src/link/readheaders.ts
+++ b/src/link/readheaders.ts
@@ -1,7 +1,7 @@
-/** Reads header fields from a flat list of names and values. */
+/** Decodes header fields from a flat list of names and values. */
 import type { HttpHeaders } from "../http/httpheaders.js";
 
-/** Undefined for what is no such list. */
+/** Returns the header fields, or undefined if the value is not such a list. */
 export function readHeaders(list: unknown): HttpHeaders | undefined {
     if (!Array.isArray(list) || list.length % 2 !== 0 || !list.every(item => typeof item === "string")) {
         return undefined;
--- a/src/link/readwirebody.ts
+++ b/src/link/readwirebody.ts
@@ -1,7 +1,7 @@
-/** Reads how a body goes with a frame. */
+/** Decodes how a frame carries a body. */
 import type { WireBody } from "./wirebody.js";
 
-/** Anything else than bytes that are at hand is no body. */
+/** Returns the body, or `follows` if it is streamed; a `body` that is not a buffer counts as none. */
 export function readWireBody(follows: unknown, body: unknown): WireBody {
     if (follows === true) {
         return "follows";
--- a/src/link/sendbody.ts
+++ b/src/link/sendbody.ts
@@ -1,11 +1,14 @@
-/** Sends a body in frames. */
+/** Sends a streamed body in frames. */
 import type { Socket } from "node:net";
 import type { Readable } from "node:stream";
 import { emptyBuffer } from "./emptybuffer.js";
 import { frameType } from "./frametype.js";
 import { writeFrame } from "./writeframe.js";
 
-/** Waits for the socket as it fills up; `onEnd` is called once, when all is sent or the body has broken off. */
+/**
+ * Sends the body as fast as the socket accepts it. Calls `onEnd` once, after the last frame has been written or the
+ * socket has closed.
+ */
 export function sendBody(body: Readable, socket: Socket, onEnd: () => void): void {
     let ended = false;
     const resume = (): void => void body.resume();
--- a/src/link/servedanswer.ts
+++ b/src/link/servedanswer.ts
@@ -1,6 +1,6 @@
-/** The result of a peer's request: an answer with its body, or a refusal by its note. */
+/** Defines the result of a peer's request: a response, or a refusal that consists of its metadata. */
 import type { Readable } from "node:stream";
 import type { WireAnswer } from "./wireanswer.js";
 
-/** The body is at hand or a stream; whether the connection ends is the listener's to say. */
+/** A response whose body is buffered or a stream; the session adds whether it is the connection's last one. */
 export type ServedAnswer = Omit<WireAnswer, "body" | "last"> & { readonly body: Buffer | Readable | undefined; };
--- a/src/link/servedcall.ts
+++ b/src/link/servedcall.ts
@@ -1,6 +1,6 @@
-/** A peer's request with its body. */
+/** Defines a peer's request, as the listener handles it. */
 import type { Readable } from "node:stream";
 import type { WireCall } from "./wirecall.js";
 
-/** The body is at hand, or a stream that fails when it breaks off. */
+/** A request whose body is buffered, or a stream that fails if the body breaks off. */
 export type ServedCall = Omit<WireCall, "body"> & { readonly body: Buffer | Readable | undefined; };
--- a/src/link/silentlink.test.ts
+++ b/src/link/silentlink.test.ts
@@ -22,21 +22,21 @@
 const send = async (pool: LinkPool, body?: Readable): Promise<number> =>
     (await (await pool.acquire()).send(call({ body }))).status;
 
-test("silent link: it is found while others work, what was on it ends as broken, and idle ones go", async () => {
+test("silent link: an unresponsive connection fails its request, and idle connections can be closed", async () => {
     await between(serve, async ends => {
         const { pool, sockets, found } = ends;
         await Promise.all([send(pool), send(pool), send(pool)]);
         sockets.forEach(socket => ends.silence(socket));
         const sentAt = performance.now();
         await assert.rejects(send(pool), { reason: "peer-broke", unsent: false });
-        assert.ok(performance.now() - sentAt < 1000, "found within a second");
+        assert.ok(performance.now() - sentAt < 1000, "detected within a second");
         assert.deepEqual(found, [pool.address]);
         pool.closeIdle();
         assert.equal(await send(pool), 200);
     });
 });
 
-test("silent link: connections that are silent together are found together, by one new connection", async () => {
+test("silent link: connections that are unresponsive together are detected with one new connection", async () => {
     await between(serve, async ends => {
         const { pool, sockets, found } = ends;
         await Promise.all(Array.from({ length: 10 }, () => send(pool)));
@@ -48,7 +48,7 @@
     });
 });
 
-test("silent link: a slow answer on a sound connection is waited for", async () => {
+test("silent link: a slow response on a working connection is awaited", async () => {
     const slow: Serve = async () => {
         await wait(1200);
         return response;
@@ -60,7 +60,7 @@
     });
 });
 
-test("silent link: a host on which nothing works is none", async () => {
+test("silent link: a connection to a host that does not respond at all is not closed as unresponsive", async () => {
     await between(serve, async ends => {
         await send(ends.pool);
         ends.silence(ends.sockets[0]!);
@@ -71,7 +71,7 @@
     });
 });
 
-test("silent link: a new connection that did not answer either is used by no request", async () => {
+test("silent link: a new connection that does not respond to its probe is not used for requests", async () => {
     await between(serve, async ends => {
         await send(ends.pool);
         ends.silence(ends.sockets[0]!);
@@ -83,7 +83,7 @@
     });
 });
 
-test("silent link: one on which an answer is not being read here, or a body is being sent, is none", async () => {
+test("silent link: an unread response or a body being sent does not make a connection unresponsive", async () => {
     const large: Serve = () => Promise.resolve({ ...response, body: Readable.from([Buffer.alloc(4_000_000)]) });
     await between(large, async ({ pool, found }) => {
         const { body } = await (await pool.acquire()).send(call({ head: { ...call().head, answer: "streamed" } }));
@@ -102,7 +102,7 @@
     });
 });
 
-test("silent link: a streamed answer may rest for longer than an idle connection", async () => {
+test("silent link: a streamed response may pause for longer than a check takes", async () => {
     const pausedBody = new PassThrough();
     await between(() => Promise.resolve({ ...response, body: pausedBody }), async ({ pool, found }) => {
         pausedBody.write("one");
@@ -113,7 +113,7 @@
     });
 });
 
-/** A peer of a version that ends a connection when it is sent a probe. */
+/** Serves as an older version does, which closes a connection on which it receives a probe. */
 const serveWithoutProbes = (socket: Socket): void => {
     const reader = new FrameReader();
     socket.on("data", (chunk: Buffer) =>
@@ -130,7 +130,7 @@
         }));
 };
 
-test("silent link: a peer that does not know probes is sent none", async () => {
+test("silent link: a peer that does not support probes receives none", async () => {
     const server = createServer(serveWithoutProbes);
     server.listen(0, "127.0.0.1");
     await once(server, "listening");
@@ -141,7 +141,7 @@
     server.close();
 });
 
-test("link: a peer says who it is when it is asked, and one that does not know the question is not believed to be gone", async () => {
+test("link: a peer states its identity; one that does not support it is not treated as gone", async () => {
     await between(() => Promise.resolve(response), async ({ pool }) => {
         const note = await pool.requestIdentity();
         assert.equal(note?.incarnation, LinkEnds.note.incarnation);
--- a/src/link/unpackanswer.ts
+++ b/src/link/unpackanswer.ts
@@ -1,4 +1,4 @@
-/** Reads an answer from the payload of a frame. */
+/** Decodes a response from the payload of a frame. */
 import { readResponseMetadata } from "../wire/readresponsemetadata.js";
 import { LinkError } from "./linkerror.js";
 import { readHeaders } from "./readheaders.js";
@@ -6,11 +6,11 @@
 import { unpackList } from "./unpacklist.js";
 import type { WireAnswer } from "./wireanswer.js";
 
-/** Throws a LinkError for what is no answer. */
+/** Returns the response; throws a LinkError if the payload is not one. */
 export function unpackAnswer(payload: Buffer): WireAnswer {
-    const [noteList, status, headerList, last, follows, body] = unpackList(payload);
-    const note = readResponseMetadata(noteList);
-    const headers = readHeaders(headerList);
+    const [metadataFields, status, headerFields, last, follows, body] = unpackList(payload);
+    const note = readResponseMetadata(metadataFields);
+    const headers = readHeaders(headerFields);
     if (note === undefined || headers === undefined || typeof status !== "number") {
         throw new LinkError("not-a-frame");
     }
--- a/src/link/unpackcall.ts
+++ b/src/link/unpackcall.ts
@@ -1,4 +1,4 @@
-/** Reads a request from the payload of a frame. */
+/** Decodes a request from the payload of a frame. */
 import { readRequestMetadata } from "../wire/readrequestmetadata.js";
 import { LinkError } from "./linkerror.js";
 import { readHeaders } from "./readheaders.js";
@@ -6,11 +6,11 @@
 import { unpackList } from "./unpacklist.js";
 import type { WireCall } from "./wirecall.js";
 
-/** Throws a LinkError for what is no request. */
+/** Returns the request; throws a LinkError if the payload is not one. */
 export function unpackCall(payload: Buffer): WireCall {
-    const [headList, method, path, headerList, follows, body] = unpackList(payload);
-    const head = readRequestMetadata(headList);
-    const headers = readHeaders(headerList);
+    const [metadataFields, method, path, headerFields, follows, body] = unpackList(payload);
+    const head = readRequestMetadata(metadataFields);
+    const headers = readHeaders(headerFields);
     if (head === undefined || headers === undefined || typeof method !== "string" || typeof path !== "string") {
         throw new LinkError("bad-call");
     }
--- a/src/link/unpacklist.ts
+++ b/src/link/unpacklist.ts
@@ -1,8 +1,8 @@
-/** Reads a frame's payload, which is a list of values in a fixed order. */
+/** Decodes a frame's payload, which is a MessagePack list of values in a fixed order. */
 import { unpack } from "msgpackr";
 import { LinkError } from "./linkerror.js";
 
-/** The values, unchecked; throws a LinkError for what is no list. */
+/** Returns the values without validating them; throws a LinkError if the payload is not a list. */
 export function unpackList(payload: Buffer): unknown[] {
     let list: unknown;
     try {
--- a/src/link/wireanswer.ts
+++ b/src/link/wireanswer.ts
@@ -1,9 +1,9 @@
-/** An answer, or a refusal, as a peer sent it. */
+/** Defines a response or a refusal as it is sent between daemons. */
 import type { HttpHeaders } from "../http/httpheaders.js";
 import type { ResponseMetadata } from "../wire/responsemetadata.js";
 import type { WireBody } from "./wirebody.js";
 
-/** `last` says that the connection takes no more requests. */
+/** `last` is true if the connection takes no more requests after this response. */
 export type WireAnswer = {
     readonly note: ResponseMetadata;
     readonly status: number;
--- a/src/link/wirebody.ts
+++ b/src/link/wirebody.ts
@@ -1,4 +1,4 @@
-/** How a body goes with a frame. */
+/** Defines how the frame of a request or a response carries its body. */
 
-/** The whole body, nothing for none, or `follows` when it comes in frames of its own. */
+/** The whole body, undefined if there is none, or `follows` if the body is sent in frames of its own. */
 export type WireBody = Buffer | undefined | "follows";
--- a/src/link/wirecall.ts
+++ b/src/link/wirecall.ts
@@ -1,9 +1,9 @@
-/** A request as a peer sent it. */
+/** Defines a request as it is sent between daemons. */
 import type { HttpHeaders } from "../http/httpheaders.js";
 import type { RequestMetadata } from "../wire/requestmetadata.js";
 import type { WireBody } from "./wirebody.js";
 
-/** The head says what the gate needs; the rest is the request as it goes to the upstream. */
+/** `head` is the metadata for the gate; the other fields are the request as it is sent to the upstream. */
 export type WireCall = {
     readonly head: RequestMetadata;
     readonly method: string;
--- a/src/link/writeframe.ts
+++ b/src/link/writeframe.ts
@@ -1,8 +1,8 @@
-/** Writes frames: a byte for the type, four for the payload's length, the payload. */
+/** Encodes frames: one byte for the type, four for the payload's length, then the payload. */
 import type { Frame } from "./frame.js";
 import { frameHeadBytes } from "./frameheadbytes.js";
 
-/** A copy of the payload with its head before it. */
+/** Returns the frame; copies the payload into it. */
 export function writeFrame(type: Frame["type"], payload: Buffer): Buffer {
     const frame = Buffer.allocUnsafe(frameHeadBytes + payload.length);
     frame[0] = type;
--- a/src/link/writeheaders.ts
+++ b/src/link/writeheaders.ts
@@ -1,7 +1,7 @@
-/** Header fields as a flat list of names and values, which is shorter than an object and keeps repeated ones. */
+/** Encodes header fields as a flat list of names and values: shorter than an object, and keeps repeated fields. */
 import type { HttpHeaders } from "../http/httpheaders.js";
 
-/** A field that came more than once is listed once for each value. */
+/** Returns the list; a field with several values is listed once for each of them. */
 export function writeHeaders(headers: HttpHeaders): string[] {
     const list: string[] = [];
     for (const name in headers) {
