--- a/src/link/linkconnection.ts
+++ b/src/link/linkconnection.ts
@@ -25,12 +25,12 @@
 /** A response whose body is buffered, or a stream that fails if the body breaks off. */
 type LinkResponse = Omit<WireAnswer, "body"> & { readonly body: Buffer | Readable | undefined; };
 
-/** A response that takes longer causes a check of the connection; most responses arrive sooner. */
+/** A response that takes longer triggers a check of the connection; most responses arrive sooner. */
 const OVERDUE_MS = 250;
 /** Extends the time to the check by the request's transmission, at 1 Mbit/s: slower than any known link. */
 const MIN_BYTES_PER_MS = 125;
 
-/** `onIdle` is called when the connection can carry another request, `onOverdue` repeatedly while a response is overdue. */
+/** `onIdle` is called when the connection can carry another request, `onOverdue` while a response is overdue. */
 type LinkEvents = {
     readonly clock: Clock;
     readonly onIdle: (connection: LinkConnection) => void;
--- a/src/peer/calllink.ts
+++ b/src/peer/calllink.ts
@@ -1,16 +1,16 @@
 /**
- * Carries trpc's calls over this daemon's own client of HTTP.
+ * Sends tRPC calls with this daemon's own HTTP client.
  *
- * trpc's own link looks at the global `FormData`, which makes Node.js load its fetch: 37 ms of processor time at the first call, 75 with
- * the flags that daemons run with, in the first second of a start (the access alone, timed in a bare process). The bytes on the wire are
- * those of trpc's own link.
+ * tRPC's own link accesses the global `FormData`, which makes Node.js load its fetch implementation. That access alone
+ * takes 37 ms of processor time at the first call, or 75 ms with the flags that daemons run with, in the first second
+ * after a start. The bytes on the wire are those of tRPC's own link.
  */
 import { TRPCClientError, type TRPCLink } from "@trpc/client";
 import { observable } from "@trpc/server/observable";
 import { z } from "zod";
 import type { peerRouter } from "./peerrouter.js";
 
-/** A call as it goes out. */
+/** The HTTP request of a call. */
 type Call = { readonly method: "GET" | "POST"; readonly path: string; readonly body?: string; };
 
 const ResponseBody = z.union([
@@ -18,7 +18,7 @@
     z.object({ error: z.object({ message: z.string() }) }),
 ]);
 
-/** `send` resolves with the answer's body, whatever its status. */
+/** Creates a link; `send` resolves with the response's parsed body, whatever its status. */
 export function callLink(
     send: (call: Call, signal: AbortSignal | undefined) => Promise<unknown>,
 ): TRPCLink<typeof peerRouter> {
--- a/src/peer/gatestatus.ts
+++ b/src/peer/gatestatus.ts
@@ -1,7 +1,7 @@
-/** The state of a gate, as a daemon reports it to a peer. */
+/** Defines the state of a gate, as a daemon reports it to a peer. */
 import type { UpstreamName } from "../ids/upstreamname.js";
 
-/** Counts since the daemon started. */
+/** The state of one gate; `finished` and `refused` count requests since the daemon started. */
 export type GateStatus = {
     readonly upstream: UpstreamName;
     readonly state: "up" | "leaving" | "evacuated" | "limited" | "cold";
@@ -10,12 +10,12 @@
     readonly running: number;
     readonly waiting: number;
     readonly limit: number;
-    /** Requests a second that the upstream takes, while it states a limit. */
+    /** The upstream's stated rate limit in requests a second, while it states one. */
     readonly limitPerSecond?: number;
     readonly finished: number;
     readonly refused: number;
-    /** Its daemon watches the store for its hall. */
+    /** True if the daemon of the gate is a watcher of the store for its hall. */
     readonly watchesStore: boolean;
-    /** Daemons that its daemon knows, itself too; 0 where the document names the upstreams. */
+    /** Number of daemons in its daemon's member list, itself included; 0 if the configuration lists the upstreams. */
     readonly members: number;
 };
--- a/src/peer/handlecall.ts
+++ b/src/peer/handlecall.ts
@@ -1,8 +1,9 @@
 /**
- * Answers trpc's calls on Node's own listener.
+ * Handles tRPC calls on Node's HTTP server.
  *
- * trpc's own handler makes a `Request` of each call, and so has Node.js load its fetch; see calllink.ts for what that costs. A result
- * is written as trpc's own handler writes it; an error has its message and code, which is all that is read of one.
+ * tRPC's own handler creates a `Request` for each call, which makes Node.js load its fetch implementation; calllink.ts
+ * states the cost. Results are written as tRPC's handler writes them. Errors have only a message and a code, since
+ * clients read nothing else of them.
  */
 import { callTRPCProcedure, getTRPCErrorFromUnknown, TRPCError } from "@trpc/server";
 import { getHTTPStatusCodeFromError } from "@trpc/server/http";
@@ -11,11 +12,11 @@
 import { peerRouter } from "./peerrouter.js";
 import type { PeerService } from "./peerservice.js";
 
-/** Of a call's body: many times the largest. */
+/** Many times the size of the largest call. */
 const MAX_BODY_BYTES = 64 * 1024;
 const PATH_PATTERN = /^\/trpc\/([a-z]+)$/;
 
-/** Never rejects: what fails is an answer too. */
+/** Handles a call; never rejects, since failures are sent as responses. */
 export async function handleCall(req: IncomingMessage, res: ServerResponse, service: PeerService): Promise<void> {
     try {
         const url = new URL(`http://peer${req.url ?? "/"}`);
--- a/src/peer/peerclient.ts
+++ b/src/peer/peerclient.ts
@@ -1,4 +1,4 @@
-/** Calls a peer; every call is bounded in time. */
+/** Calls peers with tRPC; every call has a timeout. */
 import { createTRPCClient, type TRPCClient } from "@trpc/client";
 import { Agent } from "undici";
 import { parse } from "../config/parse.js";
@@ -18,18 +18,18 @@
 import type { PeerService } from "./peerservice.js";
 import type { RevokeInput } from "./revokeinput.js";
 
-/** Milliseconds; calls carry a whole configuration at the most. */
+/** Covers the largest response, a whole configuration. */
 const CALL_TIMEOUT_MS = 1000;
-/** Several times the way between data halls, in milliseconds. */
+/** Several times the round trip between data halls. */
 const CONNECT_TIMEOUT_MS = 500;
-/** Short, since a caller waits for the answer; milliseconds. */
+/** Short, since a caller is waiting for its response meanwhile. */
 const REVOKE_TIMEOUT_MS = 300;
 
 const logger = log("peer");
 
 type Client = TRPCClient<typeof peerRouter>;
 
-/** One client for all peers. */
+/** Calls any peer, and owns the connections for these calls. */
 export class PeerClient {
     #agent: Agent;
     readonly #clients = new Map<Address, Client>();
@@ -38,46 +38,46 @@
         this.#agent = this.#makeAgent();
     }
 
-    /** Makes later calls on new connections: the old ones may have gone silent. Calls under way end by their time limit. */
+    /** Makes later calls use new connections: the old ones may be unresponsive. Pending calls complete or time out. */
     renewConnections(): void {
         const oldAgent = this.#agent;
         this.#agent = this.#makeAgent();
-        oldAgent.close().catch((err: unknown) => logger.warn("Old connections to peers could not be ended.", err));
+        oldAgent.close().catch((err: unknown) => logger.warn("Closing the old connections to peers failed.", err));
     }
 
     hello(address: Address): Promise<ReturnType<PeerService["hello"]>> {
         return this.#client(address).hello.query(undefined, this.#timeout());
     }
 
-    /** Returns `unknown` when the gate does not answer. */
+    /** Revokes a request at its gate; resolves with `unknown` if the gate does not respond. */
     async revoke(address: Address, input: RevokeInput): Promise<RevokeResult> {
         try {
             return await this.#client(address).revoke.mutate(input, this.#timeout(REVOKE_TIMEOUT_MS));
         }
         catch (err) {
-            logger.warn("A gate did not answer a revocation; what became of the request is unknown.", err, {
+            logger.warn("A gate did not respond to a revocation; whether the request has run is unknown.", err, {
                 peer: address,
             });
             return "unknown";
         }
     }
 
-    /** What the peer has that is newer than `have`. */
+    /** Resolves with the peer's changes of the configuration since the revision `have`, or undefined if it has none. */
     async update(address: Address, have: number): Promise<Update | undefined> {
         return await this.#client(address).update.query({ have }, this.#timeout()) as Update | undefined;
     }
 
-    /** The peer's own record. */
+    /** Resolves with the peer's own record. */
     async member(address: Address): Promise<Member> {
         return parse(Member, await this.#client(address).member.query(undefined, this.#timeout()));
     }
 
-    /** What the peer's list of daemons has beyond a mark, or all of it. */
+    /** Resolves with the changes of the peer's member list since a position, or with the whole list. */
     async records(address: Address, have: RecordsPosition | undefined): Promise<RecordChanges> {
         return parse(RecordChanges, await this.#client(address).records.query({ have }, this.#timeout()));
     }
 
-    /** Tells a peer what has changed here of requests that crash upstreams; returns what has changed there. */
+    /** Exchanges changed crash records: sends those of this daemon, and resolves with those of the peer. */
     async crashes(address: Address, changes: CrashChanges): Promise<CrashChanges> {
         return parse(CrashChanges, await this.#client(address).crashes.mutate(changes, this.#timeout()));
     }
--- a/src/peer/peeroptions.ts
+++ b/src/peer/peeroptions.ts
@@ -1,12 +1,12 @@
-/** What every call to a peer needs. */
+/** Defines the settings and callbacks of connections to peers. */
 import type { Address } from "../ids/address.js";
 import type { Clock } from "../time/clock.js";
 
-/** `localIp` is the address that connections go out from; `key` is shared by all daemons. */
+/** `localIp` is the source address of the connections; `key` is shared by all daemons. */
 export type PeerOptions = {
     readonly localIp: string;
     readonly key: string;
     readonly clock: Clock;
-    /** Told of a connection to a peer that was found to carry nothing any more. */
+    /** Called after an unresponsive connection to the address has been closed. */
     readonly onSilent: (address: Address) => void;
 };
--- a/src/peer/peerrouter.ts
+++ b/src/peer/peerrouter.ts
@@ -1,4 +1,4 @@
-/** The calls between daemons that carry no bodies. */
+/** Maps the tRPC calls between daemons to the peer service. */
 import { initTRPC } from "@trpc/server";
 import { z } from "zod";
 import { CrashChanges } from "../wire/crashchanges.js";
@@ -8,7 +8,7 @@
 
 const t = initTRPC.context<{ service: PeerService; }>().create();
 
-/** hello, revoke, update, member, records, crashes, status. */
+/** The router of all calls; it validates their input. */
 export const peerRouter = t.router({
     hello: t.procedure.query(({ ctx }) => ctx.service.hello()),
     revoke: t.procedure.input(RevokeInput).mutation(({ ctx, input }) => ctx.service.revoke(input)),
--- a/src/peer/peerserver.test.ts
+++ b/src/peer/peerserver.test.ts
@@ -14,10 +14,10 @@
 const KEY = "a-key-for-tests-only";
 const PORT = 7100;
 
-/** Keeps this process from reading anything, as a host does whose processor is busy. */
+/** Blocks this process, so that it reads nothing, as on a host whose processor is overloaded. */
 const stall = (ms: number): void => {
     for (const until = performance.now() + ms; performance.now() < until;) {
-        // Nothing else runs.
+        // Busy loop: no other code of this process runs.
     }
 };
 
@@ -27,7 +27,7 @@
         writeFrame(frameType.call, packCall(LinkEnds.call(), undefined)),
     ]);
 
-/** In a thread of its own: it goes on while the listener's stands still. */
+/** Code of the caller. It runs in a thread of its own, so that it continues while the listener's thread is blocked. */
 const CALLER = `
     const { connect } = require("node:net");
     const { parentPort, workerData: { host, port, bytes, leaves } } = require("node:worker_threads");
@@ -38,7 +38,7 @@
     });
 `;
 
-test("peer server: a first request that has lain in the socket until its caller left comes to the gate as called off", async () => {
+test("peer server: a first request that is read after its caller has left reaches the gate cancelled", async () => {
     const served: GateCall[] = [];
     const serve = async (call: GateCall): Promise<object> => {
         served.push(call);
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -1,4 +1,7 @@
-/** The listener that peers send requests and calls to; it takes daemons only. Requests have a protocol of their own. */
+/**
+ * Listens for requests and calls of other daemons, which authenticate with the shared key. Requests use the framed
+ * protocol of src/link, calls use tRPC over HTTP.
+ */
 import { timingSafeEqual } from "node:crypto";
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
@@ -25,10 +28,10 @@
 import { handleCall } from "./handlecall.js";
 import type { PeerService } from "./peerservice.js";
 
-/** A refusal has a note only. */
+/** The response fields of a refusal, which consists of its metadata only. */
 const REFUSAL = { status: 0, headers: {}, body: undefined };
 const INVALID_CALL = "bad-call";
-/** Longer than a peer keeps an idle connection (link/linkpool.ts), in milliseconds. */
+/** Longer than a peer keeps an idle connection (link/linkpool.ts). */
 const KEEP_ALIVE_MS = 10_000;
 
 const logger = log("peer");
@@ -40,17 +43,17 @@
     readonly identity: GateIdentity;
     readonly service: PeerService;
     readonly gate: (name: UpstreamName) => Gate | undefined;
-    /** Pulls a newer configuration before the gate decides. */
+    /** Pulls a newer configuration, so that the gate decides by it. */
     readonly catchUp: (revision: number, from: string | undefined) => Promise<void>;
-    /** What the rules here say of a request. */
+    /** Returns the rule of this daemon's configuration that matches a request. */
     readonly find: (target: RequestTarget) => MatchedRule | undefined;
-    /** True when the sender's older rules let a request repeat that the newer ones do not. */
+    /** Returns true if the sender's older rules allow repeating the request, but this daemon's newer ones do not. */
     readonly isStale: (head: RequestMetadata, rule: MatchedRule | undefined) => boolean;
-    /** Told who sends requests here, so that load is reported there. */
+    /** Called with the address of each sender of a request, so that load reports are sent to it. */
     readonly onSender: (address: string | undefined) => void;
 };
 
-/** Tells requests from daemons' other calls, and turns them into calls of the gate. */
+/** Passes requests to their gates and tRPC calls to the peer service. */
 export class PeerServer {
     readonly #server: Server;
     readonly #key: Buffer;
@@ -78,28 +81,28 @@
         return listen(this.#server, address);
     }
 
-    /** Requests and calls that have not been answered whole. */
+    /** Number of requests and calls whose responses are incomplete. */
     get inFlight(): number {
         return this.#openCalls + [...this.#sessions].filter(session => session.busy).length;
     }
 
-    /** From now on each answer ends its connection. */
+    /** Makes each later response the last one on its connection. */
     startClosing(): void {
         this.#isClosing = true;
     }
 
-    /** Ends idle connections and goes on listening. */
+    /** Closes idle connections and keeps listening. */
     closeIdle(): void {
         this.#server.closeIdleConnections();
         this.#sessions.forEach(session => session.closeIfIdle());
     }
 
-    /** Ends once all connections have. */
+    /** Stops listening; resolves when all connections are closed. */
     close(): Promise<void> {
         return new Promise(resolve => this.#server.close(() => resolve()));
     }
 
-    /** Cuts what is left. */
+    /** Closes all connections at once. */
     destroy(): void {
         this.#server.closeAllConnections();
         this.#sessions.forEach(session => session.destroy());
@@ -150,8 +153,9 @@
     }
 
     /**
-     * A sender that does not know the clock here can't say how long its request has been on its way. Where it has lain in the socket until its
-     * caller left, the end of the connection lies behind it, and is read first: in the next turn of the event loop, which ends with the second wait.
+     * Waits until the end of the connection has been read, if it has already arrived. A request without `gateTime` does
+     * not show how long it was delayed. If it was unread in the socket until its caller left, the end of the connection
+     * follows it and is read in the next turn of the event loop, which ends with the second wait.
      */
     async #waitForPendingClose({ gateTime }: RequestMetadata): Promise<void> {
         if (gateTime === undefined) {
@@ -162,7 +166,11 @@
 
     #errorNote(err: unknown, upstream: UpstreamName): ResponseMetadata {
         if (!(err instanceof HopError)) {
-            logger.warn("A peer's request failed at its gate.", err, { upstream });
+            logger.warn(
+                "A peer's request failed in its gate with an unexpected error; whether it has run is unknown.",
+                err,
+                { upstream },
+            );
             return this.#note({ outcome: "unknown", reason: "gate-error" });
         }
         const { reason, note } = err;
@@ -184,7 +192,7 @@
     }
 
     #refuseInvalid({ remoteAddress }: Socket, err: unknown): ServedAnswer {
-        logger.warn("A peer's call can't be read.", err, { peer: remoteAddress });
+        logger.warn("Could not decode a request from a peer; it is refused.", err, { peer: remoteAddress });
         return { note: this.#note({ outcome: "not-run", reason: INVALID_CALL }), ...REFUSAL };
     }
 
--- a/src/peer/peerservice.ts
+++ b/src/peer/peerservice.ts
@@ -1,4 +1,4 @@
-/** What a daemon does for its peers. */
+/** Defines the calls that a daemon handles for its peers. */
 import type { Update } from "../config/update.js";
 import type { Incarnation } from "../ids/incarnation.js";
 import type { RevokeResult } from "../ledger/revokeresult.js";
@@ -11,17 +11,17 @@
 
 type Hello = { readonly incarnation: Incarnation; readonly gateTime: number; readonly revision: number; };
 
-/** Implemented by the daemon; the router only translates. */
+/** Implemented by the daemon; the router passes each call to the method of its name. */
 export abstract class PeerService {
     abstract hello(): Hello;
     abstract revoke(input: RevokeInput): RevokeResult;
-    /** What is newer than the revision `have`. */
+    /** Returns the changes of the configuration since the revision `have`, or undefined if there are none. */
     abstract update(have: number): Update | undefined;
-    /** This daemon's own record. */
+    /** Returns this daemon's own record; throws if the configuration lists the upstreams. */
     abstract member(): Member;
-    /** What the list of daemons has beyond a mark, or all of it. Throws, as `member` does, where the document names the upstreams. */
+    /** Returns the changes of the member list since a position, or all of it; throws in the same case as `member`. */
     abstract records(have: RecordsPosition | undefined): RecordChanges;
-    /** What has changed here of requests that crash upstreams; what has changed at the peer is added to it. */
+    /** Adds the peer's changed crash records to this daemon's, and returns those that have changed here. */
     abstract crashes(changes: CrashChanges): CrashChanges;
     abstract status(): GateStatus[];
 }
--- a/src/peer/remotehop.test.ts
+++ b/src/peer/remotehop.test.ts
@@ -9,11 +9,11 @@
 import { RemoteHop } from "./remotehop.js";
 
 const KEY = "a-key-for-tests-only";
-/** Milliseconds: the gate's host reads nothing from a new connection for so long. */
+/** The time for which the gate's host reads nothing from a new connection. */
 const READ_DELAY_MS = 200;
 const REMAINING_MS = 900;
 
-/** The head of a request of this kind as it comes to the gate, whose daemon is slow to read the first connection. */
+/** Sends a request of this kind to a gate that is slow to read new connections; returns the metadata received there. */
 const headAtSlowGate = async (kind: RequestMetadata["kind"]): Promise<RequestMetadata> => {
     let receivedHead: RequestMetadata | undefined;
     const identity = (): typeof LinkEnds.note => ({ ...LinkEnds.note, gateTime: performance.now() });
@@ -50,9 +50,9 @@
     return receivedHead!;
 };
 
-test("remote hop: the time that the question for the gate's clock takes is taken off what the request has left", async () => {
+test("remote hop: the request's remaining time is reduced by the time that the handshake takes", async () => {
     const { remainingMs, maxWaitMs } = await headAtSlowGate("once");
-    assert.ok(remainingMs <= REMAINING_MS - READ_DELAY_MS + 1, `${remainingMs} ms left`);
+    assert.ok(remainingMs <= REMAINING_MS - READ_DELAY_MS + 1, `${remainingMs} ms remain`);
     assert.ok(remainingMs > 0);
     assert.equal(maxWaitMs, 0);
 });
--- a/src/peer/remotehop.ts
+++ b/src/peer/remotehop.ts
@@ -1,4 +1,4 @@
-/** The way to the gate of another host: one request a connection at a time, no retries. */
+/** Sends requests to the gate of another host: one request at a time on each connection, without retries. */
 import type { GateCall } from "../hop/gatecall.js";
 import { GateClock } from "../hop/gateclock.js";
 import type { GateResponse } from "../hop/gateresponse.js";
@@ -20,7 +20,7 @@
 
 const logger = log("peer");
 
-/** Owns the connections to one gate. */
+/** Owns the connections to one gate, and tracks its clock. */
 export class RemoteHop extends Hop {
     readonly clock = new GateClock();
     readonly #pool: LinkPool;
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Ends idle connections: they may have gone silent. */
+    /** Closes idle connections, which may be unresponsive. */
     dropIdle(): void {
         this.#pool.closeIdle();
     }
@@ -77,14 +77,17 @@
     #reasonOf({ reason: receivedReason }: ResponseMetadata): Reason {
         const reason = decodeReason(receivedReason);
         if (reason === "unknown-reason") {
-            logger.warn("A peer refused for a reason that is not known here.", receivedReason, { peer: this.address });
+            logger.warn("A peer refused a request for a reason that this daemon does not know.", receivedReason, {
+                peer: this.address,
+            });
         }
         return reason;
     }
 
     /**
-     * The head is stamped when it is sent: with the gate's life and clock, so that the gate can tell its delay, and with what is left by
-     * then, since a connection or the gate's clock may have been waited for.
+     * Completes the metadata when the request is sent: with the gate's incarnation and estimated time, from which the
+     * gate determines the delay, and with the remaining times, which are shorter after waiting for a connection or the
+     * gate's clock. `preparedAt` is the time at which the remaining times were valid.
      */
     #stamp(head: RequestMetadata, preparedAt: number, sentAt: number): void {
         const stamped: { -readonly [Field in keyof RequestMetadata]: RequestMetadata[Field]; } = head;
@@ -95,7 +98,7 @@
         stamped.gateTime = this.clock.estimate(sentAt);
     }
 
-    /** The gate has said what its clock showed, some time after it was asked. */
+    /** Records a reading of the gate's clock that was requested at `askedAt`. */
     #observeClock(
         { incarnation, gateTime }: Pick<ResponseMetadata, "incarnation" | "gateTime">,
         askedAt: number,
@@ -103,7 +106,7 @@
         this.clock.observe(incarnation, gateTime, { askedAt, now: this.options.clock() });
     }
 
-    /** `askedAt`: when what the head says was true. */
+    /** Sends the request on an idle or new connection; throws a HopError. See `#stamp` for `preparedAt`. */
     async #request(
         call: GateCall,
         preparedAt: number,
--- a/src/peer/revokeinput.ts
+++ b/src/peer/revokeinput.ts
@@ -1,4 +1,4 @@
-/** What a gate is asked to revoke. */
+/** Defines the input of a call that revokes a request. */
 import { z } from "zod";
 import { Incarnation } from "../ids/incarnation.js";
 import { RequestId } from "../ids/requestid.js";
@@ -11,5 +11,5 @@
 });
 type RevokeInput = z.infer<typeof RevokeInput>;
 
-/** The head of the request as it was sent: its id, the gate's life and clock, and the time that it had left. */
+/** Fields of the request's metadata as sent: its id, the gate's incarnation and time, and the remaining time. */
 export { RevokeInput };
