--- a/src/link/detectprotocol.ts
+++ b/src/link/detectprotocol.ts
@@ -11,16 +11,16 @@
     const onError = (): void => {};
     socket.on("error", onError);
     socket.setTimeout(FIRST_BYTE_TIMEOUT_MS, () => socket.destroy());
-    socket.once("data", (first: Buffer) => {
+    socket.once("data", (firstBytes: Buffer) => {
         socket.removeListener("error", onError);
         socket.setTimeout(0).removeAllListeners("timeout");
-        if (first[0] === frameType.greeting) {
-            onPeerProtocol(first);
+        if (firstBytes[0] === frameType.greeting) {
+            onPeerProtocol(firstBytes);
             return;
         }
         socket.pause();
         onHttp();
-        socket.unshift(first);
+        socket.unshift(firstBytes);
         socket.resume();
     });
 }
--- a/src/link/linkconnection.ts
+++ b/src/link/linkconnection.ts
@@ -44,6 +44,7 @@
     readonly reject: (err: LinkError) => void;
 };
 
+/** Sends requests one after the other; `onIdle` notifies the pool when the next one can be sent. */
 export class LinkConnection {
     readonly #reader = new FrameReader();
     #pending: PendingResponse | undefined;
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -72,7 +72,7 @@
             detectProtocol(
                 socket,
                 () => serveHttp.call(this.#server, socket),
-                first => this.#openSession(socket, first),
+                firstBytes => this.#openSession(socket, firstBytes),
             );
         });
     }
--- a/src/peer/remotehop.ts
+++ b/src/peer/remotehop.ts
@@ -89,13 +89,13 @@
      * gate determines the delay, and with the remaining times, which are shorter after waiting for a connection or the
      * gate's clock. `preparedAt` is the time at which the remaining times were valid.
      */
-    #stamp(head: RequestMetadata, preparedAt: number, sentAt: number): void {
-        const stamped: { -readonly [Field in keyof RequestMetadata]: RequestMetadata[Field]; } = head;
+    #completeHead(head: RequestMetadata, preparedAt: number, sentAt: number): void {
+        const writableHead: { -readonly [Field in keyof RequestMetadata]: RequestMetadata[Field]; } = head;
         const elapsedMs = sentAt - preparedAt;
-        stamped.remainingMs = Math.max(0, head.remainingMs - elapsedMs);
-        stamped.maxWaitMs = Math.max(0, head.maxWaitMs - elapsedMs);
-        stamped.incarnation = this.clock.incarnation;
-        stamped.gateTime = this.clock.estimate(sentAt);
+        writableHead.remainingMs = Math.max(0, head.remainingMs - elapsedMs);
+        writableHead.maxWaitMs = Math.max(0, head.maxWaitMs - elapsedMs);
+        writableHead.incarnation = this.clock.incarnation;
+        writableHead.gateTime = this.clock.estimate(sentAt);
     }
 
     /** Records a reading of the gate's clock that was requested at `askedAt`. */
@@ -106,7 +106,7 @@
         this.clock.observe(incarnation, gateTime, { askedAt, now: this.options.clock() });
     }
 
-    /** Sends the request on an idle or new connection; throws a HopError. See `#stamp` for `preparedAt`. */
+    /** Sends the request on an idle or new connection; throws a HopError. See `#completeHead` for `preparedAt`. */
     async #request(
         call: GateCall,
         preparedAt: number,
@@ -114,7 +114,7 @@
         try {
             const connection = await this.#pool.acquire();
             const sentAt = this.options.clock();
-            this.#stamp(call.head, preparedAt, sentAt);
+            this.#completeHead(call.head, preparedAt, sentAt);
             const response = await connection.send(call);
             this.#observeClock(response.note, sentAt);
             return response;
