--- a/src/link/linkpool.ts
+++ b/src/link/linkpool.ts
@@ -1,4 +1,4 @@
-/** The connections to one peer. */
+/** Pools the connections to one peer. */
 import { connect, type Socket } from "node:net";
 import type { Address } from "../ids/address.js";
 import { splitAddress } from "../ids/splitaddress.js";
@@ -10,76 +10,76 @@
 import { LinkError } from "./linkerror.js";
 import { writeFrame } from "./writeframe.js";
 
-/** To one peer: more than its upstream's slots and queue that were seen; bounds descriptors. */
+/** Limits file descriptors; more than the slots and the queue of any known upstream require. */
 const MAX_CONNECTIONS = 256;
-/** Several times the way between data halls, in milliseconds. */
+/** Several times the round trip between data halls. */
 const CONNECT_TIMEOUT_MS = 500;
-/** For the answer to the first question, in milliseconds: a peer that has just started is slow. */
-const GREET_TIMEOUT_MS = 1000;
-/** Shorter than the peer keeps an idle connection. */
-const KEEP_IDLE_MS = 4000;
+/** A peer that has just started responds slowly. */
+const IDENTITY_TIMEOUT_MS = 1000;
+/** Shorter than the time for which the peer keeps an idle connection (peer/peerserver.ts). */
+const IDLE_TIMEOUT_MS = 4000;
 
-/** `localIp` is the address that connections go out from; `key` is shared by all daemons. */
+/** `localIp` is the source address of the connections; `key` is shared by all daemons. */
 type PoolOptions = {
     readonly localIp: string;
     readonly key: string;
     readonly clock: Clock;
-    /** Told of a connection that carries nothing any more, and has been ended. */
+    /** Called after an unresponsive connection to the address has been closed. */
     readonly onSilent: (address: Address) => void;
 };
 
-/** The one that was used last is used first, so that those not needed end. */
+/** Reuses the most recently used idle connection first, so that surplus connections reach their idle timeout. */
 export class LinkPool {
     readonly #idle: LinkConnection[] = [];
-    readonly #all = new Set<LinkConnection>();
+    readonly #connections = new Set<LinkConnection>();
     readonly #check: LinkCheck;
     #closed = false;
-    #peerAnswersProbes = false;
+    #peerSupportsProbes = false;
 
     constructor(readonly address: Address, private readonly options: PoolOptions) {
         this.#check = new LinkCheck({
             clock: options.clock,
             open: () => this.#open(),
-            free: connection => this.#give(connection),
+            release: connection => this.#release(connection),
         });
     }
 
-    /** A connection that carries nothing; rejects with a LinkError. */
-    async take(): Promise<LinkConnection> {
+    /** Resolves with an idle connection, or a new one if there is none; rejects with a LinkError. */
+    async acquire(): Promise<LinkConnection> {
         for (let idle = this.#idle.pop(); idle !== undefined; idle = this.#idle.pop()) {
             if (idle.open) {
                 return idle;
             }
         }
-        if (this.#all.size >= MAX_CONNECTIONS) {
+        if (this.#connections.size >= MAX_CONNECTIONS) {
             throw new LinkError("too-many-connections");
         }
         return await this.#open();
     }
 
-    /** Asks the peer who it is; undefined from one that does not say. Rejects with a LinkError. */
-    async greet(): Promise<ResponseMetadata | undefined> {
-        const connection = await this.take();
-        const note = await connection.greet(GREET_TIMEOUT_MS);
+    /** Requests the peer's incarnation and clock; see `LinkConnection.requestIdentity` for the results. */
+    async requestIdentity(): Promise<ResponseMetadata | undefined> {
+        const connection = await this.acquire();
+        const note = await connection.requestIdentity(IDENTITY_TIMEOUT_MS);
         if (connection.open) {
-            this.#give(connection);
+            this.#release(connection);
         }
         return note;
     }
 
-    /** Ends idle connections, and each of the others after what it carries. */
+    /** Closes idle connections now, and each of the others after its request. */
     close(): void {
         this.#closed = true;
-        this.dropIdle();
+        this.closeIdle();
     }
 
-    /** Ends connections that carry nothing now: they may have gone silent. */
-    dropIdle(): void {
+    /** Closes idle connections, which may have become unresponsive unnoticed. */
+    closeIdle(): void {
         this.#idle.splice(0).forEach(connection => connection.destroy());
     }
 
-    async #endIfSilent(connection: LinkConnection): Promise<void> {
-        if (this.#peerAnswersProbes && await this.#check.isSilent(connection) && connection.busy) {
+    async #closeIfUnresponsive(connection: LinkConnection): Promise<void> {
+        if (this.#peerSupportsProbes && await this.#check.isUnresponsive(connection) && connection.busy) {
             connection.destroy();
             this.options.onSilent(this.address);
         }
@@ -101,25 +101,25 @@
                 clearTimeout(timer);
                 socket.removeListener("error", fail);
                 socket.write(writeFrame(frameType.greeting, Buffer.from(key)));
-                const connection = this.#connection(socket);
-                this.#all.add(connection);
-                socket.once("close", () => this.#all.delete(connection));
-                socket.setTimeout(KEEP_IDLE_MS, () => this.#endIfIdle(connection));
+                const connection = this.#createConnection(socket);
+                this.#connections.add(connection);
+                socket.once("close", () => this.#connections.delete(connection));
+                socket.setTimeout(IDLE_TIMEOUT_MS, () => this.#closeIfIdle(connection));
                 resolve(connection);
             });
         });
     }
 
-    #connection(socket: Socket): LinkConnection {
+    #createConnection(socket: Socket): LinkConnection {
         return new LinkConnection(socket, {
             clock: this.options.clock,
-            onFree: freed => this.#give(freed),
-            onOverdue: overdue => this.#endIfSilent(overdue),
-            onProbes: () => this.#peerAnswersProbes = true,
+            onIdle: connection => this.#release(connection),
+            onOverdue: connection => this.#closeIfUnresponsive(connection),
+            onProbeSupport: () => this.#peerSupportsProbes = true,
         });
     }
 
-    #give(connection: LinkConnection): void {
+    #release(connection: LinkConnection): void {
         if (this.#closed) {
             connection.destroy();
             return;
@@ -127,10 +127,10 @@
         this.#idle.push(connection);
     }
 
-    #endIfIdle(connection: LinkConnection): void {
-        const at = this.#idle.indexOf(connection);
-        if (at >= 0) {
-            this.#idle.splice(at, 1);
+    #closeIfIdle(connection: LinkConnection): void {
+        const index = this.#idle.indexOf(connection);
+        if (index >= 0) {
+            this.#idle.splice(index, 1);
             connection.destroy();
         }
     }
--- a/src/link/linksession.ts
+++ b/src/link/linksession.ts
@@ -1,4 +1,4 @@
-/** The serving end of one connection from a peer, which carries one request at a time. */
+/** Implements the serving end of a connection from a peer, which carries one request at a time. */
 import { pack } from "msgpackr";
 import { timingSafeEqual } from "node:crypto";
 import type { Socket } from "node:net";
@@ -7,14 +7,14 @@
 import { log } from "../log/log.js";
 import type { ResponseMetadata } from "../wire/responsemetadata.js";
 import { responseMetadataCodec } from "../wire/responsemetadatacodec.js";
+import { bufferShortBody } from "./buffershortbody.js";
 import { emptyBuffer } from "./emptybuffer.js";
 import type { Frame } from "./frame.js";
 import { FramedBody } from "./framedbody.js";
 import { FrameReader } from "./framereader.js";
 import { frameType } from "./frametype.js";
-import { gatherBody } from "./gatherbody.js";
 import { isBodyFrame } from "./isbodyframe.js";
-import { packAnswer } from "./packanswer.js";
+import { packResponse } from "./packresponse.js";
 import { sendBody } from "./sendbody.js";
 import type { ServedAnswer } from "./servedanswer.js";
 import type { ServedCall } from "./servedcall.js";
@@ -29,18 +29,18 @@
 type SessionDependencies = {
     readonly key: Buffer;
     readonly serve: (call: ServedCall, cancel: Cancellation) => Promise<ServedAnswer>;
-    /** The refusal of a call that can't be read. */
+    /** Returns the refusal of a request that can't be decoded. */
     readonly refuseBad: (err: unknown) => ServedAnswer;
-    /** Who serves here, and its clock: the answer to a probe. */
+    /** Returns this daemon's incarnation and clock, which are the response to a probe. */
     readonly identity: () => ResponseMetadata;
-    /** True when each answer is to be its connection's last. */
+    /** Returns true if each response is to be its connection's last one. */
     readonly isClosing: () => boolean;
 };
 
-/** Ends the connection for whatever is not of the protocol. */
+/** Serves the requests on the connection, and closes it if the peer violates the protocol. */
 export class LinkSession {
     readonly #reader = new FrameReader();
-    #greeted = false;
+    #isAuthenticated = false;
     #isFirst = true;
     #serving: Cancellation | undefined;
     #body: FramedBody | undefined;
@@ -49,43 +49,43 @@
         socket.setNoDelay(true);
         socket.on("data", (chunk: Buffer) => this.read(chunk));
         socket.on("error", () => {
-            // `close` follows, and ends what is served.
+            // The `close` event follows and cancels the request that is being served.
         });
         socket.on("end", () => {
-            this.#left();
+            this.#handleClose();
             socket.destroy();
         });
-        socket.on("close", () => this.#left());
+        socket.on("close", () => this.#handleClose());
     }
 
     get busy(): boolean {
         return this.#serving !== undefined;
     }
 
-    /** Reads bytes that have come from the socket. */
+    /** Handles bytes received from the socket. */
     read(chunk: Buffer): void {
         try {
             this.#reader.read(chunk).forEach(frame => this.#receive(frame));
         }
         catch (err) {
-            logger.warn("A peer's connection is ended: it sent what is no frame.", err);
+            logger.warn("Could not decode a frame from a peer; its connection is closed.", err);
             this.destroy();
         }
     }
 
-    /** Ends the connection if it carries nothing. */
-    endIfIdle(): void {
+    /** Closes the connection if it is idle. */
+    closeIfIdle(): void {
         if (!this.busy) {
             this.socket.end();
         }
     }
 
-    /** Ends a connection on which nothing has moved for long, if it is idle or nobody takes what was written. */
-    endIfStill(): void {
+    /** Closes a connection without traffic if it is idle, or if the peer does not read what was written to it. */
+    closeIfStalled(): void {
         if (this.socket.writableLength > 0) {
             this.destroy();
         }
-        this.endIfIdle();
+        this.closeIfIdle();
     }
 
     destroy(): void {
@@ -93,12 +93,14 @@
     }
 
     #receive(frame: Frame): void {
-        if (!this.#greeted) {
-            this.#greet(frame);
+        if (!this.#isAuthenticated) {
+            this.#authenticate(frame);
             return;
         }
         if (frame.type === frameType.probe) {
-            this.socket.write(writeFrame(frameType.alive, pack(responseMetadataCodec.write(this.deps.identity()))));
+            this.socket.write(
+                writeFrame(frameType.probeResponse, pack(responseMetadataCodec.write(this.deps.identity()))),
+            );
             return;
         }
         if (frame.type === frameType.call) {
@@ -114,16 +116,16 @@
         }
     }
 
-    #greet({ type, payload }: Frame): void {
-        this.#greeted = type === frameType.greeting && this.#isKey(payload);
-        if (!this.#greeted) {
+    #authenticate({ type, payload }: Frame): void {
+        this.#isAuthenticated = type === frameType.greeting && this.#matchesKey(payload);
+        if (!this.#isAuthenticated) {
             this.destroy();
         }
     }
 
-    #isKey(given: Buffer): boolean {
+    #matchesKey(received: Buffer): boolean {
         const { key } = this.deps;
-        return given.length === key.length && timingSafeEqual(given, key);
+        return received.length === key.length && timingSafeEqual(received, key);
     }
 
     #receiveCall(payload: Buffer): void {
@@ -131,19 +133,19 @@
             this.destroy();
             return;
         }
-        const call = this.#unpack(payload);
+        const call = this.#readCall(payload);
         if (call !== undefined) {
             this.#serve(call);
         }
     }
 
-    /** Undefined for what can't be read; that is refused and logged by the listener. */
-    #unpack(payload: Buffer): WireCall | undefined {
+    /** Returns the request, or undefined if it can't be decoded; the listener logs and refuses such a request. */
+    #readCall(payload: Buffer): WireCall | undefined {
         try {
             return unpackCall(payload);
         }
         catch (err) {
-            void this.#answer(this.deps.refuseBad(err), true);
+            void this.#respond(this.deps.refuseBad(err), true);
             return undefined;
         }
     }
@@ -151,47 +153,50 @@
     #serve(call: WireCall): void {
         const cancel = this.#serving = new Cancellation();
         const body = call.body === "follows" ? this.#openBody() : call.body;
-        void this.deps.serve({ ...call, body }, cancel).then(answer =>
-            this.#answer(answer, call.head.answer === "whole")
+        void this.deps.serve({ ...call, body }, cancel).then(response =>
+            this.#respond(response, call.head.answer === "whole")
         );
     }
 
     #openBody(): Readable {
         this.#body = new FramedBody(this.socket, () => {
-            // The rest of the body is read, and the connection serves on.
+            // The rest of the body is read and discarded, and the connection stays in use.
         });
         return this.#body.stream;
     }
 
-    async #answer({ body, ...answer }: ServedAnswer, whole: boolean): Promise<void> {
-        const gathered = whole && body instanceof Readable ? await gatherBody(body) : body;
+    async #respond({ body, ...response }: ServedAnswer, whole: boolean): Promise<void> {
+        const buffered = whole && body instanceof Readable ? await bufferShortBody(body) : body;
         const last = this.deps.isClosing();
         if (this.socket.destroyed) {
             return;
         }
-        if (gathered instanceof Readable) {
-            this.#write({ ...answer, last, body: "follows" });
-            sendBody(gathered, this.socket, () => this.#done(last));
+        if (buffered instanceof Readable) {
+            this.#write({ ...response, last, body: "follows" });
+            sendBody(buffered, this.socket, () => this.#finish(last));
             return;
         }
-        if (gathered === "broken") {
-            this.#write({ ...answer, last, body: "follows" });
+        if (buffered === "broken") {
+            this.#write({ ...response, last, body: "follows" });
             this.socket.write(writeFrame(frameType.broken, emptyBuffer));
-            this.#done(last);
+            this.#finish(last);
             return;
         }
-        this.#write({ ...answer, last, body: gathered });
-        this.#done(last);
+        this.#write({ ...response, last, body: buffered });
+        this.#finish(last);
     }
 
-    #write({ note, ...answer }: WireAnswer): void {
-        const told = this.#isFirst ? { ...note, probes: true } : note;
+    #write({ note, ...response }: WireAnswer): void {
+        const sentNote = this.#isFirst ? { ...note, probes: true } : note;
         this.#isFirst = false;
-        this.socket.write(writeFrame(frameType.answer, packAnswer({ ...answer, note: told })));
+        this.socket.write(writeFrame(frameType.response, packResponse({ ...response, note: sentNote })));
     }
 
-    /** A request whose body is still coming when it has its answer leaves the connection useless. */
-    #done(last: boolean): void {
+    /**
+     * Ends the request. If its body is incomplete, the rest is read and discarded; the peer does not reuse a connection
+     * on which it was still sending a body when the response arrived.
+     */
+    #finish(last: boolean): void {
         this.#serving = undefined;
         this.#body?.stream.resume();
         if (last) {
@@ -199,8 +204,8 @@
         }
     }
 
-    #left(): void {
-        this.#body?.breakOff("peer-broke");
+    #handleClose(): void {
+        this.#body?.fail("peer-broke");
         this.#body = undefined;
         this.#serving?.abort();
         this.#serving = undefined;
--- a/src/link/sendbody.ts
+++ b/src/link/sendbody.ts
@@ -1,21 +1,24 @@
-/** Sends a body in frames. */
+/** Sends a streamed body in frames. */
 import type { Socket } from "node:net";
 import type { Readable } from "node:stream";
 import { emptyBuffer } from "./emptybuffer.js";
 import { frameType } from "./frametype.js";
 import { writeFrame } from "./writeframe.js";
 
-/** Waits for the socket as it fills up; `onEnd` is called once, when all is sent or the body has broken off. */
+/**
+ * Sends the body as fast as the socket accepts it. Calls `onEnd` once, after the last frame has been written or the
+ * socket has closed.
+ */
 export function sendBody(body: Readable, socket: Socket, onEnd: () => void): void {
     let ended = false;
     const resume = (): void => void body.resume();
-    const leave = (): void => void body.destroy();
+    const abandon = (): void => void body.destroy();
     const end = (type: typeof frameType.end | typeof frameType.broken): void => {
         if (ended) {
             return;
         }
         ended = true;
-        socket.removeListener("drain", resume).removeListener("close", leave);
+        socket.removeListener("drain", resume).removeListener("close", abandon);
         if (!socket.destroyed) {
             socket.write(writeFrame(type, emptyBuffer));
         }
@@ -34,5 +37,5 @@
     body.on("end", () => end(frameType.end));
     body.on("error", () => end(frameType.broken));
     body.on("close", () => end(frameType.broken));
-    socket.once("close", leave);
+    socket.once("close", abandon);
 }
--- a/src/peer/answercall.ts
+++ b/src/peer/handlecall.ts
@@ -1,8 +1,9 @@
 /**
- * Answers trpc's calls on Node's own listener.
+ * Handles tRPC calls on Node's HTTP server.
  *
- * trpc's own handler makes a `Request` of each call, and so has Node.js load its fetch; see calllink.ts for what that costs. A result
- * is written as trpc's own handler writes it; an error has its message and code, which is all that is read of one.
+ * tRPC's own handler creates a `Request` for each call, which makes Node.js load its fetch implementation; calllink.ts
+ * states the cost. Results are written as tRPC's handler writes them. Errors have only a message and a code, since
+ * clients read nothing else of them.
  */
 import { callTRPCProcedure, getTRPCErrorFromUnknown, TRPCError } from "@trpc/server";
 import { getHTTPStatusCodeFromError } from "@trpc/server/http";
@@ -11,17 +12,17 @@
 import { peerRouter } from "./peerrouter.js";
 import type { PeerService } from "./peerservice.js";
 
-/** Of a call's body: many times the largest. */
-const MAX_BYTES = 64 * 1024;
-const PATH = /^\/trpc\/([a-z]+)$/;
+/** Many times the size of the largest call. */
+const MAX_BODY_BYTES = 64 * 1024;
+const PATH_PATTERN = /^\/trpc\/([a-z]+)$/;
 
-/** Never rejects: what fails is an answer too. */
-export async function answerCall(req: IncomingMessage, res: ServerResponse, service: PeerService): Promise<void> {
+/** Handles a call; never rejects, since failures are sent as responses. */
+export async function handleCall(req: IncomingMessage, res: ServerResponse, service: PeerService): Promise<void> {
     try {
         const url = new URL(`http://peer${req.url ?? "/"}`);
         const data = await callTRPCProcedure({
             router: peerRouter,
-            path: PATH.exec(url.pathname)?.[1] ?? "",
+            path: PATH_PATTERN.exec(url.pathname)?.[1] ?? "",
             type: req.method === "POST" ? "mutation" : "query",
             getRawInput: () => readInput(req, url),
             ctx: { service },
@@ -50,8 +51,8 @@
     let text = "";
     for await (const chunk of req.setEncoding("utf8")) {
         text += chunk as string;
-        if (text.length > MAX_BYTES) {
-            throw new TRPCError({ code: "PAYLOAD_TOO_LARGE", message: `at most ${MAX_BYTES} bytes` });
+        if (text.length > MAX_BODY_BYTES) {
+            throw new TRPCError({ code: "PAYLOAD_TOO_LARGE", message: `at most ${MAX_BODY_BYTES} bytes` });
         }
     }
     return text;
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -1,4 +1,7 @@
-/** The listener that peers send requests and calls to; it takes daemons only. Requests have a protocol of their own. */
+/**
+ * Listens for requests and calls of other daemons, which authenticate with the shared key. Requests use the framed
+ * protocol of src/link, calls use tRPC over HTTP.
+ */
 import { timingSafeEqual } from "node:crypto";
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
@@ -11,10 +14,10 @@
 import type { Cancellation } from "../http/cancellation.js";
 import { httpStatus } from "../http/httpstatus.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
+import { detectProtocol } from "../link/detectprotocol.js";
 import { LinkSession } from "../link/linksession.js";
 import type { ServedAnswer } from "../link/servedanswer.js";
 import type { ServedCall } from "../link/servedcall.js";
-import { splitProtocol } from "../link/splitprotocol.js";
 import { log } from "../log/log.js";
 import type { MatchedRule } from "../policy/routing/matchedrule.js";
 import type { RequestTarget } from "../policy/routing/requesttarget.js";
@@ -22,13 +25,13 @@
 import { listen } from "../time/listen.js";
 import type { RequestMetadata } from "../wire/requestmetadata.js";
 import type { ResponseMetadata } from "../wire/responsemetadata.js";
-import { answerCall } from "./answercall.js";
+import { handleCall } from "./handlecall.js";
 import type { PeerService } from "./peerservice.js";
 
-/** A refusal has a note only. */
+/** The response fields of a refusal, which consists of its metadata only. */
 const REFUSAL = { status: 0, headers: {}, body: undefined };
-const BAD_CALL = "bad-call";
-/** Longer than a peer keeps an idle connection (link/linkpool.ts), in milliseconds. */
+const INVALID_CALL = "bad-call";
+/** Longer than a peer keeps an idle connection (link/linkpool.ts). */
 const KEEP_ALIVE_MS = 10_000;
 
 const logger = log("peer");
@@ -40,33 +43,37 @@
     readonly identity: GateIdentity;
     readonly service: PeerService;
     readonly gate: (name: UpstreamName) => Gate | undefined;
-    /** Pulls a newer configuration before the gate decides. */
+    /** Pulls a newer configuration, so that the gate decides by it. */
     readonly catchUp: (revision: number, from: string | undefined) => Promise<void>;
-    /** What the rules here say of a request. */
+    /** Returns the rule of this daemon's configuration that matches a request. */
     readonly find: (target: RequestTarget) => MatchedRule | undefined;
-    /** True when the sender's older rules let a request repeat that the newer ones do not. */
+    /** Returns true if the sender's older rules allow repeating the request, but this daemon's newer ones do not. */
     readonly isStale: (head: RequestMetadata, rule: MatchedRule | undefined) => boolean;
-    /** Told who sends requests here, so that load is reported there. */
+    /** Called with the address of each sender of a request, so that load reports are sent to it. */
     readonly onSender: (address: string | undefined) => void;
 };
 
-/** Tells requests from daemons' other calls, and turns them into calls of the gate. */
+/** Passes requests to their gates and tRPC calls to the peer service. */
 export class PeerServer {
     readonly #server: Server;
     readonly #key: Buffer;
     readonly #sessions = new Set<LinkSession>();
-    #calls = 0;
+    #openCalls = 0;
     #isClosing = false;
 
     constructor(private readonly deps: PeerServerDependencies) {
         this.#key = Buffer.from(deps.key);
         this.#server = createServer({ keepAliveTimeout: KEEP_ALIVE_MS, requestTimeout: 0 }, (req, res) => {
-            this.#handle(req, res);
+            this.#handleHttp(req, res);
         });
         const [serveHttp] = this.#server.listeners("connection") as [(socket: Socket) => void];
         this.#server.removeAllListeners("connection");
         this.#server.on("connection", (socket: Socket) => {
-            splitProtocol(socket, () => serveHttp.call(this.#server, socket), first => this.#open(socket, first));
+            detectProtocol(
+                socket,
+                () => serveHttp.call(this.#server, socket),
+                firstBytes => this.#openSession(socket, firstBytes),
+            );
         });
     }
 
@@ -74,91 +81,96 @@
         return listen(this.#server, address);
     }
 
-    /** Requests and calls that have not been answered whole. */
+    /** Number of requests and calls whose responses are incomplete. */
     get inFlight(): number {
-        return this.#calls + [...this.#sessions].filter(session => session.busy).length;
+        return this.#openCalls + [...this.#sessions].filter(session => session.busy).length;
     }
 
-    /** From now on each answer ends its connection. */
+    /** Makes each later response the last one on its connection. */
     startClosing(): void {
         this.#isClosing = true;
     }
 
-    /** Ends idle connections and goes on listening. */
+    /** Closes idle connections and keeps listening. */
     closeIdle(): void {
         this.#server.closeIdleConnections();
-        this.#sessions.forEach(session => session.endIfIdle());
+        this.#sessions.forEach(session => session.closeIfIdle());
     }
 
-    /** Ends once all connections have. */
+    /** Stops listening; resolves when all connections are closed. */
     close(): Promise<void> {
         return new Promise(resolve => this.#server.close(() => resolve()));
     }
 
-    /** Cuts what is left. */
+    /** Closes all connections at once. */
     destroy(): void {
         this.#server.closeAllConnections();
         this.#sessions.forEach(session => session.destroy());
     }
 
-    #open(socket: Socket, first: Buffer): void {
+    #openSession(socket: Socket, firstBytes: Buffer): void {
         const session = new LinkSession(socket, {
             key: this.#key,
             serve: (call, cancel) => this.#serve(call, cancel),
-            refuseBad: err => this.#refuseBad(socket, err),
+            refuseBad: err => this.#refuseInvalid(socket, err),
             identity: () => this.#note({}),
             isClosing: () => this.#isClosing,
         });
-        socket.setTimeout(KEEP_ALIVE_MS, () => session.endIfStill());
+        socket.setTimeout(KEEP_ALIVE_MS, () => session.closeIfStalled());
         this.#sessions.add(session);
         socket.on("close", () => this.#sessions.delete(session));
-        session.read(first);
+        session.read(firstBytes);
     }
 
-    #handle(req: IncomingMessage, res: ServerResponse): void {
-        this.#calls += 1;
-        res.on("close", () => this.#calls -= 1);
+    #handleHttp(req: IncomingMessage, res: ServerResponse): void {
+        this.#openCalls += 1;
+        res.on("close", () => this.#openCalls -= 1);
         res.shouldKeepAlive = res.shouldKeepAlive && !this.#isClosing;
-        if (!this.#isPeer(req)) {
+        if (!this.#hasKey(req)) {
             res.writeHead(httpStatus.forbidden).end();
             return;
         }
-        void answerCall(req, res, this.deps.service);
+        void handleCall(req, res, this.deps.service);
     }
 
-    #isPeer(req: IncomingMessage): boolean {
-        const given = Buffer.from(String(req.headers[headerName.key] ?? ""));
-        return given.length === this.#key.length && timingSafeEqual(given, this.#key);
+    #hasKey(req: IncomingMessage): boolean {
+        const received = Buffer.from(String(req.headers[headerName.key] ?? ""));
+        return received.length === this.#key.length && timingSafeEqual(received, this.#key);
     }
 
     async #serve(call: ServedCall, cancel: Cancellation): Promise<ServedAnswer> {
         const { head } = call;
         try {
             this.deps.onSender(head.from);
-            await this.#readEnd(head);
+            await this.#waitForPendingClose(head);
             await this.deps.catchUp(head.revision, head.from);
-            const { note, ...answer } = await this.#answer(call, cancel);
-            return { ...answer, note: note ?? this.#note({}) };
+            const { note, ...response } = await this.#sendToGate(call, cancel);
+            return { ...response, note: note ?? this.#note({}) };
         }
         catch (err) {
-            return { note: this.#noteOf(err, head.upstream), ...REFUSAL };
+            return { note: this.#errorNote(err, head.upstream), ...REFUSAL };
         }
     }
 
     /**
-     * A sender that does not know the clock here can't say how long its request has been on its way. Where it has lain in the socket until its
-     * caller left, the end of the connection lies behind it, and is read first: in the next turn of the event loop, which ends with the second wait.
+     * Waits until the end of the connection has been read, if it has already arrived. A request without `gateTime` does
+     * not show how long it was delayed. If it was unread in the socket until its caller left, the end of the connection
+     * follows it and is read in the next turn of the event loop, which ends with the second wait.
      */
-    async #readEnd({ gateTime }: RequestMetadata): Promise<void> {
+    async #waitForPendingClose({ gateTime }: RequestMetadata): Promise<void> {
         if (gateTime === undefined) {
             await setImmediate();
             await setImmediate();
         }
     }
 
-    #noteOf(err: unknown, upstream: UpstreamName): ResponseMetadata {
+    #errorNote(err: unknown, upstream: UpstreamName): ResponseMetadata {
         if (!(err instanceof HopError)) {
-            logger.warn("A peer's request failed at its gate.", err, { upstream });
+            logger.warn(
+                "A peer's request failed in its gate with an unexpected error; whether it has run is unknown.",
+                err,
+                { upstream },
+            );
             return this.#note({ outcome: "unknown", reason: "gate-error" });
         }
         const { reason, note } = err;
@@ -166,7 +178,7 @@
         return this.#note({ outcome, reason, ...note });
     }
 
-    async #answer({ head, method, path, headers, body }: ServedCall, cancel: Cancellation): Promise<GateResponse> {
+    async #sendToGate({ head, method, path, headers, body }: ServedCall, cancel: Cancellation): Promise<GateResponse> {
         const gate = this.deps.gate(head.upstream);
         if (gate === undefined) {
             throw new HopError("not-run", "no-such-upstream");
@@ -179,9 +191,9 @@
         return await gate.serve({ head, rule: matched?.rule.name, method, path, headers, body, cancel });
     }
 
-    #refuseBad({ remoteAddress }: Socket, err: unknown): ServedAnswer {
-        logger.warn("A peer's call can't be read.", err, { peer: remoteAddress });
-        return { note: this.#note({ outcome: "not-run", reason: BAD_CALL }), ...REFUSAL };
+    #refuseInvalid({ remoteAddress }: Socket, err: unknown): ServedAnswer {
+        logger.warn("Could not decode a request from a peer; it is refused.", err, { peer: remoteAddress });
+        return { note: this.#note({ outcome: "not-run", reason: INVALID_CALL }), ...REFUSAL };
     }
 
     #note(more: Partial<ResponseMetadata>): ResponseMetadata {
--- a/src/peer/remotehop.ts
+++ b/src/peer/remotehop.ts
@@ -1,4 +1,4 @@
-/** The way to the gate of another host: one request a connection at a time, no retries. */
+/** Sends requests to the gate of another host: one request at a time on each connection, without retries. */
 import type { GateCall } from "../hop/gatecall.js";
 import { GateClock } from "../hop/gateclock.js";
 import type { GateResponse } from "../hop/gateresponse.js";
@@ -20,7 +20,7 @@
 
 const logger = log("peer");
 
-/** Owns the connections to one gate. */
+/** Owns the connections to one gate, and tracks its clock. */
 export class RemoteHop extends Hop {
     readonly clock = new GateClock();
     readonly #pool: LinkPool;
@@ -35,11 +35,11 @@
     }
 
     async send(call: GateCall): Promise<GateResponse> {
-        const askedAt = this.options.clock();
+        const preparedAt = this.options.clock();
         if (call.head.kind === "once" && this.clock.incarnation === undefined) {
             await this.handshake();
         }
-        const { status, headers, body = emptyBuffer, note } = await this.#request(call, askedAt);
+        const { status, headers, body = emptyBuffer, note } = await this.#request(call, preparedAt);
         if (note.outcome !== undefined) {
             throw new HopError(note.outcome, this.#reasonOf(note), note);
         }
@@ -58,60 +58,66 @@
     async handshake(): Promise<void> {
         try {
             const askedAt = this.options.clock();
-            this.#readClock(await this.#pool.greet() ?? await this.peer.hello(this.address), askedAt);
+            this.#observeClock(await this.#pool.requestIdentity() ?? await this.peer.hello(this.address), askedAt);
         }
         catch (err) {
             throw new HopError("not-run", "unreachable", undefined, { cause: err });
         }
     }
 
-    /** Ends idle connections: they may have gone silent. */
+    /** Closes idle connections, which may be unresponsive. */
     dropIdle(): void {
-        this.#pool.dropIdle();
+        this.#pool.closeIdle();
     }
 
     async close(): Promise<void> {
         this.#pool.close();
     }
 
-    #reasonOf({ reason: word }: ResponseMetadata): Reason {
-        const reason = decodeReason(word);
+    #reasonOf({ reason: receivedReason }: ResponseMetadata): Reason {
+        const reason = decodeReason(receivedReason);
         if (reason === "unknown-reason") {
-            logger.warn("A peer refused for a reason that is not known here.", word, { peer: this.address });
+            logger.warn("A peer refused a request for a reason that this daemon does not know.", receivedReason, {
+                peer: this.address,
+            });
         }
         return reason;
     }
 
     /**
-     * The head is stamped when it is sent: with the gate's life and clock, so that the gate can tell its delay, and with what is left by
-     * then, since a connection or the gate's clock may have been waited for.
+     * Completes the metadata when the request is sent: with the gate's incarnation and estimated time, from which the
+     * gate determines the delay, and with the remaining times, which are shorter after waiting for a connection or the
+     * gate's clock. `preparedAt` is the time at which the remaining times were valid.
      */
-    #stamp(head: RequestMetadata, askedAt: number, sentAt: number): void {
-        const stamped: { -readonly [Field in keyof RequestMetadata]: RequestMetadata[Field]; } = head;
-        const tookMs = sentAt - askedAt;
-        stamped.remainingMs = Math.max(0, head.remainingMs - tookMs);
-        stamped.maxWaitMs = Math.max(0, head.maxWaitMs - tookMs);
-        stamped.incarnation = this.clock.incarnation;
-        stamped.gateTime = this.clock.estimate(sentAt);
+    #completeHead(head: RequestMetadata, preparedAt: number, sentAt: number): void {
+        const writableHead: { -readonly [Field in keyof RequestMetadata]: RequestMetadata[Field]; } = head;
+        const elapsedMs = sentAt - preparedAt;
+        writableHead.remainingMs = Math.max(0, head.remainingMs - elapsedMs);
+        writableHead.maxWaitMs = Math.max(0, head.maxWaitMs - elapsedMs);
+        writableHead.incarnation = this.clock.incarnation;
+        writableHead.gateTime = this.clock.estimate(sentAt);
     }
 
-    /** The gate has said what its clock showed, some time after it was asked. */
-    #readClock({ incarnation, gateTime }: Pick<ResponseMetadata, "incarnation" | "gateTime">, askedAt: number): void {
+    /** Records a reading of the gate's clock that was requested at `askedAt`. */
+    #observeClock(
+        { incarnation, gateTime }: Pick<ResponseMetadata, "incarnation" | "gateTime">,
+        askedAt: number,
+    ): void {
         this.clock.observe(incarnation, gateTime, { askedAt, now: this.options.clock() });
     }
 
-    /** `askedAt`: when what the head says was true. */
+    /** Sends the request on an idle or new connection; throws a HopError. See `#completeHead` for `preparedAt`. */
     async #request(
         call: GateCall,
-        askedAt: number,
-    ): Promise<Awaited<ReturnType<Awaited<ReturnType<LinkPool["take"]>>["send"]>>> {
+        preparedAt: number,
+    ): Promise<Awaited<ReturnType<Awaited<ReturnType<LinkPool["acquire"]>>["send"]>>> {
         try {
-            const connection = await this.#pool.take();
+            const connection = await this.#pool.acquire();
             const sentAt = this.options.clock();
-            this.#stamp(call.head, askedAt, sentAt);
-            const answer = await connection.send(call);
-            this.#readClock(answer.note, sentAt);
-            return answer;
+            this.#completeHead(call.head, preparedAt, sentAt);
+            const response = await connection.send(call);
+            this.#observeClock(response.note, sentAt);
+            return response;
         }
         catch (err) {
             const { unsent, reason } = err instanceof LinkError ? err : new LinkError("peer-broke", { cause: err });
