--- a/src/cli/commonargs.ts
+++ b/src/cli/commonargs.ts
@@ -3,7 +3,7 @@
 
 const DEFAULT_DAEMON = "127.0.0.1:7090";
 
-const fromEnvironment = (): string[] =>
+const daemonsFromEnvironment = (): string[] =>
     (process.env["WINGLOCK_DAEMONS"] ?? DEFAULT_DAEMON).split(",").map(daemon => daemon.trim());
 
 /** `--daemon` may be given several times; the first daemon that answers is used. */
@@ -13,7 +13,7 @@
         long: "daemon",
         short: "d",
         description: "A daemon's operator address, IP:PORT; may be repeated [env: WINGLOCK_DAEMONS]",
-        defaultValue: fromEnvironment,
+        defaultValue: daemonsFromEnvironment,
     }),
     json: flag({ long: "json", description: "Print one line of JSON." }),
 };
--- a/src/cli/evacuatecommand.ts
+++ b/src/cli/evacuatecommand.ts
@@ -8,10 +8,10 @@
 /** Keeps new work from all upstreams of a data hall, or takes that back. */
 export function evacuateCommand(evacuated: boolean): ReturnType<typeof command> {
     const name = evacuated ? "evacuate" : "readmit";
-    const does = evacuated ? "Sends nothing new to the upstreams of a data hall" : "Takes an evacuation back";
+    const summary = evacuated ? "Sends nothing new to the upstreams of a data hall" : "Takes an evacuation back";
     return command({
         name,
-        description: `${does}. Example: winglock ${name} praha-a`,
+        description: `${summary}. Example: winglock ${name} praha-a`,
         args: { hall: positional({ type: string, displayName: "hall" }), ...changeArgs, ...commonArgs },
         handler: async values => {
             const value = { hall: values.hall, evacuated };
--- a/src/cli/exportcommand.ts
+++ b/src/cli/exportcommand.ts
@@ -4,9 +4,9 @@
 import { getConfiguration } from "./getconfiguration.js";
 import { OperatorClient } from "./operatorclient.js";
 import { output } from "./output.js";
-import { RuleNoun } from "./rulenoun.js";
-import { ServiceNoun } from "./servicenoun.js";
-import { UpstreamNoun } from "./upstreamnoun.js";
+import { RuleResource } from "./ruleresource.js";
+import { ServiceResource } from "./serviceresource.js";
+import { UpstreamResource } from "./upstreamresource.js";
 
 /** Prints the configuration as `apply` reads it. */
 export const exportCommand = command({
@@ -17,9 +17,9 @@
         const configuration = await getConfiguration(new OperatorClient(daemons));
         const file = {
             revision: Number(configuration.revision),
-            services: new ServiceNoun().list(configuration),
-            upstreams: new UpstreamNoun().list(configuration),
-            rules: new RuleNoun().list(configuration),
+            services: new ServiceResource().list(configuration),
+            upstreams: new UpstreamResource().list(configuration),
+            rules: new RuleResource().list(configuration),
         };
         output(json, file, JSON.stringify(file, undefined, 4));
     },
--- a/src/cli/halltable.ts
+++ b/src/cli/halltable.ts
@@ -2,7 +2,7 @@
 import type { GetStatusResponse, UpstreamStatus } from "../gen/winglock/operator/v1/operator_pb.js";
 import { table } from "./table.js";
 
-const heads = [
+const headers = [
     "hall",
     "service",
     "upstreams",
@@ -21,7 +21,7 @@
 const sum = (lines: readonly UpstreamStatus[], read: (line: UpstreamStatus) => number): string =>
     String(lines.reduce((total, line) => total + read(line), 0));
 
-const row = (lines: readonly UpstreamStatus[], revision: bigint): string[] => {
+const groupRow = (lines: readonly UpstreamStatus[], revision: bigint): string[] => {
     const count = (test: (line: UpstreamStatus) => boolean): string => String(lines.filter(test).length);
     return [
         lines[0]!.hall,
@@ -48,9 +48,11 @@
         const watching = upstreams.filter(line => line.hall === hall && line.watchesStore);
         return `hall ${hall}: the store is watched by ${watching.length > 0 ? hosts(watching) : "none that serves"}`;
     });
-    const most = Math.max(...upstreams.map(line => line.members));
-    const fewer = upstreams.filter(line => line.state !== "silent" && line.members < most);
-    return fewer.length === 0 ? watchers : [...watchers, `fewer daemons than ${most} are known to ${hosts(fewer)}`];
+    const maxMembers = Math.max(...upstreams.map(line => line.members));
+    const incomplete = upstreams.filter(line => line.state !== "silent" && line.members < maxMembers);
+    return incomplete.length === 0
+        ? watchers
+        : [...watchers, `fewer daemons than ${maxMembers} are known to ${hosts(incomplete)}`];
 };
 
 /** A line for each service in each hall, who watches the store, who knows less than others. */
@@ -60,6 +62,6 @@
         const key = `${line.hall} ${line.service}`;
         groups.set(key, [...groups.get(key) ?? [], line]);
     });
-    const sorted = [...groups].sort(([a], [b]) => a < b ? -1 : 1).map(([, lines]) => row(lines, revision));
-    return [table(heads, sorted), ...membershipLines(upstreams)].join("\n");
+    const sorted = [...groups].sort(([a], [b]) => a < b ? -1 : 1).map(([, lines]) => groupRow(lines, revision));
+    return [table(headers, sorted), ...membershipLines(upstreams)].join("\n");
 }
--- a/src/cli/makechange.ts
+++ b/src/cli/makechange.ts
@@ -20,12 +20,12 @@
     readonly base: number | undefined;
 };
 
-type Ending = { readonly text: string; readonly code: number; };
+type Outcome = { readonly text: string; readonly code: number; };
 
 const issueLines = (res: ApplyChangesResponse): string =>
     res.issues.map(issue => `${issue.path || "(top)"}: ${issue.message}`).join("\n");
 
-const ending = (res: ApplyChangesResponse, id: string): Ending => {
+const describeOutcome = (res: ApplyChangesResponse, id: string): Outcome => {
     switch (res.outcome) {
         case ChangeOutcome.ACCEPTED:
             return {
@@ -35,9 +35,9 @@
         case ChangeOutcome.DRY_RUN:
             return { text: [`dry run on revision ${res.revision}`, ...res.difference].join("\n"), code: exitCode.done };
         case ChangeOutcome.CONFLICT: {
-            const other = `${res.conflictingChangeId || "(none)"} made revision ${res.conflictingRevision}`;
+            const conflicting = `${res.conflictingChangeId || "(none)"} made revision ${res.conflictingRevision}`;
             return {
-                text: `conflict: the newest revision is ${res.revision}; change ${other}`,
+                text: `conflict: the newest revision is ${res.revision}; change ${conflicting}`,
                 code: exitCode.conflict,
             };
         }
@@ -61,7 +61,7 @@
     const baseRevision = BigInt(flags.base ?? 0);
     const req = create(ApplyChangesRequestSchema, { baseRevision, changeId, changes, dryRun });
     const res = await client.call(operator => operator.applyChanges(req));
-    const { text, code } = ending(res, changeId);
+    const { text, code } = describeOutcome(res, changeId);
     if (code !== exitCode.done) {
         throw new CliError(code, text);
     }
--- a/src/cli/operatorclient.ts
+++ b/src/cli/operatorclient.ts
@@ -9,7 +9,7 @@
 const TIMEOUT_MS = 15_000;
 
 /** Codes after which another daemon may do better; a change carries an id, so asking again is safe. */
-const ELSEWHERE: ReadonlySet<Code> = new Set([
+const RETRYABLE_CODES: ReadonlySet<Code> = new Set([
     Code.Unavailable,
     Code.DeadlineExceeded,
     Code.Unknown,
@@ -24,15 +24,15 @@
     constructor(private readonly daemons: readonly string[]) {}
 
     /** Makes the call; throws a CliError when no daemon answers or the first that does refuses. */
-    async call<Answer>(make: OperatorCall<Answer>): Promise<Answer> {
+    async call<Answer>(makeCall: OperatorCall<Answer>): Promise<Answer> {
         const failures: string[] = [];
         for (const daemon of this.daemons) {
             try {
-                return await make(this.#client(daemon));
+                return await makeCall(this.#client(daemon));
             }
             catch (err) {
                 const failure = ConnectError.from(err);
-                if (!ELSEWHERE.has(failure.code)) {
+                if (!RETRYABLE_CODES.has(failure.code)) {
                     throw new CliError(exitCode.invalid, failure.rawMessage);
                 }
                 failures.push(`${daemon}: ${failure.rawMessage}`);
--- a/src/cli/readfilechange.ts
+++ b/src/cli/readfilechange.ts
@@ -10,7 +10,7 @@
 import { type ChangeSchema, ConfigurationSchema } from "../gen/winglock/operator/v1/operator_pb.js";
 import { CliError } from "./clierror.js";
 import { exitCode } from "./exitcode.js";
-import { RuleNoun } from "./rulenoun.js";
+import { RuleResource } from "./ruleresource.js";
 
 /** The file's form: what `winglock export` prints; `revision` is the one that it was based on. */
 const ConfigurationFile = z.strictObject({
@@ -25,21 +25,21 @@
     readonly change: MessageInitShape<typeof ChangeSchema>;
 };
 
-const read = (file: string): z.infer<typeof ConfigurationFile> => {
+const readFile = (file: string): z.infer<typeof ConfigurationFile> => {
     try {
         return parse(ConfigurationFile, JSON.parse(readFileSync(file, "utf8")));
     }
     catch (err) {
-        const what = err instanceof ConfigError ? `\n${err.message}` : ` ${(err as Error).message}`;
-        throw new CliError(exitCode.invalid, `${file} can't be used:${what}`);
+        const reason = err instanceof ConfigError ? `\n${err.message}` : ` ${(err as Error).message}`;
+        throw new CliError(exitCode.invalid, `${file} can't be used:${reason}`);
     }
 };
 
 /** The change that replaces everything by the file's content; throws a CliError that names the field. */
 export function readFileChange(file: string): FileChange {
-    const { revision, services, upstreams, rules } = read(file);
-    const noun = new RuleNoun();
-    const ruleMessages = rules.map(rule => (noun.put(rule).change as { value: object; }).value);
+    const { revision, services, upstreams, rules } = readFile(file);
+    const resource = new RuleResource();
+    const ruleMessages = rules.map(rule => (resource.put(rule).change as { value: object; }).value);
     const value = create(ConfigurationSchema, { services, upstreams, rules: ruleMessages });
     return { revision, change: { change: { case: "replace", value } } };
 }
--- a/src/cli/noun.ts
+++ b/src/cli/resource.ts
@@ -10,7 +10,7 @@
 type Item = { name: string; } & Fields;
 
 /** The three things that operators create, list, show, update and delete. */
-export abstract class Noun {
+export abstract class Resource {
     abstract readonly name: string;
     abstract readonly columns: readonly string[];
     abstract readonly flags: Parameters<typeof command>[0]["args"];
--- a/src/cli/rulenoun.ts
+++ b/src/cli/ruleresource.ts
@@ -9,13 +9,13 @@
 import { protoAnswerMode } from "../operator/protoanswermode.js";
 import { protoKind } from "../operator/protokind.js";
 import { protoPriority } from "../operator/protopriority.js";
-import { Noun } from "./noun.js";
+import { Resource } from "./resource.js";
 import { toPlainItem } from "./toplainitem.js";
 
 type RuleItem = { name: string; kind?: Kind; priority?: Priority; answer?: AnswerMode; };
 
 /** How the requests that it matches are handled. */
-export class RuleNoun extends Noun {
+export class RuleResource extends Resource {
     readonly name = "rule";
     readonly columns = [
         "name",
@@ -45,7 +45,7 @@
         }),
     };
 
-    list(configuration: Configuration): ReturnType<Noun["list"]> {
+    list(configuration: Configuration): ReturnType<Resource["list"]> {
         return configuration.rules.map(rule => ({
             ...toPlainItem(rule),
             kind: nameOf(protoKind, rule.kind),
--- a/src/cli/servicenoun.ts
+++ b/src/cli/serviceresource.ts
@@ -2,11 +2,11 @@
 import type { MessageInitShape } from "@bufbuild/protobuf";
 import { number, option, optional } from "cmd-ts";
 import type { ChangeSchema, Configuration } from "../gen/winglock/operator/v1/operator_pb.js";
-import { Noun } from "./noun.js";
+import { Resource } from "./resource.js";
 import { toPlainItem } from "./toplainitem.js";
 
 /** A named group of upstreams. */
-export class ServiceNoun extends Noun {
+export class ServiceResource extends Resource {
     readonly name = "service";
     readonly columns = ["name", "bufferBytes", "maxWaitMs", "retryRatio"];
     readonly example = "winglock service create splits --max-wait-ms 500";
@@ -16,7 +16,7 @@
         retryRatio: option({ type: optional(number), long: "retry-ratio", description: "Share of retries, 0 to 1." }),
     };
 
-    list(configuration: Configuration): ReturnType<Noun["list"]> {
+    list(configuration: Configuration): ReturnType<Resource["list"]> {
         return configuration.services.map(toPlainItem);
     }
 
--- a/src/cli/statustable.test.ts
+++ b/src/cli/statustable.test.ts
@@ -12,28 +12,28 @@
 const REVISION = 7n;
 
 /** An upstream on a host of its own; halls and services by turns. */
-const line = (at: number): UpstreamStatus =>
+const statusOf = (index: number): UpstreamStatus =>
     create(UpstreamStatusSchema, {
-        upstream: `i-${at}`,
-        host: `h${at}`,
-        hall: `hall-${at % 5}`,
-        service: ["splits", "results"][at % 2],
+        upstream: `i-${index}`,
+        host: `h${index}`,
+        hall: `hall-${index % 5}`,
+        service: ["splits", "results"][index % 2],
         state: "up",
         revision: REVISION,
         running: 2,
         limit: 6,
         members: 195,
-        watchesStore: at < 10,
+        watchesStore: index < 10,
     });
 
-const fleet = (count: number, change: (lines: UpstreamStatus[]) => void = () => {}): GetStatusResponse => {
-    const upstreams = Array.from({ length: count }, (_, at) => line(at));
+const responseOf = (count: number, change: (lines: UpstreamStatus[]) => void = () => {}): GetStatusResponse => {
+    const upstreams = Array.from({ length: count }, (_, index) => statusOf(index));
     change(upstreams);
     return create(GetStatusResponseSchema, { revision: REVISION, fresh: true, upstreams });
 };
 
 test("status table: of many upstreams a line for each service in each hall, and who watches", () => {
-    const lines = statusTable(fleet(195)).split("\n");
+    const lines = statusTable(responseOf(195)).split("\n");
     assert.equal(lines.length, 1 + 1 + 10 + 5);
     assert.match(lines[0]!, /^revision 7, confirmed by the store$/);
     assert.match(
@@ -45,7 +45,7 @@
 });
 
 test("status table: of many, those that need a look are listed, and who knows fewer daemons", () => {
-    const text = statusTable(fleet(195, lines => {
+    const text = statusTable(responseOf(195, lines => {
         lines[20]!.state = "silent";
         lines[21]!.revision = 6n;
         lines[22]!.members = 150;
@@ -59,12 +59,12 @@
 });
 
 test("status table: few are listed each, and many where all are asked for", () => {
-    assert.equal(statusTable(fleet(13)).split("\n").length, 2 + 13);
-    assert.equal(statusTable(fleet(195), true).split("\n").length, 2 + 195);
+    assert.equal(statusTable(responseOf(13)).split("\n").length, 2 + 13);
+    assert.equal(statusTable(responseOf(195), true).split("\n").length, 2 + 195);
 });
 
 test("status table: evacuated halls are named, and their upstreams and cold ones told apart", () => {
-    const status = fleet(195, lines => {
+    const status = responseOf(195, lines => {
         lines.filter(line => line.hall === "hall-2").forEach(line => line.state = "evacuated");
         lines[20]!.state = "cold";
     });
@@ -77,7 +77,7 @@
 });
 
 test("status table: what an upstream takes a second is shown while it states a limit", () => {
-    const text = statusTable(fleet(195, lines => {
+    const text = statusTable(responseOf(195, lines => {
         lines[20]!.state = "limited";
         lines[20]!.limitPerSecond = 7.8;
     }));
--- a/src/cli/statustable.ts
+++ b/src/cli/statustable.ts
@@ -3,7 +3,7 @@
 import { hallTable } from "./halltable.js";
 import { table } from "./table.js";
 
-const heads = [
+const headers = [
     "upstream",
     "service",
     "hall",
@@ -17,16 +17,16 @@
 ];
 
 /** More lines than a screen holds: a table by hall and service is read instead, and then the lines that need a look. */
-const MANY = 40;
+const MAX_UPSTREAM_ROWS = 40;
 
 /**
  * A line on the configuration, then one for each upstream. Of many, unless `all` are asked for, a line for each service in each hall, and
  * one for each upstream that is not up or is behind.
  */
 export function statusTable(status: GetStatusResponse, all = false): string {
-    const isLong = !all && status.upstreams.length > MANY;
-    const needsLook = (line: UpstreamStatus): boolean => line.state !== "up" || line.revision < status.revision;
-    const shown = isLong ? status.upstreams.filter(needsLook) : status.upstreams;
+    const isGrouped = !all && status.upstreams.length > MAX_UPSTREAM_ROWS;
+    const needsAttention = (line: UpstreamStatus): boolean => line.state !== "up" || line.revision < status.revision;
+    const shown = isGrouped ? status.upstreams.filter(needsAttention) : status.upstreams;
     const rows = shown.map(line => [
         line.upstream,
         line.service,
@@ -36,15 +36,15 @@
         ...[line.running, line.waiting, line.limit, line.finished, line.refused].map(String),
     ]);
     const freshness = status.fresh ? "confirmed by the store" : "not confirmed by the store";
-    const parts = [`revision ${status.revision}, ${freshness}`];
+    const sections = [`revision ${status.revision}, ${freshness}`];
     if (status.evacuatedHalls.length > 0) {
-        parts.push(`evacuated: ${status.evacuatedHalls.join(", ")}`);
+        sections.push(`evacuated: ${status.evacuatedHalls.join(", ")}`);
     }
-    if (isLong) {
-        parts.push(hallTable(status));
+    if (isGrouped) {
+        sections.push(hallTable(status));
     }
-    if (!isLong || rows.length > 0) {
-        parts.push(table(heads, rows));
+    if (!isGrouped || rows.length > 0) {
+        sections.push(table(headers, rows));
     }
-    return parts.join("\n");
+    return sections.join("\n");
 }
--- a/src/cli/why.test.ts
+++ b/src/cli/why.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { readStory } from "./readstory.js";
-import { tellStory } from "./tellstory.js";
+import { formatRequestLog } from "./formatrequestlog.js";
+import { readRequestLog } from "./readrequestlog.js";
 
 const LOG = [
     `host-b {"level":"info","time":1012,"part":"gate","id":"r1","try":"x.1","outcome":"not-run","reason":"slow","message":"The gate did not serve the request."}`,
@@ -13,12 +13,12 @@
 ].join("\n");
 
 test("why: the lines of one request, of all daemons, in order", () => {
-    assert.deepEqual(readStory(LOG, "r1").map(line => line.time), [1010, 1012, 1020]);
-    assert.deepEqual(readStory(LOG, "r2"), []);
+    assert.deepEqual(readRequestLog(LOG, "r1").map(line => line.time), [1010, 1012, 1020]);
+    assert.deepEqual(readRequestLog(LOG, "r2"), []);
 });
 
 test("why: each line says when, who, what and on what grounds", () => {
-    assert.deepEqual(tellStory(readStory(LOG, "r1")).split("\n"), [
+    assert.deepEqual(formatRequestLog(readRequestLog(LOG, "r1")).split("\n"), [
         "+0 ms     ingress  The request is sent to an upstream. (try x.1, upstream u1)",
         "+2 ms     gate     The gate did not serve the request. (try x.1, outcome not-run, reason slow)",
         `+10 ms    ingress  The request has ended. (report {"running":3})`,
--- a/src/cli/whycommand.ts
+++ b/src/cli/whycommand.ts
@@ -3,14 +3,14 @@
 import { readFileSync } from "node:fs";
 import { CliError } from "./clierror.js";
 import { exitCode } from "./exitcode.js";
+import { formatRequestLog } from "./formatrequestlog.js";
 import { output } from "./output.js";
-import { readStory } from "./readstory.js";
-import { tellStory } from "./tellstory.js";
+import { readRequestLog } from "./readrequestlog.js";
 
 /** Its file descriptor. */
 const STANDARD_INPUT = 0;
 
-const read = (file: string | number): string => {
+const readLog = (file: string | number): string => {
     try {
         return readFileSync(file, "utf8");
     }
@@ -31,10 +31,10 @@
     },
     handler: ({ id, files, json }) => {
         const sources: readonly (string | number)[] = files.length === 0 ? [STANDARD_INPUT] : files;
-        const lines = readStory(sources.map(read).join("\n"), id);
+        const lines = readRequestLog(sources.map(readLog).join("\n"), id);
         if (lines.length === 0) {
             throw new CliError(exitCode.notFound, `no line of these logs has the id ${id}`);
         }
-        output(json, lines, tellStory(lines));
+        output(json, lines, formatRequestLog(lines));
     },
 });
--- a/src/cli/winglock.ts
+++ b/src/cli/winglock.ts
@@ -9,12 +9,12 @@
 import { exitCode } from "./exitcode.js";
 import { explainCommand } from "./explaincommand.js";
 import { exportCommand } from "./exportcommand.js";
-import { nounCommands } from "./nouncommands.js";
 import { resolveCommand } from "./resolvecommand.js";
-import { RuleNoun } from "./rulenoun.js";
-import { ServiceNoun } from "./servicenoun.js";
+import { resourceCommands } from "./resourcecommands.js";
+import { RuleResource } from "./ruleresource.js";
+import { ServiceResource } from "./serviceresource.js";
 import { statusCommand } from "./statuscommand.js";
-import { UpstreamNoun } from "./upstreamnoun.js";
+import { UpstreamResource } from "./upstreamresource.js";
 import { watchCommand } from "./watchcommand.js";
 import { whyCommand } from "./whycommand.js";
 
@@ -23,9 +23,9 @@
     description: "Runs winglock's daemons. Exit codes: 0 done, 1 failed or no daemon answers, 2 invalid input,"
         + " 3 conflict, 4 outcome unknown (ask again with the change id), 5 not found.",
     cmds: {
-        service: nounCommands(new ServiceNoun()),
-        upstream: nounCommands(new UpstreamNoun()),
-        rule: nounCommands(new RuleNoun()),
+        service: resourceCommands(new ServiceResource()),
+        upstream: resourceCommands(new UpstreamResource()),
+        rule: resourceCommands(new RuleResource()),
         apply: applyCommand,
         diff: diffCommand,
         export: exportCommand,
