--- a/src/cli/readrequestlog.ts
+++ b/src/cli/readrequestlog.ts
@@ -1,5 +1,5 @@
 /** Picks the lines of one request out of logs. */
-import { StoryLine } from "./requestlogline.js";
+import { RequestLogLine } from "./requestlogline.js";
 
 const parseLine = (line: string): unknown => {
     try {
@@ -12,10 +12,10 @@
 };
 
 /** In the order of their times; a prefix of a line before its JSON, such as a host's name, is ignored. */
-export function readRequestLog(text: string, id: string): StoryLine[] {
+export function readRequestLog(text: string, id: string): RequestLogLine[] {
     return text.split("\n")
         .filter(line => line.includes(id))
-        .map(line => StoryLine.safeParse(parseLine(line)).data)
+        .map(line => RequestLogLine.safeParse(parseLine(line)).data)
         .filter(line => line?.id === id)
         .map(line => line!)
         .sort((one, other) => one.time - other.time);
--- a/src/cli/requestlogline.ts
+++ b/src/cli/requestlogline.ts
@@ -11,4 +11,4 @@
 type RequestLogLine = z.infer<typeof RequestLogLine>;
 
 /** `time` is the time of day in milliseconds; the rest of the fields is what the decision rests on. */
-export { RequestLogLine as StoryLine };
+export { RequestLogLine };
