--- a/src/cli/applycommand.ts
+++ b/src/cli/applycommand.ts
@@ -1,4 +1,4 @@
-/** `winglock apply` and, with nothing changed, `winglock diff`. */
+/** Implements `winglock apply`. */
 import { command, positional, string } from "cmd-ts";
 import { changeArgs } from "./changeargs.js";
 import { commonArgs } from "./commonargs.js";
@@ -6,10 +6,10 @@
 import { OperatorClient } from "./operatorclient.js";
 import { readFileChange } from "./readfilechange.js";
 
-/** Replaces the whole configuration by a file's. */
+/** Replaces the whole configuration with the content of a file. */
 export const applyCommand = command({
     name: "apply",
-    description: "Replaces the whole configuration by a JSON file. Example: winglock apply mesh.json --dry-run",
+    description: "Replaces the whole configuration with a JSON file. Example: winglock apply mesh.json --dry-run",
     args: { file: positional({ type: string, displayName: "file" }), ...changeArgs, ...commonArgs },
     handler: async values => {
         const { revision, change } = readFileChange(values.file);
--- a/src/cli/clierror.ts
+++ b/src/cli/clierror.ts
@@ -1,6 +1,6 @@
-/** The error of the command line. */
+/** Defines the error that ends a command. */
 
-/** Printed as one line; the process ends with `code`. */
+/** The message is printed to standard error, and the process exits with `code`. */
 export class CliError extends Error {
     constructor(readonly code: number, message: string) {
         super(message);
--- a/src/cli/commonargs.ts
+++ b/src/cli/commonargs.ts
@@ -1,4 +1,4 @@
-/** Flags that every subcommand has. */
+/** Defines the flags of every subcommand that calls a daemon. */
 import { array, flag, multioption, string } from "cmd-ts";
 
 const DEFAULT_DAEMON = "127.0.0.1:7090";
@@ -6,7 +6,7 @@
 const daemonsFromEnvironment = (): string[] =>
     (process.env["WINGLOCK_DAEMONS"] ?? DEFAULT_DAEMON).split(",").map(daemon => daemon.trim());
 
-/** `--daemon` may be given several times; the first daemon that answers is used. */
+/** `--daemon` may be repeated; the first daemon that responds is used. */
 export const commonArgs = {
     daemons: multioption({
         type: array(string),
--- a/src/cli/diffcommand.ts
+++ b/src/cli/diffcommand.ts
@@ -1,11 +1,11 @@
-/** `winglock diff`. */
+/** Implements `winglock diff`. */
 import { command, positional, string } from "cmd-ts";
 import { commonArgs } from "./commonargs.js";
 import { makeChange } from "./makechange.js";
 import { OperatorClient } from "./operatorclient.js";
 import { readFileChange } from "./readfilechange.js";
 
-/** Prints what `apply` would change. */
+/** Prints what `winglock apply` would change. */
 export const diffCommand = command({
     name: "diff",
     description: "Prints what applying a JSON file would change. Example: winglock diff mesh.json",
--- a/src/cli/evacuatecommand.ts
+++ b/src/cli/evacuatecommand.ts
@@ -1,14 +1,16 @@
-/** `winglock evacuate` and `winglock readmit`. */
+/** Implements `winglock evacuate` and `winglock readmit`. */
 import { command, positional, string } from "cmd-ts";
 import { changeArgs } from "./changeargs.js";
 import { commonArgs } from "./commonargs.js";
 import { makeChange } from "./makechange.js";
 import { OperatorClient } from "./operatorclient.js";
 
-/** Keeps new work from all upstreams of a data hall, or takes that back. */
+/** Stops new requests to all upstreams of a data hall, or ends the evacuation. */
 export function evacuateCommand(evacuated: boolean): ReturnType<typeof command> {
     const name = evacuated ? "evacuate" : "readmit";
-    const summary = evacuated ? "Sends nothing new to the upstreams of a data hall" : "Takes an evacuation back";
+    const summary = evacuated
+        ? "Stops new requests to the upstreams of a data hall"
+        : "Ends the evacuation of a data hall";
     return command({
         name,
         description: `${summary}. Example: winglock ${name} praha-a`,
--- a/src/cli/exitcode.ts
+++ b/src/cli/exitcode.ts
@@ -1,6 +1,6 @@
-/** What the command's exit tells a script. */
+/** Defines the exit codes of `winglock`. */
 
-/** Also in `winglock --help` and docs/OPERATIONS.md. */
+/** Documented in `winglock --help` and docs/OPERATIONS.md. */
 export const exitCode = {
     done: 0,
     failed: 1,
--- a/src/cli/explaincommand.ts
+++ b/src/cli/explaincommand.ts
@@ -1,4 +1,4 @@
-/** `winglock explain`. */
+/** Implements `winglock explain`. */
 import { command, positional, string } from "cmd-ts";
 import type { ExplainRequestResponse } from "../gen/winglock/operator/v1/operator_pb.js";
 import { nameOf } from "../operator/nameof.js";
@@ -11,7 +11,7 @@
 import { output } from "./output.js";
 import { table } from "./table.js";
 
-const toText = (res: ExplainRequestResponse): string => {
+const formatExplanation = (res: ExplainRequestResponse): string => {
     const rows = res.candidates.map(candidate => [
         candidate.upstream,
         candidate.eligible ? "yes" : `no: ${candidate.reason}`,
@@ -28,11 +28,11 @@
     ].join("\n");
 };
 
-/** Tells what the daemon would do with a request. */
+/** Shows how the daemon would handle a request, without sending it. */
 export const explainCommand = command({
     name: "explain",
     description:
-        "Tells rule, class, kind and upstreams of a request. Example: winglock explain POST http://behoun/fees",
+        "Shows the rule, class, kind and upstreams of a request. Example: winglock explain POST http://behoun/fees",
     args: {
         method: positional({ type: string, displayName: "method" }),
         url: positional({ type: string, displayName: "url" }),
@@ -43,6 +43,6 @@
         if (res.rule === "") {
             throw new CliError(exitCode.notFound, `no rule matches ${method} ${url}; it would be refused with 404`);
         }
-        output(json, res, toText(res));
+        output(json, res, formatExplanation(res));
     },
 });
--- a/src/cli/exportcommand.ts
+++ b/src/cli/exportcommand.ts
@@ -1,4 +1,4 @@
-/** `winglock export`. */
+/** Implements `winglock export`. */
 import { command } from "cmd-ts";
 import { commonArgs } from "./commonargs.js";
 import { getConfiguration } from "./getconfiguration.js";
@@ -8,7 +8,7 @@
 import { ServiceResource } from "./serviceresource.js";
 import { UpstreamResource } from "./upstreamresource.js";
 
-/** Prints the configuration as `apply` reads it. */
+/** Prints the configuration in the format that `winglock apply` reads. */
 export const exportCommand = command({
     name: "export",
     description: "Prints the whole configuration, to edit and apply. Example: winglock export > mesh.json",
--- a/src/cli/halltable.ts
+++ b/src/cli/halltable.ts
@@ -1,4 +1,4 @@
-/** The status of many upstreams, by hall and service. */
+/** Formats the status of many upstreams as a table by hall and service. */
 import type { GetStatusResponse, UpstreamStatus } from "../gen/winglock/operator/v1/operator_pb.js";
 import { table } from "./table.js";
 
@@ -40,22 +40,27 @@
     ];
 };
 
-/** Who watches, and who knows fewer daemons than others do: 0 where the configuration names the upstreams. */
-const membershipLines = (upstreams: readonly UpstreamStatus[]): string[] => {
+/**
+ * Returns the lines that name the hosts that watch the store and the hosts that know fewer daemons than others. The
+ * number of known daemons is 0 where the configuration names the upstreams.
+ */
+const storeAndMemberLines = (upstreams: readonly UpstreamStatus[]): string[] => {
     const halls = [...new Set(upstreams.map(line => line.hall))].sort();
-    const hosts = (lines: readonly UpstreamStatus[]): string => [...new Set(lines.map(line => line.host))].join(", ");
+    const hostsOf = (lines: readonly UpstreamStatus[]): string => [...new Set(lines.map(line => line.host))].join(", ");
     const watchers = halls.map(hall => {
         const watching = upstreams.filter(line => line.hall === hall && line.watchesStore);
-        return `hall ${hall}: the store is watched by ${watching.length > 0 ? hosts(watching) : "none that serves"}`;
+        return `hall ${hall}: the store is watched by ${
+            watching.length > 0 ? hostsOf(watching) : "no host with an upstream"
+        }`;
     });
     const maxMembers = Math.max(...upstreams.map(line => line.members));
     const incomplete = upstreams.filter(line => line.state !== "silent" && line.members < maxMembers);
     return incomplete.length === 0
         ? watchers
-        : [...watchers, `fewer daemons than ${maxMembers} are known to ${hosts(incomplete)}`];
+        : [...watchers, `fewer daemons than ${maxMembers} are known to ${hostsOf(incomplete)}`];
 };
 
-/** A line for each service in each hall, who watches the store, who knows less than others. */
+/** Returns a row for each service in each hall, and the lines on store watchers and incomplete member lists. */
 export function hallTable({ upstreams, revision }: GetStatusResponse): string {
     const groups = new Map<string, UpstreamStatus[]>();
     upstreams.forEach(line => {
@@ -63,5 +68,5 @@
         groups.set(key, [...groups.get(key) ?? [], line]);
     });
     const sorted = [...groups].sort(([a], [b]) => a < b ? -1 : 1).map(([, lines]) => groupRow(lines, revision));
-    return [table(headers, sorted), ...membershipLines(upstreams)].join("\n");
+    return [table(headers, sorted), ...storeAndMemberLines(upstreams)].join("\n");
 }
--- a/src/cli/makechange.ts
+++ b/src/cli/makechange.ts
@@ -1,4 +1,4 @@
-/** Makes a change and tells what became of it. */
+/** Makes a change through a daemon and prints its outcome. */
 import { create, type MessageInitShape } from "@bufbuild/protobuf";
 import { randomUUID } from "node:crypto";
 import {
@@ -12,7 +12,7 @@
 import type { OperatorClient } from "./operatorclient.js";
 import { output } from "./output.js";
 
-/** What the flags say of the change. */
+/** `base` is the revision that the change is based on. */
 type ChangeFlags = {
     readonly json: boolean;
     readonly dryRun: boolean;
@@ -22,7 +22,7 @@
 
 type Outcome = { readonly text: string; readonly code: number; };
 
-const issueLines = (res: ApplyChangesResponse): string =>
+const formatIssues = (res: ApplyChangesResponse): string =>
     res.issues.map(issue => `${issue.path || "(top)"}: ${issue.message}`).join("\n");
 
 const describeOutcome = (res: ApplyChangesResponse, id: string): Outcome => {
@@ -42,15 +42,15 @@
             };
         }
         case ChangeOutcome.INVALID:
-            return { text: `invalid:\n${issueLines(res)}`, code: exitCode.invalid };
+            return { text: `invalid:\n${formatIssues(res)}`, code: exitCode.invalid };
         case ChangeOutcome.NOT_APPLIED:
-            return { text: `not applied:\n${issueLines(res)}`, code: exitCode.failed };
+            return { text: `not applied:\n${formatIssues(res)}`, code: exitCode.failed };
         default:
-            return { text: `unknown: ask again with --change-id ${id}\n${issueLines(res)}`, code: exitCode.unknown };
+            return { text: `unknown: retry with --change-id ${id}\n${formatIssues(res)}`, code: exitCode.unknown };
     }
 };
 
-/** Prints the outcome; throws a CliError when the change was not accepted. */
+/** Prints the outcome; throws a CliError if the change was neither accepted nor a dry run. */
 export async function makeChange(
     client: OperatorClient,
     changes: MessageInitShape<typeof ChangeSchema>[],
--- a/src/cli/operatorclient.ts
+++ b/src/cli/operatorclient.ts
@@ -1,14 +1,14 @@
-/** Calls the first daemon that answers. */
+/** Calls the operator API of the first daemon that responds. */
 import { type Client, Code, ConnectError, createClient } from "@connectrpc/connect";
 import { createConnectTransport } from "@connectrpc/connect-node";
 import { OperatorService } from "../gen/winglock/operator/v1/operator_pb.js";
 import { CliError } from "./clierror.js";
 import { exitCode } from "./exitcode.js";
 
-/** Longer than a change takes that a daemon tries eight times; milliseconds. */
+/** Exceeds the time that a daemon needs for eight attempts at a change. */
 const TIMEOUT_MS = 15_000;
 
-/** Codes after which another daemon may do better; a change carries an id, so asking again is safe. */
+/** Codes after which the call is retried at the next daemon. A retry is safe because each change has an id. */
 const RETRYABLE_CODES: ReadonlySet<Code> = new Set([
     Code.Unavailable,
     Code.DeadlineExceeded,
@@ -17,14 +17,14 @@
     Code.Aborted,
 ]);
 
-type OperatorCall<Answer> = (client: Client<typeof OperatorService>) => Promise<Answer>;
+type OperatorCall<Response> = (client: Client<typeof OperatorService>) => Promise<Response>;
 
-/** Knows the daemons' operator addresses, IP:PORT. */
+/** `daemons` are the operator addresses, IP:PORT, in the order in which they are called. */
 export class OperatorClient {
     constructor(private readonly daemons: readonly string[]) {}
 
-    /** Makes the call; throws a CliError when no daemon answers or the first that does refuses. */
-    async call<Answer>(makeCall: OperatorCall<Answer>): Promise<Answer> {
+    /** Makes the call; throws a CliError if no daemon responds or the first one that responds refuses the call. */
+    async call<Response>(makeCall: OperatorCall<Response>): Promise<Response> {
         const failures: string[] = [];
         for (const daemon of this.daemons) {
             try {
@@ -38,7 +38,7 @@
                 failures.push(`${daemon}: ${failure.rawMessage}`);
             }
         }
-        throw new CliError(exitCode.failed, `No daemon answered.\n${failures.join("\n")}`);
+        throw new CliError(exitCode.failed, `No daemon responded.\n${failures.join("\n")}`);
     }
 
     #client(daemon: string): Client<typeof OperatorService> {
--- a/src/cli/readfilechange.ts
+++ b/src/cli/readfilechange.ts
@@ -1,4 +1,4 @@
-/** Reads a whole configuration from a file. */
+/** Reads a whole configuration from a file for `winglock apply` and `winglock diff`. */
 import { create, type MessageInitShape } from "@bufbuild/protobuf";
 import { readFileSync } from "node:fs";
 import { z } from "zod";
@@ -12,7 +12,7 @@
 import { exitCode } from "./exitcode.js";
 import { RuleResource } from "./ruleresource.js";
 
-/** The file's form: what `winglock export` prints; `revision` is the one that it was based on. */
+/** The format that `winglock export` prints; `revision` is the one that the file was exported from. */
 const ConfigurationFile = z.strictObject({
     revision: z.int().min(0).optional(),
     services: z.array(Service),
@@ -35,7 +35,7 @@
     }
 };
 
-/** The change that replaces everything by the file's content; throws a CliError that names the field. */
+/** Returns the change that replaces the whole configuration; throws a CliError that names the invalid field. */
 export function readFileChange(file: string): FileChange {
     const { revision, services, upstreams, rules } = readFile(file);
     const resource = new RuleResource();
--- a/src/cli/readrequestlog.ts
+++ b/src/cli/readrequestlog.ts
@@ -1,4 +1,4 @@
-/** Picks the lines of one request out of logs. */
+/** Selects the log lines of one request. */
 import { RequestLogLine } from "./requestlogline.js";
 
 const parseLine = (line: string): unknown => {
@@ -6,17 +6,17 @@
         return JSON.parse(line.slice(line.indexOf("{"))) as unknown;
     }
     catch {
-        // Files of logs hold lines of others too: what is no JSON is none of the request's.
+        // Log files may also hold lines of other programs. A line that is not JSON does not belong to the request.
         return undefined;
     }
 };
 
-/** In the order of their times; a prefix of a line before its JSON, such as a host's name, is ignored. */
+/** Returns the request's lines in order of time. Text before a line's JSON, such as a host name, is ignored. */
 export function readRequestLog(text: string, id: string): RequestLogLine[] {
     return text.split("\n")
         .filter(line => line.includes(id))
         .map(line => RequestLogLine.safeParse(parseLine(line)).data)
         .filter(line => line?.id === id)
         .map(line => line!)
-        .sort((one, other) => one.time - other.time);
+        .sort((a, b) => a.time - b.time);
 }
--- a/src/cli/requestlogline.ts
+++ b/src/cli/requestlogline.ts
@@ -1,4 +1,4 @@
-/** A log line, as far as the story of a request needs it. */
+/** Defines the fields of a request's log line that `winglock why` uses. */
 import { z } from "zod";
 
 const RequestLogLine = z.looseObject({
@@ -10,5 +10,5 @@
 });
 type RequestLogLine = z.infer<typeof RequestLogLine>;
 
-/** `time` is the time of day in milliseconds; the rest of the fields is what the decision rests on. */
+/** `time` is in milliseconds since the epoch. The other fields are the inputs of the logged decision. */
 export { RequestLogLine };
--- a/src/cli/resourcecommands.ts
+++ b/src/cli/resourcecommands.ts
@@ -1,4 +1,4 @@
-/** create, list, show, update and delete of one noun. */
+/** Implements the subcommands create, list, show, update and delete for a type of resource. */
 import { command, positional, string, subcommands } from "cmd-ts";
 import type { Configuration } from "../gen/winglock/operator/v1/operator_pb.js";
 import { changeArgs } from "./changeargs.js";
@@ -35,7 +35,7 @@
 
 const toCell = (value: unknown): string => Array.isArray(value) ? value.join(",") : String(value ?? "");
 
-/** The subcommand tree of one noun. */
+/** Returns the subcommands for a type of resource. */
 export function resourceCommands(resource: Resource): ReturnType<typeof subcommands> {
     const name = positional({ type: string, displayName: "name" });
     const create = command({
@@ -54,7 +54,7 @@
     });
     const update = command({
         name: "update",
-        description: `Changes fields of a ${resource.name}; a conflict if another change comes between.`,
+        description: `Changes fields of a ${resource.name}; a conflict if another change is made in the meantime.`,
         args: { name, ...resource.flags, ...changeArgs, ...commonArgs },
         handler: async values => {
             const client = new OperatorClient(values.daemons);
--- a/src/cli/ruleresource.ts
+++ b/src/cli/ruleresource.ts
@@ -1,4 +1,4 @@
-/** `winglock rule`. */
+/** Defines the resource type of `winglock rule`. */
 import type { MessageInitShape } from "@bufbuild/protobuf";
 import { array, multioption, number, oneOf, option, optional, string } from "cmd-ts";
 import { AnswerMode } from "../config/answermode.js";
@@ -14,7 +14,7 @@
 
 type RuleItem = { name: string; kind?: Kind; priority?: Priority; answer?: AnswerMode; };
 
-/** How the requests that it matches are handled. */
+/** Rules, which define how the requests that they match are handled. */
 export class RuleResource extends Resource {
     readonly name = "rule";
     readonly columns = [
@@ -31,17 +31,37 @@
     readonly example = "winglock rule create pay-fee --path-prefix /fees --methods POST --service entries --kind once";
     readonly flags = {
         host: option({ type: optional(string), long: "host", description: "The host name; empty matches all." }),
-        pathPrefix: option({ type: optional(string), long: "path-prefix", description: "The start of the path." }),
+        pathPrefix: option({ type: optional(string), long: "path-prefix", description: "The prefix of the path." }),
         methods: multioption({ type: array(string), long: "methods", description: "A method; may be repeated." }),
-        service: option({ type: optional(string), long: "service", description: "The service that serves it." }),
-        priority: option({ type: optional(oneOf(Priority.options)), long: "priority", description: "The class." }),
-        tenant: option({ type: optional(string), long: "tenant", description: "On whose account." }),
-        kind: option({ type: optional(oneOf(Kind.options)), long: "kind", description: "May it run again?" }),
-        timeLimitMs: option({ type: optional(number), long: "time-limit-ms", description: "Time for the whole." }),
+        service: option({
+            type: optional(string),
+            long: "service",
+            description: "The service that the requests are sent to.",
+        }),
+        priority: option({
+            type: optional(oneOf(Priority.options)),
+            long: "priority",
+            description: "The priority class.",
+        }),
+        tenant: option({
+            type: optional(string),
+            long: "tenant",
+            description: "The team that the requests belong to.",
+        }),
+        kind: option({
+            type: optional(oneOf(Kind.options)),
+            long: "kind",
+            description: "Whether a request may run again.",
+        }),
+        timeLimitMs: option({
+            type: optional(number),
+            long: "time-limit-ms",
+            description: "Time limit of a request, in ms.",
+        }),
         answer: option({
             type: optional(oneOf(AnswerMode.options)),
             long: "answer",
-            description: "Whole or streamed.",
+            description: "How the response is sent.",
         }),
     };
 
--- a/src/cli/statustable.test.ts
+++ b/src/cli/statustable.test.ts
@@ -11,7 +11,7 @@
 
 const REVISION = 7n;
 
-/** An upstream on a host of its own; halls and services by turns. */
+/** Returns the status of an upstream on its own host; consecutive upstreams alternate between halls and services. */
 const statusOf = (index: number): UpstreamStatus =>
     create(UpstreamStatusSchema, {
         upstream: `i-${index}`,
@@ -32,7 +32,7 @@
     return create(GetStatusResponseSchema, { revision: REVISION, fresh: true, upstreams });
 };
 
-test("status table: of many upstreams a line for each service in each hall, and who watches", () => {
+test("status table: many upstreams are grouped by hall and service, and the store watchers are listed", () => {
     const lines = statusTable(responseOf(195)).split("\n");
     assert.equal(lines.length, 1 + 1 + 10 + 5);
     assert.match(lines[0]!, /^revision 7, confirmed by the store$/);
@@ -44,7 +44,7 @@
     assert.equal(lines.at(-5), "hall hall-0: the store is watched by h0, h5");
 });
 
-test("status table: of many, those that need a look are listed, and who knows fewer daemons", () => {
+test("status table: upstreams that are silent or behind are listed, and hosts that know fewer daemons", () => {
     const text = statusTable(responseOf(195, lines => {
         lines[20]!.state = "silent";
         lines[21]!.revision = 6n;
@@ -58,12 +58,12 @@
     assert.doesNotMatch(text, /^i-23 /m);
 });
 
-test("status table: few are listed each, and many where all are asked for", () => {
+test("status table: each upstream is listed if there are few, or if all are requested", () => {
     assert.equal(statusTable(responseOf(13)).split("\n").length, 2 + 13);
     assert.equal(statusTable(responseOf(195), true).split("\n").length, 2 + 195);
 });
 
-test("status table: evacuated halls are named, and their upstreams and cold ones told apart", () => {
+test("status table: evacuated halls are named, and evacuated and cold upstreams are counted separately", () => {
     const status = responseOf(195, lines => {
         lines.filter(line => line.hall === "hall-2").forEach(line => line.state = "evacuated");
         lines[20]!.state = "cold";
@@ -76,7 +76,7 @@
     assert.match(text, /^i-20 +splits +hall-0 +cold /m);
 });
 
-test("status table: what an upstream takes a second is shown while it states a limit", () => {
+test("status table: an upstream's stated rate limit is shown", () => {
     const text = statusTable(responseOf(195, lines => {
         lines[20]!.state = "limited";
         lines[20]!.limitPerSecond = 7.8;
--- a/src/cli/statustable.ts
+++ b/src/cli/statustable.ts
@@ -1,4 +1,4 @@
-/** The status as a table. */
+/** Formats the status as a table. */
 import type { GetStatusResponse, UpstreamStatus } from "../gen/winglock/operator/v1/operator_pb.js";
 import { hallTable } from "./halltable.js";
 import { table } from "./table.js";
@@ -16,12 +16,12 @@
     "refused",
 ];
 
-/** More lines than a screen holds: a table by hall and service is read instead, and then the lines that need a look. */
+/** About what fits on a screen. With more upstreams the table is grouped by hall and service. */
 const MAX_UPSTREAM_ROWS = 40;
 
 /**
- * A line on the configuration, then one for each upstream. Of many, unless `all` are asked for, a line for each service in each hall, and
- * one for each upstream that is not up or is behind.
+ * Returns a line on the configuration and a row for each upstream. If there are many upstreams and `all` is false,
+ * returns a row for each service in each hall, and one for each upstream that is not up or has an older revision.
  */
 export function statusTable(status: GetStatusResponse, all = false): string {
     const isGrouped = !all && status.upstreams.length > MAX_UPSTREAM_ROWS;
--- a/src/cli/table.ts
+++ b/src/cli/table.ts
@@ -1,8 +1,8 @@
-/** Tables for people. */
+/** Formats tables for the terminal. */
 
 const GAP = "  ";
 
-/** Aligns the rows under the heads; without rows, only the heads. */
+/** Returns the rows aligned under the headers, or only the headers if there are no rows. */
 export function table(headers: readonly string[], rows: readonly (readonly string[])[]): string {
     const lines = [headers.map(head => head.toUpperCase()), ...rows];
     const widths = headers.map((_, index) => Math.max(...lines.map(line => line[index]!.length)));
--- a/src/cli/watchcommand.ts
+++ b/src/cli/watchcommand.ts
@@ -1,4 +1,4 @@
-/** `winglock watch`. */
+/** Implements `winglock watch`. */
 import { command, number, option } from "cmd-ts";
 import { setTimeout } from "node:timers/promises";
 import { commonArgs } from "./commonargs.js";
@@ -6,16 +6,15 @@
 import { output } from "./output.js";
 import { statusTable } from "./statustable.js";
 
-/** Milliseconds. */
 const MS_PER_SECOND = 1000;
 
-/** Shows the status again and again. */
+/** Shows the status repeatedly. */
 export const watchCommand = command({
     name: "watch",
-    description: "Shows the status again and again. Example: winglock watch --every 2 --count 10",
+    description: "Shows the status repeatedly. Example: winglock watch --every 2 --count 10",
     args: {
-        every: option({ type: number, long: "every", defaultValue: () => 1, description: "Seconds between." }),
-        count: option({ type: number, long: "count", defaultValue: () => Infinity, description: "How often." }),
+        every: option({ type: number, long: "every", defaultValue: () => 1, description: "Seconds between outputs." }),
+        count: option({ type: number, long: "count", defaultValue: () => Infinity, description: "Number of outputs." }),
         ...commonArgs,
     },
     handler: async ({ daemons, json, every, count }) => {
--- a/src/cli/why.test.ts
+++ b/src/cli/why.test.ts
@@ -12,12 +12,12 @@
     `{"id":"r1"}`,
 ].join("\n");
 
-test("why: the lines of one request, of all daemons, in order", () => {
+test("why: the lines of one request from all daemons are returned in order of time", () => {
     assert.deepEqual(readRequestLog(LOG, "r1").map(line => line.time), [1010, 1012, 1020]);
     assert.deepEqual(readRequestLog(LOG, "r2"), []);
 });
 
-test("why: each line says when, who, what and on what grounds", () => {
+test("why: each line shows the time, the part, the message and its other fields", () => {
     assert.deepEqual(formatRequestLog(readRequestLog(LOG, "r1")).split("\n"), [
         "+0 ms     ingress  The request is sent to an upstream. (try x.1, upstream u1)",
         "+2 ms     gate     The gate did not serve the request. (try x.1, outcome not-run, reason slow)",
--- a/src/cli/winglock.ts
+++ b/src/cli/winglock.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The operators' binary. */
+/** Defines `winglock`, the operators' command line. */
 import { run, subcommands } from "cmd-ts";
 import { applyCommand } from "./applycommand.js";
 import { CliError } from "./clierror.js";
@@ -20,8 +20,8 @@
 
 const app = subcommands({
     name: "winglock",
-    description: "Runs winglock's daemons. Exit codes: 0 done, 1 failed or no daemon answers, 2 invalid input,"
-        + " 3 conflict, 4 outcome unknown (ask again with the change id), 5 not found.",
+    description: "Operates winglock's daemons. Exit codes: 0 done, 1 failed or no daemon responds, 2 invalid input,"
+        + " 3 conflict, 4 outcome unknown (retry with the change id), 5 not found.",
     cmds: {
         service: resourceCommands(new ServiceResource()),
         upstream: resourceCommands(new UpstreamResource()),
