--- a/src/cli/ruleresource.ts
+++ b/src/cli/ruleresource.ts
@@ -61,7 +61,7 @@
         answer: option({
             type: optional(oneOf(AnswerMode.options)),
             long: "answer",
-            description: "How the response is sent.",
+            description: "Whole or streamed response.",
         }),
     };
 
