--- a/src/cli/readfilechange.ts
+++ b/src/cli/readfilechange.ts
@@ -1,4 +1,4 @@
-/** Reads a whole configuration from a file. */
+/** Reads a whole configuration from a file for `winglock apply` and `winglock diff`. */
 import { create, type MessageInitShape } from "@bufbuild/protobuf";
 import { readFileSync } from "node:fs";
 import { z } from "zod";
@@ -10,9 +10,9 @@
 import { type ChangeSchema, ConfigurationSchema } from "../gen/winglock/operator/v1/operator_pb.js";
 import { CliError } from "./clierror.js";
 import { exitCode } from "./exitcode.js";
-import { RuleNoun } from "./rulenoun.js";
+import { RuleResource } from "./ruleresource.js";
 
-/** The file's form: what `winglock export` prints; `revision` is the one that it was based on. */
+/** The format that `winglock export` prints; `revision` is the one that the file was exported from. */
 const ConfigurationFile = z.strictObject({
     revision: z.int().min(0).optional(),
     services: z.array(Service),
@@ -25,21 +25,21 @@
     readonly change: MessageInitShape<typeof ChangeSchema>;
 };
 
-const read = (file: string): z.infer<typeof ConfigurationFile> => {
+const readFile = (file: string): z.infer<typeof ConfigurationFile> => {
     try {
         return parse(ConfigurationFile, JSON.parse(readFileSync(file, "utf8")));
     }
     catch (err) {
-        const what = err instanceof ConfigError ? `\n${err.message}` : ` ${(err as Error).message}`;
-        throw new CliError(exitCode.invalid, `${file} can't be used:${what}`);
+        const reason = err instanceof ConfigError ? `\n${err.message}` : ` ${(err as Error).message}`;
+        throw new CliError(exitCode.invalid, `${file} can't be used:${reason}`);
     }
 };
 
-/** The change that replaces everything by the file's content; throws a CliError that names the field. */
+/** Returns the change that replaces the whole configuration; throws a CliError that names the invalid field. */
 export function readFileChange(file: string): FileChange {
-    const { revision, services, upstreams, rules } = read(file);
-    const noun = new RuleNoun();
-    const ruleMessages = rules.map(rule => (noun.put(rule).change as { value: object; }).value);
+    const { revision, services, upstreams, rules } = readFile(file);
+    const resource = new RuleResource();
+    const ruleMessages = rules.map(rule => (resource.put(rule).change as { value: object; }).value);
     const value = create(ConfigurationSchema, { services, upstreams, rules: ruleMessages });
     return { revision, change: { change: { case: "replace", value } } };
 }
