--- a/bench/path.ts
+++ b/bench/path.ts
@@ -7,7 +7,7 @@
 import { timePath } from "../demo/timepath.js";
 import { table } from "../src/cli/table.js";
 import { pathMesh } from "./pathmesh.js";
-import { readUsage } from "./usage.js";
+import { readUsage } from "./readusage.js";
 
 const WARM_ROUNDS = 6;
 const IDLE_MS = 5000;
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -25,7 +25,7 @@
 import { measureSlope } from "./measureslope.js";
 import { pathMesh } from "./pathmesh.js";
 import type { Slope } from "./slope.js";
-import { readUsage } from "./usage.js";
+import { readUsage } from "./readusage.js";
 
 const COUNTS = [10, 50, 200, 660];
 const MICRO = 1000;
--- a/src/policy/model/modelgate.ts
+++ b/src/policy/model/modelgate.ts
@@ -12,10 +12,10 @@
 import { SendRate } from "../rate/sendrate.js";
 import { StatedRateLimiter } from "../rate/statedratelimiter.js";
 import type { EventLoop } from "./eventloop.js";
-import type { ModelEnd } from "./modelend.js";
+import type { ModelEnd } from "./modelresult.js";
 import type { ModelPolicy } from "./modelpolicy.js";
 import type { ModelRequest } from "./modelrequest.js";
-import type { ModelSent } from "./modelsent.js";
+import type { ModelSent } from "./sentrequest.js";
 import type { ModelUpstream } from "./modelupstream.js";
 import type { Scenario } from "./scenario.js";
 
--- a/src/policy/model/modelpolicy.ts
+++ b/src/policy/model/modelpolicy.ts
@@ -1,6 +1,6 @@
 /** Which parts of the policies a model runs with. */
 import type { LimitName } from "../admission/limitname.js";
-import type { CallClass } from "./callclass.js";
+import type { CallClass } from "./callprioritypolicy.js";
 
 /** A part that is switched off, to see what it is worth. */
 export type ModelPolicy = {
--- a/src/policy/model/classofcall.ts
+++ b/src/policy/model/priorityofcall.ts
@@ -1,6 +1,6 @@
 /** In which class does a call wait that a run makes? */
 import { Priority } from "../../config/priority.js";
-import type { CallClass } from "./callclass.js";
+import type { CallClass } from "./callprioritypolicy.js";
 
 /** `own`: of its rule; `caller`: of the request for which it is made. */
 export function classOfCall(calls: CallClass, own: Priority, caller: Priority): Priority {
--- a/src/policy/model/runmodel.ts
+++ b/src/policy/model/runmodel.ts
@@ -5,15 +5,15 @@
  */
 import { medianShare } from "../admission/medianshare.js";
 import type { RandomSource } from "../randomsource.js";
-import { classOfCall } from "./classofcall.js";
+import { classOfCall } from "./priorityofcall.js";
 import type { ClassTally } from "./classtally.js";
 import { EventLoop } from "./eventloop.js";
 import type { ModelClass } from "./modelclass.js";
-import type { ModelEnd } from "./modelend.js";
+import type { ModelEnd } from "./modelresult.js";
 import { ModelGate } from "./modelgate.js";
 import type { ModelHost } from "./modelhost.js";
 import { ModelIngress } from "./modelingress.js";
-import type { ModelSent } from "./modelsent.js";
+import type { ModelSent } from "./sentrequest.js";
 import type { ModelTally } from "./modeltally.js";
 import type { ModelTrouble } from "./modeltrouble.js";
 import { ModelUpstream } from "./modelupstream.js";
