--- a/bench/makedocument.ts
+++ b/bench/makedocument.ts
@@ -2,17 +2,17 @@
 import type { Document } from "../src/config/document.js";
 
 const HALLS = 9;
-const KEPT = 256;
-const PER_SERVICE = 6.67;
+const KEPT_CHANGES = 256;
+const UPSTREAMS_PER_SERVICE = 6.67;
 
 /** `upstreams` instances in services of about seven, two rules a service, nine halls. */
-export function makeDocument(upstreams: number, revision = KEPT): Document {
-    const services = Math.max(1, Math.round(upstreams / PER_SERVICE));
-    const serviceOf = (at: number): string => `service-${at % services}`;
+export function makeDocument(upstreams: number, revision = KEPT_CHANGES): Document {
+    const services = Math.max(1, Math.round(upstreams / UPSTREAMS_PER_SERVICE));
+    const serviceOf = (index: number): string => `service-${index % services}`;
     return {
         revision,
         changes: Array.from(
-            { length: KEPT },
+            { length: KEPT_CHANGES },
             (_, at) => ({ id: `3b241101-e2bb-4255-8caf-${at + 1e11}`, revision: at + 1 }),
         ),
         services: Array.from({ length: services }, (_, at) => ({
--- a/bench/measureslope.ts
+++ b/bench/measureslope.ts
@@ -3,16 +3,16 @@
 
 /** Takes the total at each count, the least of a few tries; the slope is between the ends. */
 export async function measureSlope(
-    what: string,
+    name: string,
     unit: string,
     counts: readonly number[],
     total: (count: number) => number | Promise<number>,
 ): Promise<Slope> {
-    const at: { count: number; total: number; }[] = [];
+    const totals: { count: number; total: number; }[] = [];
     for (const count of counts) {
-        const tries = [await total(count), await total(count), await total(count)];
-        at.push({ count, total: Math.min(...tries) });
+        const runs = [await total(count), await total(count), await total(count)];
+        totals.push({ count, total: Math.min(...runs) });
     }
-    const [first, last] = [at[0]!, at.at(-1)!];
-    return { what, unit, each: (last.total - first.total) / (last.count - first.count), at };
+    const [first, last] = [totals[0]!, totals.at(-1)!];
+    return { name: name, unit, perItem: (last.total - first.total) / (last.count - first.count), totals: totals };
 }
--- a/bench/model.ts
+++ b/bench/model.ts
@@ -49,14 +49,17 @@
 
 /** Of all seeds together. */
 const sumOf = (pick: (tally: ClassTally) => number, name: string): number =>
-    tallies.flatMap(tally => tally.classes).filter(one => one.name === name).reduce((sum, one) => sum + pick(one), 0);
+    tallies.flatMap(tally => tally.classes).filter(tally => tally.name === name).reduce(
+        (sum, one) => sum + pick(one),
+        0,
+    );
 const share = (pick: (tally: ClassTally) => number, name: string): string =>
-    (sumOf(pick, name) / sumOf(one => one.asked, name)).toFixed(DIGITS);
+    (sumOf(pick, name) / sumOf(one => one.requests, name)).toFixed(DIGITS);
 
 const rows = scenario.classes.map(({ name, worth }) => [
     name,
     String(worth),
-    String(sumOf(one => one.asked, name)),
+    String(sumOf(one => one.requests, name)),
     share(one => one.inTime, name),
     share(one => one.late, name),
     share(one => one.refused, name),
--- a/bench/modelsettings.test.ts
+++ b/bench/modelsettings.test.ts
@@ -16,7 +16,7 @@
 test("model settings: flags are read, and a wrong one is named with its value", () => {
     const settings = modelSettings(FLAGS);
     assert.ok(!Array.isArray(settings));
-    assert.equal(settings.policy.remembers, false);
+    assert.equal(settings.policy.keepsKneeShare, false);
     assert.equal(settings.troubles.length, 1);
     const wrong = modelSettings({ ...FLAGS, hosts: "many", policy: "best", load: "0" });
     assert.ok(Array.isArray(wrong));
--- a/bench/modelsettings.ts
+++ b/bench/modelsettings.ts
@@ -8,26 +8,26 @@
 const policies: Readonly<Record<string, ModelPolicy>> = {
     "usual": usualPolicy,
     "no-pace-wait": { ...usualPolicy, waitsForPace: false },
-    "no-memory": { ...usualPolicy, remembers: false },
-    "ramp-limit": { ...usualPolicy, limit: "ramp", remembers: false },
-    "fixed-limit": { ...usualPolicy, limit: "fixed", remembers: false },
-    "no-moves": { ...usualPolicy, moves: false },
-    "calls-inherited": { ...usualPolicy, calls: "inherited" },
-    "calls-raised": { ...usualPolicy, calls: "raised" },
+    "no-memory": { ...usualPolicy, keepsKneeShare: false },
+    "ramp-limit": { ...usualPolicy, limit: "ramp", keepsKneeShare: false },
+    "fixed-limit": { ...usualPolicy, limit: "fixed", keepsKneeShare: false },
+    "no-moves": { ...usualPolicy, redirects: false },
+    "calls-inherited": { ...usualPolicy, callPriority: "inherited" },
+    "calls-raised": { ...usualPolicy, callPriority: "raised" },
 };
 
 /** Troubles by name; times in milliseconds. */
 const troubles: Readonly<Record<string, readonly ModelTrouble[]>> = {
     none: [],
-    burst: [{ type: "burst", at: 8000, forMs: 5000, times: 1.7 }],
-    loss: [{ type: "loss", at: 5000, service: "engine", count: 2 }, {
+    burst: [{ type: "burst", atMs: 8000, durationMs: 5000, loadFactor: 1.7 }],
+    loss: [{ type: "loss", atMs: 5000, service: "engine", count: 2 }, {
         type: "burst",
-        at: 8000,
-        forMs: 5000,
-        times: 1.5,
+        atMs: 8000,
+        durationMs: 5000,
+        loadFactor: 1.5,
     }],
-    evacuate: [{ type: "evacuate", at: 8000, forMs: 8000, hall: 0 }],
-    restart: [{ type: "restart", at: 15_000, downMs: 1300 }],
+    evacuate: [{ type: "evacuate", atMs: 8000, durationMs: 8000, hall: 0 }],
+    restart: [{ type: "restart", atMs: 15_000, downMs: 1300 }],
 };
 
 const oneOf = (names: Readonly<Record<string, unknown>>): z.ZodType<string> =>
--- a/bench/plotseconds.ts
+++ b/bench/plotseconds.ts
@@ -7,7 +7,7 @@
 /** A line from left to right; a second without requests is left out. */
 export function plotSeconds(seconds: ModelTally["seconds"]): string {
     const points = seconds
-        .map(({ asked, inTime }, at) => ({ at, share: asked === 0 ? undefined : inTime / asked }))
+        .map(({ requests, inTime }, second) => ({ at: second, share: requests === 0 ? undefined : inTime / requests }))
         .filter(point => point.share !== undefined)
         .map(({ at, share }) => `${Math.round(at / seconds.length * WIDTH)},${Math.round((1 - share!) * HEIGHT)}`);
     return [
--- a/bench/slope.ts
+++ b/bench/slope.ts
@@ -2,8 +2,8 @@
 
 /** `each` is by the unit, from the smallest and the largest count. */
 export type Slope = {
-    readonly what: string;
+    readonly name: string;
     readonly unit: string;
-    readonly each: number;
-    readonly at: readonly { readonly count: number; readonly total: number; }[];
+    readonly perItem: number;
+    readonly totals: readonly { readonly count: number; readonly total: number; }[];
 };
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -24,41 +24,41 @@
 import { makeViews } from "./makeviews.js";
 import { measureSlope } from "./measureslope.js";
 import { pathMesh } from "./pathmesh.js";
-import type { Slope } from "./slope.js";
 import { readUsage } from "./readusage.js";
+import type { Slope } from "./slope.js";
 
 const COUNTS = [10, 50, 200, 660];
-const MICRO = 1000;
-const HEADER_BYTES = 28;
-const SEAL_BYTES = 8;
-const kept: unknown[] = [];
+const US_PER_MS = 1000;
+const IP_UDP_HEADER_BYTES = 28;
+const SIGNATURE_BYTES = 8;
+const retained: unknown[] = [];
 
-const heap = (): number => {
+const collectedHeapBytes = (): number => {
     globalThis.gc!();
     globalThis.gc!();
     return process.memoryUsage().heapUsed;
 };
 
 /** The heap and what it holds outside, such as sockets' buffers. */
-const allMemory = (): number => heap() + process.memoryUsage().external;
+const memoryBytes = (): number => collectedHeapBytes() + process.memoryUsage().external;
 
-const bytesKept = (make: () => unknown): number => {
-    const before = heap();
-    kept.push(make());
-    const bytes = heap() - before;
-    kept.pop();
+const retainedBytes = (make: () => unknown): number => {
+    const before = collectedHeapBytes();
+    retained.push(make());
+    const bytes = collectedHeapBytes() - before;
+    retained.pop();
     return bytes;
 };
 
-const microseconds = (times: number, act: (at: number) => void): number => {
+const measureMicroseconds = (times: number, run: (at: number) => void): number => {
     for (let at = 0; at < times; at++) {
-        act(at);
+        run(at);
     }
     const startAt = performance.now();
     for (let at = 0; at < times; at++) {
-        act(at);
+        run(at);
     }
-    return (performance.now() - startAt) * MICRO / times;
+    return (performance.now() - startAt) * US_PER_MS / times;
 };
 
 const random = (): number => Math.random();
@@ -68,7 +68,7 @@
     configuration.apply(parse(Document, makeDocument(count)));
     return configuration;
 };
-const changed = (count: number): [Document, Document] => {
+const documentBeforeAndAfter = (count: number): [Document, Document] => {
     const before = makeDocument(count);
     const upstreams = before.upstreams.with(0, { ...before.upstreams[0]!, draining: true });
     const revision = before.revision + 1;
@@ -76,7 +76,7 @@
     return [before, { ...before, revision, changes, upstreams }];
 };
 
-const beat: Message = {
+const heartbeat: Message = {
     type: "beat",
     from: "10.1.0.1:7100" as Address,
     revision: 123456,
@@ -84,7 +84,7 @@
     watching: true,
     leaving: [],
 };
-const load: Message = {
+const loadReport: Message = {
     type: "load",
     from: "10.1.0.1:7100" as Address,
     loads: [{
@@ -92,15 +92,15 @@
         report: { running: 12, waiting: 7, limit: 12, serviceMs: 10.123456, baseMs: 10.123456 },
     }],
 };
-const wireBytes = (message: Message): number => pack(message).length + SEAL_BYTES + HEADER_BYTES;
-const seal = (body: Buffer): Buffer => createHmac("sha256", "key").update(body).digest();
+const wireBytes = (message: Message): number => pack(message).length + SIGNATURE_BYTES + IP_UDP_HEADER_BYTES;
+const sign = (body: Buffer): Buffer => createHmac("sha256", "key").update(body).digest();
 
 const slopes: Slope[] = [
     await measureSlope(
         "document in memory, by upstream",
         "bytes",
         COUNTS,
-        count => bytesKept(() => makeConfiguration(count)),
+        count => retainedBytes(() => makeConfiguration(count)),
     ),
     await measureSlope(
         "document as JSON, by upstream",
@@ -112,11 +112,11 @@
         "patch of one change, by upstream",
         "bytes",
         COUNTS,
-        count => JSON.stringify(makePatch(...changed(count))).length,
+        count => JSON.stringify(makePatch(...documentBeforeAndAfter(count))).length,
     ),
     await measureSlope("taking in a revision, by upstream", "us", COUNTS, count =>
-        microseconds(20, () => {
-            const [before, after] = changed(count);
+        measureMicroseconds(20, () => {
+            const [before, after] = documentBeforeAndAfter(count);
             parse(Document, after);
             makePatch(before, after);
             rank(hallMembers(after.upstreams, hall), hall);
@@ -124,21 +124,21 @@
     await measureSlope("finding a rule, by upstream (0.3 rules each)", "us", COUNTS, count => {
         const document = makeDocument(count);
         const target = { method: "GET", host: "any", path: "/service-0/get/1?x" };
-        return microseconds(2000, () => matchRequest(document, target, true, 0));
+        return measureMicroseconds(2000, () => matchRequest(document, target, true, 0));
     }),
     await measureSlope(
         "view of an upstream in memory, no connection",
         "bytes",
         COUNTS,
-        count => bytesKept(() => makeViews(count, hall)),
+        count => retainedBytes(() => makeViews(count, hall)),
     ),
     await measureSlope("placing a request, by candidate", "us", [4, 7, 50, 200], count => {
         const views = makeViews(count, hall);
         const placement = new ExpectedTime();
-        return microseconds(2000, at => placement.choose(views, at / 10, random));
+        return measureMicroseconds(2000, at => placement.choose(views, at / 10, random));
     }),
     await measureSlope("ledger entry", "bytes", [1000, 5000, 50_000], count =>
-        bytesKept(() => {
+        retainedBytes(() => {
             const ledger = new Ledger(count);
             for (let at = 0; at < count; at++) {
                 ledger.admit(`AbCdEfGhIjKl.${at}` as RequestId, 1e9, 0);
@@ -149,19 +149,19 @@
         "heartbeat sent",
         "us",
         [1000, 10_000],
-        count => count * microseconds(count, () => seal(pack(beat))),
+        count => count * measureMicroseconds(count, () => sign(pack(heartbeat))),
     ),
     await measureSlope("heartbeat received", "us", [1000, 10_000], count => {
-        const body = pack(beat);
-        return count * microseconds(count, () => {
-            seal(body);
+        const body = pack(heartbeat);
+        return count * measureMicroseconds(count, () => {
+            sign(body);
             Message.safeParse(unpack(body));
         });
     }),
     await measureSlope("load report received", "us", [1000, 10_000], count => {
-        const body = pack(load);
-        return count * microseconds(count, () => {
-            seal(body);
+        const body = pack(loadReport);
+        return count * measureMicroseconds(count, () => {
+            sign(body);
             Message.safeParse(unpack(body));
         });
     }),
@@ -184,14 +184,14 @@
         await new Promise(resolve => setTimeout(resolve, idleMs));
         const idle = pids.map((pid, at) => (readUsage(pid).cpuMs - start[at]!) / idleMs);
         const before = pids.map(pid => readUsage(pid).cpuMs);
-        const beganAt = performance.now();
+        const startedAt = performance.now();
         let requests = 0;
         for (let round = 0; round < 8; round++) {
             requests += (await timePath(neighbour.ingress, "/target")).length;
         }
-        const elapsedMs = performance.now() - beganAt;
-        const used = pids.map((pid, at) => readUsage(pid).cpuMs - before[at]! - idle[at]! * elapsedMs);
-        const [ingressUs, gateUs] = used.map(ms => ms * MICRO / requests);
+        const elapsedMs = performance.now() - startedAt;
+        const usedMs = pids.map((pid, at) => readUsage(pid).cpuMs - before[at]! - idle[at]! * elapsedMs);
+        const [ingressUs, gateUs] = usedMs.map(ms => ms * US_PER_MS / requests);
         return {
             ingressUs: ingressUs!,
             gateUs: gateUs!,
@@ -213,29 +213,31 @@
 await server.ready();
 slopes.push(
     await measureSlope("connection held open", "bytes", [10, 50, 200, 660], async count => {
-        const before = allMemory();
+        const before = memoryBytes();
         const pools = Array.from({ length: count }, () => new Pool("http://127.0.0.1:7999"));
         await Promise.all(
             pools.map(async pool => (await pool.request({ method: "GET", path: "/health" })).body.dump()),
         );
-        const bytes = allMemory() - before;
+        const bytes = memoryBytes() - before;
         await Promise.all(pools.map(pool => pool.destroy()));
         return bytes;
     }),
 );
 await server.end("SIGKILL");
 const roles = await measureRoles();
-const rows = slopes.map(({ what, unit, each, at }) => [
+const rows = slopes.map(({ name: what, unit, perItem: each, totals: at }) => [
     what,
     `${each.toFixed(each < 10 ? 4 : 0)} ${unit}`,
     at.map(({ count, total }) => `${count}: ${total.toFixed(total < 10 ? 2 : 0)}`).join("  "),
 ]);
 console.log(table(["what", "each", "totals"], rows));
-console.log(`bytes on the wire: beat ${wireBytes(beat)}, load report ${wireBytes(load)}`);
+console.log(`bytes on the wire: beat ${wireBytes(heartbeat)}, load report ${wireBytes(loadReport)}`);
 console.log(JSON.stringify({
-    slopes: Object.fromEntries(slopes.map(({ what, unit, each }) => [what, `${each.toFixed(3)} ${unit}`])),
-    beatBytes: wireBytes(beat),
-    loadBytes: wireBytes(load),
+    slopes: Object.fromEntries(
+        slopes.map(({ name: what, unit, perItem: each }) => [what, `${each.toFixed(3)} ${unit}`]),
+    ),
+    beatBytes: wireBytes(heartbeat),
+    loadBytes: wireBytes(loadReport),
     ...roles,
 }));
 process.exit(0);
--- a/src/policy/model/classtally.ts
+++ b/src/policy/model/classtally.ts
@@ -4,7 +4,7 @@
 export type ClassTally = {
     readonly name: string;
     readonly worth: number;
-    asked: number;
+    requests: number;
     inTime: number;
     late: number;
     refused: number;
--- a/src/policy/model/eventloop.ts
+++ b/src/policy/model/eventloop.ts
@@ -1,6 +1,6 @@
 /** The time of a model: what is to happen, in order. */
 
-type Event = { readonly at: number; readonly order: number; readonly run: () => void; isCancelled: boolean; };
+type Event = { readonly dueAt: number; readonly order: number; readonly run: () => void; isCancelled: boolean; };
 
 /** Milliseconds; events of the same time run in the order in which they were planned. */
 export class EventLoop {
@@ -13,8 +13,8 @@
     }
 
     /** Plans something; the return value takes it back. */
-    in(afterMs: number, run: () => void): () => void {
-        const event = { at: this.#now + Math.max(0, afterMs), order: this.#order++, run, isCancelled: false };
+    schedule(afterMs: number, run: () => void): () => void {
+        const event = { dueAt: this.#now + Math.max(0, afterMs), order: this.#order++, run, isCancelled: false };
         this.#push(event);
         return () => {
             event.isCancelled = true;
@@ -23,9 +23,9 @@
 
     /** Runs what is planned up to a time. */
     runUntil(end: number): void {
-        for (let next = this.#heap[0]; next !== undefined && next.at <= end; next = this.#heap[0]) {
+        for (let next = this.#heap[0]; next !== undefined && next.dueAt <= end; next = this.#heap[0]) {
             this.#pop();
-            this.#now = next.at;
+            this.#now = next.dueAt;
             if (!next.isCancelled) {
                 next.run();
             }
@@ -35,14 +35,14 @@
 
     #push(event: Event): void {
         const heap = this.#heap;
-        let at = heap.push(event) - 1;
-        while (at > 0) {
-            const parent = (at - 1) >> 1;
-            if (!isBefore(heap[at]!, heap[parent]!)) {
+        let index = heap.push(event) - 1;
+        while (index > 0) {
+            const parent = (index - 1) >> 1;
+            if (!isBefore(heap[index]!, heap[parent]!)) {
                 return;
             }
-            [heap[at], heap[parent]] = [heap[parent]!, heap[at]!];
-            at = parent;
+            [heap[index], heap[parent]] = [heap[parent]!, heap[index]!];
+            index = parent;
         }
     }
 
@@ -53,24 +53,23 @@
             return;
         }
         heap[0] = last;
-        for (let at = 0;;) {
-            const left = 2 * at + 1;
+        for (let index = 0;;) {
+            const left = 2 * index + 1;
             const right = left + 1;
-            let least = at;
+            let least = index;
             if (left < heap.length && isBefore(heap[left]!, heap[least]!)) {
                 least = left;
             }
             if (right < heap.length && isBefore(heap[right]!, heap[least]!)) {
                 least = right;
             }
-            if (least === at) {
+            if (least === index) {
                 return;
             }
-            [heap[at], heap[least]] = [heap[least]!, heap[at]!];
-            at = least;
+            [heap[index], heap[least]] = [heap[least]!, heap[index]!];
+            index = least;
         }
     }
 }
 
-const isBefore = (one: Event, other: Event): boolean =>
-    one.at < other.at || (one.at === other.at && one.order < other.order);
+const isBefore = (a: Event, b: Event): boolean => a.dueAt < b.dueAt || (a.dueAt === b.dueAt && a.order < b.order);
--- a/src/policy/model/fullupstream.ts
+++ b/src/policy/model/fullupstream.ts
@@ -27,9 +27,9 @@
 type Job = {
     leftMs: number;
     readonly workMs: number;
-    readonly begun: Float64Array;
+    readonly startReading: Float64Array;
     readonly pace: number;
-    readonly slower: number;
+    readonly slowdown: number;
 };
 
 /** Kept full from the first request on. */
@@ -49,62 +49,68 @@
     }
 
     /** Runs for a while; the work that was done, in milliseconds of work at the usual speed. */
-    run(forMs: number): number {
-        let doneMs = 0;
-        for (const end = this.#now + forMs; this.#now < end; this.#now += 1) {
-            this.#redraw();
-            this.#fill();
-            doneMs += this.#work();
+    run(durationMs: number): number {
+        let finishedWorkMs = 0;
+        for (const end = this.#now + durationMs; this.#now < end; this.#now += 1) {
+            this.#updateNoise();
+            this.#startJobs();
+            finishedWorkMs += this.#advanceJobs();
         }
-        return doneMs;
+        return finishedWorkMs;
     }
 
     /** What the upstream says of its pace: noise and cold, and nothing of how full it is. */
-    #reported(): number {
+    #reportedPace(): number {
         const { coldMs, coldTimes } = this.shape;
         return this.#pace * (this.#now < coldMs ? coldTimes : 1);
     }
 
-    #redraw(): void {
+    #updateNoise(): void {
         const { noise } = this.shape;
         if (this.#now % noise.everyMs === 0) {
             this.#pace = this.random() < noise.share ? noise.times : 1;
         }
     }
 
-    #fill(): void {
+    #startJobs(): void {
         while (this.#jobs.length < this.limit.current()) {
             const workMs = this.shape.workMs * lognormal(this.random);
-            const pace = this.#reported();
-            const slower = pace * this.#fullness(this.#jobs.length + 1);
-            this.#jobs.push({ leftMs: workMs, workMs, begun: this.#clock.read(this.#now), pace, slower });
+            const pace = this.#reportedPace();
+            const slowdown = pace * this.#kneeSlowdown(this.#jobs.length + 1);
+            this.#jobs.push({
+                leftMs: workMs,
+                workMs,
+                startReading: this.#clock.read(this.#now),
+                pace,
+                slowdown: slowdown,
+            });
             this.#clock.setRunning(this.#jobs.length, this.#now);
         }
     }
 
-    #fullness(running: number): number {
+    #kneeSlowdown(running: number): number {
         const { slots, knee, kneeTimes } = this.shape;
         return running > knee * slots ? kneeTimes : 1;
     }
 
     /** A millisecond of work at each job. */
-    #work(): number {
+    #advanceJobs(): number {
         const { workMs, isSetAtStart } = this.shape;
-        const slower = this.#reported() * this.#fullness(this.#jobs.length);
-        const ended: Job[] = [];
+        const slowdown = this.#reportedPace() * this.#kneeSlowdown(this.#jobs.length);
+        const finishedJobs: Job[] = [];
         for (const job of this.#jobs) {
-            job.leftMs -= 1 / (isSetAtStart ? job.slower : slower);
+            job.leftMs -= 1 / (isSetAtStart ? job.slowdown : slowdown);
             if (job.leftMs <= 0) {
-                ended.push(job);
+                finishedJobs.push(job);
             }
         }
         this.#jobs = this.#jobs.filter(job => job.leftMs > 0);
-        for (const job of ended) {
+        for (const job of finishedJobs) {
             this.finished += 1;
             const now = this.#clock.read(this.#now + 1);
-            this.limit.observe(now.map((spentMs, level) => (spentMs - job.begun[level]!) / (workMs * job.pace)));
+            this.limit.observe(now.map((spentMs, level) => (spentMs - job.startReading[level]!) / (workMs * job.pace)));
             this.#clock.setRunning(this.#jobs.length, this.#now + 1);
         }
-        return ended.reduce((sum, job) => sum + job.workMs, 0);
+        return finishedJobs.reduce((sum, job) => sum + job.workMs, 0);
     }
 }
--- a/src/policy/model/layered.ts
+++ b/src/policy/model/layered.ts
@@ -4,33 +4,33 @@
  * At 13 hosts and load 1 the engine and the pages' service are about half used at their usual pace; its shape (slots, work, noise,
  * a knee at four fifths) is that of a mesh of users whose rush days and restarts winglock was measured on.
  */
-import type { Layered } from "./layeredoptions.js";
+import type { LayeredOptions } from "./layeredoptions.js";
 import type { Scenario } from "./scenario.js";
 
 /** Of so many hosts the services below have six, four and three upstreams; others in proportion. */
-const HOSTS = 13;
-const SLOTS = { slots: 18, knee: 0.8, kneeTimes: 1.7 };
+const REFERENCE_HOSTS = 13;
+const UPSTREAM_SHAPE = { slots: 18, knee: 0.8, kneeSlowdown: 1.7 };
 
 /** The load grows with the hosts. */
-export function layered({ hosts, load, lengthMs, troubles, policy, coldLimits }: Layered): Scenario {
-    const times = hosts / HOSTS * load;
+export function layered({ hosts, load, lengthMs, troubles, policy, coldLimits }: LayeredOptions): Scenario {
+    const loadFactor = hosts / REFERENCE_HOSTS * load;
     return {
         lengthMs,
         services: [
-            { name: "pages", upstreams: Math.max(1, Math.round(hosts * 6 / HOSTS)), ...SLOTS },
-            { name: "engine", upstreams: Math.max(1, Math.round(hosts * 4 / HOSTS)), ...SLOTS },
-            { name: "desk", upstreams: Math.max(1, Math.round(hosts * 3 / HOSTS)), ...SLOTS },
+            { name: "pages", upstreams: Math.max(1, Math.round(hosts * 6 / REFERENCE_HOSTS)), ...UPSTREAM_SHAPE },
+            { name: "engine", upstreams: Math.max(1, Math.round(hosts * 4 / REFERENCE_HOSTS)), ...UPSTREAM_SHAPE },
+            { name: "desk", upstreams: Math.max(1, Math.round(hosts * 3 / REFERENCE_HOSTS)), ...UPSTREAM_SHAPE },
         ],
         classes: [
             {
                 name: "view",
                 service: "pages",
                 priority: "background",
-                perSecond: 145 * times,
+                perSecond: 145 * loadFactor,
                 workMs: 220,
                 targetMs: 600,
                 timeLimitMs: 1200,
-                callerMs: 2500,
+                callerTimeoutMs: 2500,
                 worth: 1,
                 calls: { name: "fetch", share: 0.7 },
             },
@@ -38,11 +38,11 @@
                 name: "work",
                 service: "engine",
                 priority: "normal",
-                perSecond: 50 * times,
+                perSecond: 50 * loadFactor,
                 workMs: 290,
                 targetMs: 800,
                 timeLimitMs: 1500,
-                callerMs: 3000,
+                callerTimeoutMs: 3000,
                 worth: 2,
                 calls: { name: "probe", share: 0.7 },
             },
@@ -50,11 +50,11 @@
                 name: "order",
                 service: "desk",
                 priority: "urgent",
-                perSecond: 34 * times,
+                perSecond: 34 * loadFactor,
                 workMs: 150,
                 targetMs: 400,
                 timeLimitMs: 1000,
-                callerMs: 2000,
+                callerTimeoutMs: 2000,
                 worth: 3,
             },
         ],
@@ -62,8 +62,8 @@
             { name: "fetch", service: "engine", priority: "urgent", workMs: 55, targetMs: 150, timeLimitMs: 600 },
             { name: "probe", service: "desk", priority: "urgent", workMs: 55, targetMs: 150, timeLimitMs: 600 },
         ],
-        noise: { share: 0.25, times: 5, everyMs: 150 },
-        cold: { forMs: 3000, times: 2, ...coldLimits !== undefined && { limits: coldLimits } },
+        noise: { share: 0.25, slowdown: 5, intervalMs: 150 },
+        cold: { durationMs: 3000, slowdown: 2, ...coldLimits !== undefined && { limits: coldLimits } },
         troubles,
         policy,
     };
--- a/src/policy/model/layeredoptions.ts
+++ b/src/policy/model/layeredoptions.ts
@@ -4,7 +4,7 @@
 import type { Scenario } from "./scenario.js";
 
 /** `hosts` share out as 6 to 4 to 3, and the load grows with them. */
-export type Layered = {
+export type LayeredOptions = {
     readonly hosts: number;
     readonly load: number;
     readonly lengthMs: number;
--- a/src/policy/model/lognormal.ts
+++ b/src/policy/model/lognormal.ts
@@ -2,15 +2,15 @@
 import type { RandomSource } from "../randomsource.js";
 
 /** Uniform draws whose sum is nearly normal, with a variance of 1: twelve, by each having a twelfth. */
-const GAUSS_DRAWS = 12;
+const UNIFORM_SAMPLES = 12;
 /** Standard deviation of the logarithm. */
-const SPREAD = 0.3;
+const LOG_STANDARD_DEVIATION = 0.3;
 
 /** A factor, lognormal with the median 1; about normal by the sum of twelve draws. */
 export function lognormal(random: RandomSource): number {
-    let sum = -GAUSS_DRAWS / 2;
-    for (let at = 0; at < GAUSS_DRAWS; at++) {
+    let sum = -UNIFORM_SAMPLES / 2;
+    for (let count = 0; count < UNIFORM_SAMPLES; count++) {
         sum += random();
     }
-    return Math.exp(SPREAD * sum);
+    return Math.exp(LOG_STANDARD_DEVIATION * sum);
 }
--- a/src/policy/model/model.test.ts
+++ b/src/policy/model/model.test.ts
@@ -18,14 +18,14 @@
 import { worthShare } from "./worthshare.js";
 
 const SEEDS = [1, 2, 3];
-const BURST: readonly ModelTrouble[] = [{ type: "burst", at: 8000, forMs: 5000, times: 1.7 }];
-const LOSS: readonly ModelTrouble[] = [{ type: "loss", at: 5000, service: "engine", count: 2 }, {
+const BURST: readonly ModelTrouble[] = [{ type: "burst", atMs: 8000, durationMs: 5000, loadFactor: 1.7 }];
+const LOSS: readonly ModelTrouble[] = [{ type: "loss", atMs: 5000, service: "engine", count: 2 }, {
     type: "burst",
-    at: 8000,
-    forMs: 5000,
-    times: 1.5,
+    atMs: 8000,
+    durationMs: 5000,
+    loadFactor: 1.5,
 }];
-const RESTART: readonly ModelTrouble[] = [{ type: "restart", at: 15_000, downMs: 1300 }];
+const RESTART: readonly ModelTrouble[] = [{ type: "restart", atMs: 15_000, downMs: 1300 }];
 
 const run = (troubles: readonly ModelTrouble[], seed: number, policy: Partial<ModelPolicy>): ModelTally => {
     const all = { ...usualPolicy, ...policy };
@@ -39,7 +39,7 @@
 const inTime = (from: number, to: number, policy: Partial<ModelPolicy> = {}): number => {
     const seconds = SEEDS.flatMap(seed => run(RESTART, seed, policy).seconds.slice(from, to));
     return seconds.reduce((sum, second) => sum + second.inTime, 0)
-        / seconds.reduce((sum, second) => sum + second.asked, 0);
+        / seconds.reduce((sum, second) => sum + second.requests, 0);
 };
 
 test("model: the same seed gives the same figures", () => {
@@ -50,9 +50,9 @@
     const loop = new EventLoop();
     const seen: number[] = [];
     for (const at of [5, 1, 3, 3, 2, 4, 0]) {
-        loop.in(at, () => seen.push(loop.now));
+        loop.schedule(at, () => seen.push(loop.now));
     }
-    loop.in(3, () => seen.push(-1))();
+    loop.schedule(3, () => seen.push(-1))();
     loop.runUntil(4);
     assert.deepEqual(seen, [0, 1, 2, 3, 3, 4]);
 });
@@ -65,24 +65,24 @@
 });
 
 test("model: a limit that finds the knee while it is full is worth something where half of a service is lost", () => {
-    const [with_, without] = [worthOf(LOSS), worthOf(LOSS, { limit: "ramp", remembers: false })];
+    const [with_, without] = [worthOf(LOSS), worthOf(LOSS, { limit: "ramp", keepsKneeShare: false })];
     assert.ok(with_ > without + 0.03, `${with_} ${without}`);
 });
 
 test("model: after a restart of all hosts the mesh is back soon, sooner by what it had learnt before", () => {
     assert.ok(inTime(20, 25) > 0.9, String(inTime(20, 25)));
-    const [with_, without] = [inTime(17, 20), inTime(17, 20, { remembers: false })];
+    const [with_, without] = [inTime(17, 20), inTime(17, 20, { keepsKneeShare: false })];
     assert.ok(with_ > without + 0.08, `${with_} ${without}`);
 });
 
 test("model: calls in the class of their request cost more than they bring", () => {
-    const [own, inherited] = [worthOf(LOSS), worthOf(LOSS, { calls: "inherited" })];
+    const [own, inherited] = [worthOf(LOSS), worthOf(LOSS, { callPriority: "inherited" })];
     assert.ok(own > inherited, `${own} ${inherited}`);
 });
 
 /** Two thirds of the upstreams have room for it all, at this load. */
 const LIGHT = { hosts: 13, load: 0.7, lengthMs: 26_000, policy: usualPolicy };
-const EVACUATE: readonly ModelTrouble[] = [{ type: "evacuate", at: 8000, forMs: 8000, hall: 0 }];
+const EVACUATE: readonly ModelTrouble[] = [{ type: "evacuate", atMs: 8000, durationMs: 8000, hall: 0 }];
 const COLD = { perSecond: 12, overage: 1.5, slack: 2 };
 
 test("model: a hall that is evacuated and comes back cold, where the others have room, costs less than a tenth of what is served in time", () => {
@@ -99,8 +99,8 @@
         const scenario = layered({ ...LIGHT, troubles: RESTART, coldLimits: COLD });
         const { classes } = runModel(scenario, seededRandom(seed));
         const shareOf = (name: string): number => {
-            const { inTime, asked } = classes.find(one => one.name === name)!;
-            return inTime / asked;
+            const { inTime, requests } = classes.find(one => one.name === name)!;
+            return inTime / requests;
         };
         assert.ok(shareOf("order") >= Math.min(shareOf("view"), shareOf("work")), `seed ${seed}`);
     }
--- a/src/policy/model/modelclass.ts
+++ b/src/policy/model/modelclass.ts
@@ -11,7 +11,7 @@
     readonly targetMs: number;
     readonly timeLimitMs: number;
     /** How long a caller waits, its second try among it. */
-    readonly callerMs: number;
+    readonly callerTimeoutMs: number;
     readonly worth: number;
     readonly calls?: { readonly name: string; readonly share: number; };
 };
--- a/src/policy/model/modelgate.ts
+++ b/src/policy/model/modelgate.ts
@@ -12,17 +12,17 @@
 import { SendRate } from "../rate/sendrate.js";
 import { StatedRateLimiter } from "../rate/statedratelimiter.js";
 import type { EventLoop } from "./eventloop.js";
-import type { ModelEnd } from "./modelresult.js";
 import type { ModelPolicy } from "./modelpolicy.js";
 import type { ModelRequest } from "./modelrequest.js";
-import type { ModelSent } from "./sentrequest.js";
+import type { ModelResult } from "./modelresult.js";
 import type { ModelUpstream } from "./modelupstream.js";
 import type { Scenario } from "./scenario.js";
+import type { SentRequest } from "./sentrequest.js";
 
 /** A gate asks for the pace so often while it keeps a slot free. */
-const ASK_EVERY_MS = 20;
+const PACE_PROBE_INTERVAL_MS = 20;
 /** Of a run's work, before it makes its call. */
-const BEFORE_CALL = 0.5;
+const WORK_SHARE_BEFORE_CALL = 0.5;
 
 type GateDependencies = {
     readonly upstream: ModelUpstream;
@@ -30,10 +30,10 @@
     readonly random: RandomSource;
     readonly policy: ModelPolicy;
     /** What was learnt of the service's upstreams, before a restart too. */
-    readonly usualShare: () => number | undefined;
+    readonly serviceKneeShare: () => number | undefined;
     readonly coldLimits: Scenario["cold"]["limits"];
     /** Sends a call that a run makes. */
-    readonly call: (name: string, parent: ModelSent, done: (end: ModelEnd) => void) => void;
+    readonly sendCall: (name: string, parent: SentRequest, done: (end: ModelResult) => void) => void;
 };
 
 /** Lost with all that it holds at a restart. */
@@ -43,23 +43,23 @@
     readonly #levels: LevelClock;
     readonly #admission: Admission<ModelRequest>;
     /** Ends of the requests that are here. */
-    readonly #open = new Set<(end: ModelEnd) => void>();
-    #isGone = false;
-    #isAsking = false;
-    #isWaitingForCold = false;
-    readonly #cold: ColdGuard;
+    readonly #pending = new Set<(stop: ModelResult) => void>();
+    #isStopped = false;
+    #isPaceProbeScheduled = false;
+    #isSendScheduled = false;
+    readonly #coldGuard: ColdGuard;
 
     constructor(private readonly deps: GateDependencies) {
         const { upstream: { slots }, loop, policy, coldLimits } = deps;
-        this.#cold = new ColdGuard(loop.now, coldLimits && { ...coldLimits, startMs: 0 });
+        this.#coldGuard = new ColdGuard(loop.now, coldLimits && { ...coldLimits, startMs: 0 });
         this.#levels = new LevelClock(slots, loop.now);
         const heeded = policy.waitsForPace ? this.#pace : new Pace();
         this.#admission = new Admission(
-            createLimit(policy.limit, slots, deps.usualShare),
+            createLimit(policy.limit, slots, deps.serviceKneeShare),
             this.#times,
             this.#levels,
             heeded,
-            new SendRate(this.#cold, new StatedRateLimiter()),
+            new SendRate(this.#coldGuard, new StatedRateLimiter()),
         );
     }
 
@@ -67,14 +67,14 @@
         return this.#admission.learnedShare;
     }
 
-    get isGone(): boolean {
-        return this.#isGone;
+    get isStopped(): boolean {
+        return this.#isStopped;
     }
 
     /** Cuts off what is here. */
     end(): void {
-        this.#isGone = true;
-        [...this.#open].forEach(done => done({ outcome: "failed" }));
+        this.#isStopped = true;
+        [...this.#pending].forEach(done => done({ outcome: "failed" }));
     }
 
     report(): LoadReport {
@@ -82,20 +82,20 @@
     }
 
     /** `onEnd` is called once. */
-    serve(request: ModelRequest, onEnd: (end: ModelEnd) => void): void {
-        const done = (end: ModelEnd): void => {
-            if (this.#open.delete(done)) {
-                onEnd(end);
+    serve(request: ModelRequest, onResult: (end: ModelResult) => void): void {
+        const done = (end: ModelResult): void => {
+            if (this.#pending.delete(done)) {
+                onResult(end);
             }
         };
-        this.#open.add(done);
+        this.#pending.add(done);
         const { loop, upstream, policy } = this.deps;
         this.#pace.observe(upstream.pace, loop.now);
-        if (policy.moves && request.choices > 0 && this.#pace.isSlow(loop.now)) {
+        if (policy.redirects && request.choices > 0 && this.#pace.isSlow(loop.now)) {
             done({ outcome: "refused", reason: "slow", retryAfterMs: 0 });
             return;
         }
-        this.#askIfCold();
+        this.#probeIfNeeded();
         const verdict = this.#admission.admit(request, loop.now);
         if (verdict.type === "refuse") {
             done({ outcome: "refused", ...verdict.refusal });
@@ -105,70 +105,70 @@
             this.#run(request, done);
             return;
         }
-        this.#wait(request, done);
+        this.#queue(request, done);
     }
 
     /** An answer takes no time here. */
-    #askIfCold(): void {
+    #probeIfNeeded(): void {
         const { loop, upstream } = this.deps;
-        if (this.#cold.shouldProbe(loop.now)) {
-            this.#cold.recordProbe(loop.now);
-            this.#cold.recordProbeResponse(upstream.coldMs, loop.now, loop.now);
+        if (this.#coldGuard.shouldProbe(loop.now)) {
+            this.#coldGuard.recordProbe(loop.now);
+            this.#coldGuard.recordProbeResponse(upstream.coldMs, loop.now, loop.now);
         }
     }
 
-    #wait(request: ModelRequest, done: (end: ModelEnd) => void): void {
+    #queue(request: ModelRequest, done: (end: ModelResult) => void): void {
         const { loop } = this.deps;
         const { afterMs, reason } = waitLimit(request.maxWaitMs, request.deadline - loop.now);
-        const forget = loop.in(afterMs, () => {
-            if (!this.#isGone && this.#admission.remove(request)) {
+        const cancelTimeout = loop.schedule(afterMs, () => {
+            if (!this.#isStopped && this.#admission.remove(request)) {
                 done({ outcome: "refused", reason, retryAfterMs: this.#admission.retryAfterMs(request, loop.now) });
             }
         });
-        request.grant = () => {
-            forget();
+        request.start = () => {
+            cancelTimeout();
             this.#run(request, done);
         };
         request.refuse = end => {
-            forget();
+            cancelTimeout();
             done(end);
         };
-        this.#watchPace();
-        this.#watchCold();
+        this.#schedulePaceProbe();
+        this.#scheduleNextSend();
     }
 
-    #run(request: ModelRequest, done: (end: ModelEnd) => void): void {
-        const { upstream, loop, random, call } = this.deps;
+    #run(request: ModelRequest, done: (end: ModelResult) => void): void {
+        const { upstream, loop, random, sendCall: call } = this.deps;
         const { kind } = request.sent;
         const startedAt = loop.now;
         const work = new WorkTime(this.#levels, startedAt);
         const pace = upstream.pace;
         const workMs = upstream.workMs(kind.workMs, this.#admission.running);
-        const finish = (end: ModelEnd): void => {
-            if (this.#isGone) {
+        const finish = (end: ModelResult): void => {
+            if (this.#isStopped) {
                 return;
             }
             const served = end.outcome === "served" ? loop.now - startedAt : undefined;
             this.#pace.observe(upstream.pace, loop.now);
             this.#admission.recordFinished(served, { rule: request.rule, work: work.read(loop.now), pace }, loop.now);
             done(end);
-            this.#advance();
+            this.#startQueued();
         };
-        const after = (ms: number, then: () => void): void => {
-            const leftMs = request.deadline - loop.now;
-            loop.in(Math.min(ms, leftMs), ms > leftMs ? () => finish({ outcome: "failed" }) : then);
+        const finishWorkAfter = (ms: number, onDone: () => void): void => {
+            const remainingMs = request.deadline - loop.now;
+            loop.schedule(Math.min(ms, remainingMs), ms > remainingMs ? () => finish({ outcome: "failed" }) : onDone);
         };
         if (kind.calls === undefined || random() >= kind.calls.share) {
-            after(workMs, () => finish({ outcome: "served" }));
+            finishWorkAfter(workMs, () => finish({ outcome: "served" }));
             return;
         }
         const { name } = kind.calls;
-        after(workMs * BEFORE_CALL, () => {
+        finishWorkAfter(workMs * WORK_SHARE_BEFORE_CALL, () => {
             work.callBegan(loop.now);
             call(name, request.sent, end => {
                 work.callEnded(loop.now);
                 if (end.outcome === "served") {
-                    after(workMs * (1 - BEFORE_CALL), () => finish(end));
+                    finishWorkAfter(workMs * (1 - WORK_SHARE_BEFORE_CALL), () => finish(end));
                 }
                 else {
                     finish({ outcome: "failed" });
@@ -177,41 +177,41 @@
         });
     }
 
-    #advance(): void {
-        const { run, expired: late } = this.#admission.dequeue(this.deps.loop.now);
-        late.forEach(request => request.refuse({ outcome: "refused", reason: "deadline", retryAfterMs: 0 }));
-        run.forEach(request => request.grant());
-        this.#watchPace();
-        this.#watchCold();
+    #startQueued(): void {
+        const { run: runnable, expired: expired } = this.#admission.dequeue(this.deps.loop.now);
+        expired.forEach(request => request.refuse({ outcome: "refused", reason: "deadline", retryAfterMs: 0 }));
+        runnable.forEach(request => request.start());
+        this.#schedulePaceProbe();
+        this.#scheduleNextSend();
     }
 
-    #watchCold(): void {
+    #scheduleNextSend(): void {
         const { loop } = this.deps;
-        const opensAt = this.#admission.nextSendAt(loop.now);
-        if (this.#isWaitingForCold || opensAt === undefined) {
+        const nextSendAt = this.#admission.nextSendAt(loop.now);
+        if (this.#isSendScheduled || nextSendAt === undefined) {
             return;
         }
-        this.#isWaitingForCold = true;
-        loop.in(Math.max(1, opensAt - loop.now), () => {
-            this.#isWaitingForCold = false;
-            if (!this.#isGone) {
-                this.#askIfCold();
-                this.#advance();
+        this.#isSendScheduled = true;
+        loop.schedule(Math.max(1, nextSendAt - loop.now), () => {
+            this.#isSendScheduled = false;
+            if (!this.#isStopped) {
+                this.#probeIfNeeded();
+                this.#startQueued();
             }
         });
     }
 
-    #watchPace(): void {
+    #schedulePaceProbe(): void {
         const { loop, upstream } = this.deps;
-        if (this.#isAsking || !this.#admission.isWaitingForPace(loop.now)) {
+        if (this.#isPaceProbeScheduled || !this.#admission.isWaitingForPace(loop.now)) {
             return;
         }
-        this.#isAsking = true;
-        loop.in(ASK_EVERY_MS, () => {
-            this.#isAsking = false;
-            if (!this.#isGone) {
+        this.#isPaceProbeScheduled = true;
+        loop.schedule(PACE_PROBE_INTERVAL_MS, () => {
+            this.#isPaceProbeScheduled = false;
+            if (!this.#isStopped) {
                 this.#pace.observe(upstream.pace, loop.now);
-                this.#advance();
+                this.#startQueued();
             }
         });
     }
--- a/src/policy/model/modelhost.ts
+++ b/src/policy/model/modelhost.ts
@@ -6,5 +6,5 @@
 export type ModelHost = ModelTarget & {
     ingress: ModelIngress;
     /** What its record says that its gate has learnt; it outlasts restarts. */
-    told: number | undefined;
+    recordedKneeShare: number | undefined;
 };
--- a/src/policy/model/modelingress.ts
+++ b/src/policy/model/modelingress.ts
@@ -6,22 +6,22 @@
 import type { RandomSource } from "../randomsource.js";
 import { maxRedirects } from "../retry/maxredirects.js";
 import type { EventLoop } from "./eventloop.js";
-import type { ModelEnd } from "./modelresult.js";
 import type { ModelRequest } from "./modelrequest.js";
-import type { ModelSent } from "./sentrequest.js";
+import type { ModelResult } from "./modelresult.js";
 import type { ModelTarget } from "./modeltarget.js";
 import { modelTeam } from "./modelteam.js";
 import { ModelView } from "./modelview.js";
 import { ruleOf } from "./ruleof.js";
+import type { SentRequest } from "./sentrequest.js";
 
 /** Between hosts, one way, in milliseconds. */
-const HOP_MS = 0.5;
+const HOP_LATENCY_MS = 0.5;
 /** As deploy/settings.json sets them. */
 const PLACEMENT = { leaveHallCost: 1.5, ownWeight: 3, loadFadeMs: 50 };
 /** The service's own bound, in milliseconds. */
 const SERVICE_MAX_WAIT_MS = 1000;
 /** Refused by this many gates after its moves, a request is given up. */
-const MAX_REFUSALS = 1;
+const MAX_REFUSALS_RETRIED = 1;
 
 type IngressDependencies = { readonly loop: EventLoop; readonly random: RandomSource; readonly hall: number; };
 
@@ -33,58 +33,63 @@
     constructor(private readonly deps: IngressDependencies) {}
 
     /** `done` is called once. */
-    serve(sent: ModelSent, hosts: readonly ModelTarget[], done: (end: ModelEnd) => void): void {
+    serve(sent: SentRequest, hosts: readonly ModelTarget[], done: (end: ModelResult) => void): void {
         const views = hosts.filter(host => host.service === sent.kind.service).map(host => this.#viewOf(host));
-        this.#try(sent, views, { tried: new Set<ModelView>(), moves: 0, refusals: 0 }, done);
+        this.#attempt(sent, views, { tried: new Set<ModelView>(), redirects: 0, refusals: 0 }, done);
     }
 
-    #try(
-        sent: ModelSent,
+    #attempt(
+        sent: SentRequest,
         views: readonly ModelView[],
-        so: { readonly tried: Set<ModelView>; moves: number; refusals: number; },
-        done: (end: ModelEnd) => void,
+        progress: { readonly tried: Set<ModelView>; redirects: number; refusals: number; },
+        done: (end: ModelResult) => void,
     ): void {
         const { loop, random } = this.deps;
-        const target = this.#placement.choose(selectTargets(views, so.tried, loop.now), loop.now, random) as
+        const target = this.#placement.choose(selectTargets(views, progress.tried, loop.now), loop.now, random) as
             | ModelView
             | undefined;
         if (target === undefined) {
             done({ outcome: "refused", reason: "busy", retryAfterMs: 250 });
             return;
         }
-        so.tried.add(target);
-        const untried = so.moves < maxRedirects ? availableTargets(views, so.tried, loop.now) : [];
-        const request = this.#request(sent, untried);
+        progress.tried.add(target);
+        const untried = progress.redirects < maxRedirects ? availableTargets(views, progress.tried, loop.now) : [];
+        const request = this.#createRequest(sent, untried);
         target.outstanding += 1;
-        const onEnd = (end: ModelEnd): void => {
-            loop.in(HOP_MS, () => {
+        const onResult = (end: ModelResult): void => {
+            loop.schedule(HOP_LATENCY_MS, () => {
                 target.outstanding -= 1;
                 target.recordReport(loop.now);
                 if (end.outcome === "refused" && end.reason === "cold") {
                     target.recordCold(loop.now);
                 }
-                const isMove = end.outcome === "refused" && ["busy", "cold", "slow"].includes(end.reason);
-                const isFull = end.outcome === "refused" && !isMove && end.reason !== "deadline";
-                if (isMove && so.moves <= maxRedirects) {
-                    so.moves += 1;
-                    this.#try(sent, views, so, done);
+                const isRedirect = end.outcome === "refused" && ["busy", "cold", "slow"].includes(end.reason);
+                const isFull = end.outcome === "refused" && !isRedirect && end.reason !== "deadline";
+                if (isRedirect && progress.redirects <= maxRedirects) {
+                    progress.redirects += 1;
+                    this.#attempt(sent, views, progress, done);
                 }
-                else if (isFull && so.refusals < MAX_REFUSALS && untried.length > 0) {
-                    so.refusals += 1;
-                    this.#try(sent, views, so, done);
+                else if (isFull && progress.refusals < MAX_REFUSALS_RETRIED && untried.length > 0) {
+                    progress.refusals += 1;
+                    this.#attempt(sent, views, progress, done);
                 }
                 else {
                     done(end);
                 }
             });
         };
-        loop.in(HOP_MS, () => target.host.gate.serve(request, onEnd));
+        loop.schedule(HOP_LATENCY_MS, () => target.host.gate.serve(request, onResult));
     }
 
-    #request(sent: ModelSent, untried: readonly ModelView[]): ModelRequest {
+    #createRequest(sent: SentRequest, untried: readonly ModelView[]): ModelRequest {
         const { loop } = this.deps;
-        const { kind, priority, deadline, depth, firstAt } = sent;
-        const wait = { serviceMaxWaitMs: SERVICE_MAX_WAIT_MS, targetMs: kind.targetMs, startedAt: firstAt, depth };
+        const { kind, priority, deadline, depth, firstAttemptAt } = sent;
+        const wait = {
+            serviceMaxWaitMs: SERVICE_MAX_WAIT_MS,
+            targetMs: kind.targetMs,
+            startedAt: firstAttemptAt,
+            depth,
+        };
         return {
             sent,
             priority,
@@ -94,15 +99,15 @@
             rule: ruleOf(kind.name),
             choices: untried.length,
             nearChoices: untried.filter(view => view.sameHall).length,
-            grant: () => {},
+            start: () => {},
             refuse: () => {},
         };
     }
 
     #viewOf(host: ModelTarget): ModelView {
-        const known = this.#views.get(host);
-        if (known !== undefined) {
-            return known;
+        const existing = this.#views.get(host);
+        if (existing !== undefined) {
+            return existing;
         }
         const view = new ModelView(host, host.hall === this.deps.hall);
         this.#views.set(host, view);
--- a/src/policy/model/modelpolicy.ts
+++ b/src/policy/model/modelpolicy.ts
@@ -1,6 +1,6 @@
 /** Which parts of the policies a model runs with. */
 import type { LimitName } from "../admission/limitname.js";
-import type { CallClass } from "./callprioritypolicy.js";
+import type { CallPriorityPolicy } from "./callprioritypolicy.js";
 
 /** A part that is switched off, to see what it is worth. */
 export type ModelPolicy = {
@@ -8,9 +8,9 @@
     /** Slots stay free while the upstream works slowly. */
     readonly waitsForPace: boolean;
     /** What a gate has learnt of its upstream outlasts a restart. */
-    readonly remembers: boolean;
+    readonly keepsKneeShare: boolean;
     /** In which class a call waits. */
-    readonly calls: CallClass;
+    readonly callPriority: CallPriorityPolicy;
     /** Gates send requests on to others. */
-    readonly moves: boolean;
+    readonly redirects: boolean;
 };
--- a/src/policy/model/modelresult.ts
+++ b/src/policy/model/modelresult.ts
@@ -1,7 +1,7 @@
 /** What becomes of a request in a model. */
 
 /** How an attempt or a request ends. */
-export type ModelEnd =
+export type ModelResult =
     | { readonly outcome: "served"; }
     | { readonly outcome: "failed"; }
     | {
--- a/src/policy/model/modeltally.ts
+++ b/src/policy/model/modeltally.ts
@@ -5,5 +5,5 @@
 export type ModelTally = {
     readonly classes: readonly ClassTally[];
     /** Of each second: requests first tried in it, and those answered in time. */
-    readonly seconds: readonly { readonly asked: number; readonly inTime: number; }[];
+    readonly seconds: readonly { readonly requests: number; readonly inTime: number; }[];
 };
--- a/src/policy/model/modelupstream.ts
+++ b/src/policy/model/modelupstream.ts
@@ -8,7 +8,7 @@
 /** Its slots are counted by its gate. */
 export class ModelUpstream {
     #startedAt = -Infinity;
-    #noiseAt = -1;
+    #noiseInterval = -1;
     #pace = 1;
 
     constructor(
@@ -29,26 +29,26 @@
 
     /** For how much longer it is cold. */
     get coldMs(): number {
-        return Math.max(0, this.#startedAt + this.scenario.cold.forMs - this.loop.now);
+        return Math.max(0, this.#startedAt + this.scenario.cold.durationMs - this.loop.now);
     }
 
     /** As it would report it: noise, and nothing of cold or of how full it is. */
     get pace(): number {
-        const { share, times, everyMs } = this.scenario.noise;
-        const span = Math.floor(this.loop.now / everyMs);
-        if (span !== this.#noiseAt) {
-            this.#noiseAt = span;
-            this.#pace = this.random() < share ? times : 1;
+        const { share, slowdown, intervalMs } = this.scenario.noise;
+        const interval = Math.floor(this.loop.now / intervalMs);
+        if (interval !== this.#noiseInterval) {
+            this.#noiseInterval = interval;
+            this.#pace = this.random() < share ? slowdown : 1;
         }
         return this.#pace;
     }
 
     /** How long work takes that begins now, as the last of so many. */
     workMs(meanMs: number, running: number): number {
-        const { knee, kneeTimes, slots } = this.shape;
+        const { knee, kneeSlowdown, slots } = this.shape;
         const { cold } = this.scenario;
-        const fullness = running > knee * slots ? kneeTimes : 1;
-        const coldness = this.coldMs > 0 ? cold.times : 1;
-        return meanMs * lognormal(this.random) * this.pace * fullness * coldness;
+        const kneeFactor = running > knee * slots ? kneeSlowdown : 1;
+        const coldFactor = this.coldMs > 0 ? cold.slowdown : 1;
+        return meanMs * lognormal(this.random) * this.pace * kneeFactor * coldFactor;
     }
 }
--- a/src/policy/model/modelview.ts
+++ b/src/policy/model/modelview.ts
@@ -9,7 +9,7 @@
 
 /** Reports come with answers only. */
 export class ModelView implements Candidate, Selectable {
-    readonly #coldness = new Exclusion();
+    readonly #exclusion = new Exclusion();
     outstanding = 0;
     report: LoadReport | undefined;
     reportedAt = 0;
@@ -32,7 +32,7 @@
         if (this.host.isEvacuated) {
             return "evacuated";
         }
-        if (this.#coldness.isActive(now)) {
+        if (this.#exclusion.isActive(now)) {
             return "cold";
         }
         return this.host.isUp ? "available" : "leaving";
@@ -40,7 +40,7 @@
 
     /** Records that its gate has turned a request away since it is cold. */
     recordCold(now: number): void {
-        this.#coldness.start("cold", now);
+        this.#exclusion.start("cold", now);
     }
 
     recordReport(now: number): void {
--- a/src/policy/model/priorityofcall.ts
+++ b/src/policy/model/priorityofcall.ts
@@ -1,10 +1,10 @@
 /** In which class does a call wait that a run makes? */
 import { Priority } from "../../config/priority.js";
-import type { CallClass } from "./callprioritypolicy.js";
+import type { CallPriorityPolicy } from "./callprioritypolicy.js";
 
 /** `own`: of its rule; `caller`: of the request for which it is made. */
-export function classOfCall(calls: CallClass, own: Priority, caller: Priority): Priority {
-    switch (calls) {
+export function priorityOfCall(policy: CallPriorityPolicy, own: Priority, caller: Priority): Priority {
+    switch (policy) {
         case "own":
             return own;
         case "inherited":
--- a/src/policy/model/scenario.ts
+++ b/src/policy/model/scenario.ts
@@ -12,12 +12,12 @@
     readonly services: readonly ModelService[];
     readonly classes: readonly ModelClass[];
     readonly calls: readonly ModelCall[];
-    /** At each moment a share of the upstreams works `times` as long; drawn again every so often. */
-    readonly noise: { readonly share: number; readonly times: number; readonly everyMs: number; };
-    /** After a start work takes `times` as long, and a gate sends no more than the limits say, where there are any. */
+    /** At each moment a share of the upstreams works `slowdown` as long; drawn again every so often. */
+    readonly noise: { readonly share: number; readonly slowdown: number; readonly intervalMs: number; };
+    /** After a start work takes `slowdown` as long, and a gate sends no more than the limits say, where there are any. */
     readonly cold: {
-        readonly forMs: number;
-        readonly times: number;
+        readonly durationMs: number;
+        readonly slowdown: number;
         readonly limits?: Omit<ColdLimits, "startMs">;
     };
     readonly troubles: readonly ModelTrouble[];
--- a/src/policy/model/usualpolicy.ts
+++ b/src/policy/model/usualpolicy.ts
@@ -5,7 +5,7 @@
 export const usualPolicy: ModelPolicy = {
     limit: "learned",
     waitsForPace: true,
-    remembers: true,
-    calls: "own",
-    moves: true,
+    keepsKneeShare: true,
+    callPriority: "own",
+    redirects: true,
 };
