--- a/src/policy/model/callprioritypolicy.ts
+++ b/src/policy/model/callprioritypolicy.ts
@@ -1,4 +1,7 @@
-/** In which class does a call of a model wait? */
+/** Names the rule by which the simulation assigns a priority to a nested call. */
 
-/** Its own rule's, its request's, or the one above its request's, for the work already done. */
+/**
+ * `own`: the priority of the call's own rule. `inherited`: the priority of the request that makes the call.
+ * `raised`: one level above that of the request, because the work already done on it would be lost otherwise.
+ */
 export type CallPriorityPolicy = "own" | "inherited" | "raised";
--- a/src/policy/model/classtally.ts
+++ b/src/policy/model/classtally.ts
@@ -1,6 +1,6 @@
-/** What became of the requests of one class of a model. */
+/** Counts the results of the requests of one class in a simulation. */
 
-/** Counts of first tries of callers. */
+/** Counts each request once, whatever the number of its attempts. */
 export type ClassTally = {
     readonly name: string;
     readonly worth: number;
--- a/src/policy/model/eventloop.ts
+++ b/src/policy/model/eventloop.ts
@@ -1,8 +1,11 @@
-/** The time of a model: what is to happen, in order. */
+/** Schedules the events of a simulation in simulated time. */
 
 type Event = { readonly dueAt: number; readonly order: number; readonly run: () => void; isCancelled: boolean; };
 
-/** Milliseconds; events of the same time run in the order in which they were planned. */
+/**
+ * Runs events in the order of their times, and events of the same time in the order of their scheduling. Times are
+ * milliseconds.
+ */
 export class EventLoop {
     readonly #heap: Event[] = [];
     #now = 0;
@@ -12,7 +15,7 @@
         return this.#now;
     }
 
-    /** Plans something; the return value takes it back. */
+    /** Schedules `run`; the returned function cancels it. */
     schedule(afterMs: number, run: () => void): () => void {
         const event = { dueAt: this.#now + Math.max(0, afterMs), order: this.#order++, run, isCancelled: false };
         this.#push(event);
@@ -21,7 +24,7 @@
         };
     }
 
-    /** Runs what is planned up to a time. */
+    /** Runs the events that are due until `end`, and sets the time to `end`. */
     runUntil(end: number): void {
         for (let next = this.#heap[0]; next !== undefined && next.dueAt <= end; next = this.#heap[0]) {
             this.#pop();
--- a/src/policy/model/fullupstream.ts
+++ b/src/policy/model/fullupstream.ts
@@ -1,38 +1,41 @@
 /**
- * An upstream for tests of limits: a number of slots, work that takes longer when too many are in use, and noise.
+ * Simulates one upstream under full load behind a concurrency limit, in steps of a millisecond.
  *
- * Simulates one upstream behind a limit, in steps of a millisecond; nothing of it is used by the daemon.
+ * Only tests of concurrency limits use it, not the daemon.
  */
 import { LevelClock } from "../admission/levelclock.js";
 import type { SlotLimit } from "../admission/slotlimit.js";
 import type { RandomSource } from "../randomsource.js";
 import { lognormal } from "./lognormal.js";
 
-/** Times in milliseconds. */
+/** Describes how the upstream works. Times are milliseconds. */
 type UpstreamShape = {
     readonly slots: number;
-    /** Of the slots: with more in use, work takes `kneeTimes` as long; 1 for none. */
+    /** The share of the slots above which work takes `kneeTimes` as long; 1 for no knee. */
     readonly knee: number;
     readonly kneeTimes: number;
     readonly workMs: number;
-    /** At each moment a share of all upstreams works so many times slower, drawn again every so often. */
+    /** Every `everyMs` the upstream becomes `times` as slow with the probability `share`, else as fast as usual. */
     readonly noise: { readonly share: number; readonly times: number; readonly everyMs: number; };
-    /** From the start on, work takes `coldTimes` as long. */
+    /** For `coldMs` from the start on, work takes `coldTimes` as long. */
     readonly coldMs: number;
     readonly coldTimes: number;
-    /** How long work takes is settled when it begins, or follows noise, cold and fullness while it goes on. */
+    /**
+     * True if the duration of a job is fixed at its start; false if it follows noise, cold and the knee while it
+     * runs.
+     */
     readonly isSetAtStart: boolean;
 };
 
 type Job = {
-    leftMs: number;
+    remainingMs: number;
     readonly workMs: number;
     readonly startReading: Float64Array;
     readonly pace: number;
     readonly slowdown: number;
 };
 
-/** Kept full from the first request on. */
+/** Starts a new job whenever the limit allows it. */
 export class FullUpstream {
     finished = 0;
     #now = 0;
@@ -48,7 +51,7 @@
         this.#clock = new LevelClock(shape.slots, 0);
     }
 
-    /** Runs for a while; the work that was done, in milliseconds of work at the usual speed. */
+    /** Simulates `durationMs` and returns the work of the jobs that finished, in milliseconds at the usual pace. */
     run(durationMs: number): number {
         let finishedWorkMs = 0;
         for (const end = this.#now + durationMs; this.#now < end; this.#now += 1) {
@@ -59,7 +62,9 @@
         return finishedWorkMs;
     }
 
-    /** What the upstream says of its pace: noise and cold, and nothing of how full it is. */
+    /**
+     * Returns the pace that the upstream reports, which includes noise and cold but not the slowdown above the knee.
+     */
     #reportedPace(): number {
         const { coldMs, coldTimes } = this.shape;
         return this.#pace * (this.#now < coldMs ? coldTimes : 1);
@@ -78,11 +83,11 @@
             const pace = this.#reportedPace();
             const slowdown = pace * this.#kneeSlowdown(this.#jobs.length + 1);
             this.#jobs.push({
-                leftMs: workMs,
+                remainingMs: workMs,
                 workMs,
                 startReading: this.#clock.read(this.#now),
                 pace,
-                slowdown: slowdown,
+                slowdown,
             });
             this.#clock.setRunning(this.#jobs.length, this.#now);
         }
@@ -93,18 +98,18 @@
         return running > knee * slots ? kneeTimes : 1;
     }
 
-    /** A millisecond of work at each job. */
+    /** Simulates a millisecond of all jobs and returns the work of those that finished. */
     #advanceJobs(): number {
         const { workMs, isSetAtStart } = this.shape;
         const slowdown = this.#reportedPace() * this.#kneeSlowdown(this.#jobs.length);
         const finishedJobs: Job[] = [];
         for (const job of this.#jobs) {
-            job.leftMs -= 1 / (isSetAtStart ? job.slowdown : slowdown);
-            if (job.leftMs <= 0) {
+            job.remainingMs -= 1 / (isSetAtStart ? job.slowdown : slowdown);
+            if (job.remainingMs <= 0) {
                 finishedJobs.push(job);
             }
         }
-        this.#jobs = this.#jobs.filter(job => job.leftMs > 0);
+        this.#jobs = this.#jobs.filter(job => job.remainingMs > 0);
         for (const job of finishedJobs) {
             this.finished += 1;
             const now = this.#clock.read(this.#now + 1);
--- a/src/policy/model/layered.ts
+++ b/src/policy/model/layered.ts
@@ -1,17 +1,17 @@
 /**
- * A scenario: three services, of which pages call the engine and works call the desk, and more load than is comfortable.
+ * Creates the layered scenario: three services, of which `pages` calls `engine` and `engine` calls `desk`.
  *
- * At 13 hosts and load 1 the engine and the pages' service are about half used at their usual pace; its shape (slots, work, noise,
- * a knee at four fifths) is that of a mesh of users whose rush days and restarts winglock was measured on.
+ * With 13 hosts and load 1, `pages` and `engine` are about half used at their usual pace. Slots, work, noise and a
+ * knee at four fifths are those of a user's mesh on which winglock was measured under peak load and during restarts.
  */
 import type { LayeredOptions } from "./layeredoptions.js";
 import type { Scenario } from "./scenario.js";
 
-/** Of so many hosts the services below have six, four and three upstreams; others in proportion. */
+/** With this many hosts the services have six, four and three upstreams; other numbers of hosts scale them. */
 const REFERENCE_HOSTS = 13;
 const UPSTREAM_SHAPE = { slots: 18, knee: 0.8, kneeSlowdown: 1.7 };
 
-/** The load grows with the hosts. */
+/** Returns the scenario; its request rates grow with the number of hosts. */
 export function layered({ hosts, load, lengthMs, troubles, policy, coldLimits }: LayeredOptions): Scenario {
     const loadFactor = hosts / REFERENCE_HOSTS * load;
     return {
--- a/src/policy/model/model.test.ts
+++ b/src/policy/model/model.test.ts
@@ -1,9 +1,10 @@
 /**
- * What the parts of admission are worth under load that is known to bring a mesh down, by the model.
+ * Tests in a simulation what the parts of admission contribute under load that is known to overload a mesh.
  *
- * The pattern: three services of which two call another, about half used; twice as many slots as work that fits below the knee; work five
- * times slower at a quarter of the upstreams, drawn anew every 150 ms; bursts, the loss of half of a service, a restart of all hosts. The
- * figures are shares of the worth that was answered in time, means over seeds; bounds are the figures of today less the noise of seeds.
+ * The load: three services of which two call another, about half used; twice as many slots as work that fits below
+ * the knee; work five times slower at a quarter of the upstreams, sampled again every 150 ms; bursts, the loss of
+ * half of a service, and a restart of all hosts. The figures are shares of the worth that was served in time, as
+ * means over seeds. Each bound is the measured figure less the differences between seeds.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -28,14 +29,17 @@
 const RESTART: readonly ModelTrouble[] = [{ type: "restart", atMs: 15_000, downMs: 1300 }];
 
 const run = (troubles: readonly ModelTrouble[], seed: number, policy: Partial<ModelPolicy>): ModelTally => {
-    const all = { ...usualPolicy, ...policy };
-    return runModel(layered({ hosts: 13, load: 1.1, lengthMs: 26_000, troubles, policy: all }), seededRandom(seed));
+    const fullPolicy = { ...usualPolicy, ...policy };
+    return runModel(
+        layered({ hosts: 13, load: 1.1, lengthMs: 26_000, troubles, policy: fullPolicy }),
+        seededRandom(seed),
+    );
 };
 
 const worthOf = (troubles: readonly ModelTrouble[], policy: Partial<ModelPolicy> = {}): number =>
     SEEDS.reduce((sum, seed) => sum + worthShare(run(troubles, seed, policy).classes) / SEEDS.length, 0);
 
-/** Of the requests first tried in these seconds, the share answered in time. */
+/** Returns the share served in time of the requests whose first attempt was made from second `from` to second `to`. */
 const inTime = (from: number, to: number, policy: Partial<ModelPolicy> = {}): number => {
     const seconds = SEEDS.flatMap(seed => run(RESTART, seed, policy).seconds.slice(from, to));
     return seconds.reduce((sum, second) => sum + second.inTime, 0)
@@ -46,46 +50,46 @@
     assert.deepEqual(run(BURST, 5, {}), run(BURST, 5, {}));
 });
 
-test("model: events run in the order of their times, and what is taken back does not", () => {
+test("model: events run in the order of their times, and a cancelled event does not run", () => {
     const loop = new EventLoop();
-    const seen: number[] = [];
-    for (const at of [5, 1, 3, 3, 2, 4, 0]) {
-        loop.schedule(at, () => seen.push(loop.now));
+    const runTimes: number[] = [];
+    for (const delayMs of [5, 1, 3, 3, 2, 4, 0]) {
+        loop.schedule(delayMs, () => runTimes.push(loop.now));
     }
-    loop.schedule(3, () => seen.push(-1))();
+    loop.schedule(3, () => runTimes.push(-1))();
     loop.runUntil(4);
-    assert.deepEqual(seen, [0, 1, 2, 3, 3, 4]);
+    assert.deepEqual(runTimes, [0, 1, 2, 3, 3, 4]);
 });
 
-test("model: a slot that stays free while its upstream works slowly is worth more than three hundredths", () => {
+test("model: keeping a slot free while the upstream is slow adds more than 0.03 to the share of worth", () => {
     for (const troubles of [BURST, LOSS]) {
-        const [with_, without] = [worthOf(troubles), worthOf(troubles, { waitsForPace: false })];
-        assert.ok(with_ > without + 0.03, `${with_} ${without}`);
+        const [enabled, disabled] = [worthOf(troubles), worthOf(troubles, { waitsForPace: false })];
+        assert.ok(enabled > disabled + 0.03, `${enabled} ${disabled}`);
     }
 });
 
-test("model: a limit that finds the knee while it is full is worth something where half of a service is lost", () => {
-    const [with_, without] = [worthOf(LOSS), worthOf(LOSS, { limit: "ramp", keepsKneeShare: false })];
-    assert.ok(with_ > without + 0.03, `${with_} ${without}`);
+test("model: a limit that learns the knee adds more than 0.03 after the loss of half of a service", () => {
+    const [enabled, disabled] = [worthOf(LOSS), worthOf(LOSS, { limit: "ramp", keepsKneeShare: false })];
+    assert.ok(enabled > disabled + 0.03, `${enabled} ${disabled}`);
 });
 
-test("model: after a restart of all hosts the mesh is back soon, sooner by what it had learnt before", () => {
+test("model: after a restart of all hosts the mesh recovers soon, and sooner with the knee learned before", () => {
     assert.ok(inTime(20, 25) > 0.9, String(inTime(20, 25)));
-    const [with_, without] = [inTime(17, 20), inTime(17, 20, { keepsKneeShare: false })];
-    assert.ok(with_ > without + 0.08, `${with_} ${without}`);
+    const [enabled, disabled] = [inTime(17, 20), inTime(17, 20, { keepsKneeShare: false })];
+    assert.ok(enabled > disabled + 0.08, `${enabled} ${disabled}`);
 });
 
-test("model: calls in the class of their request cost more than they bring", () => {
+test("model: calls that inherit the priority of their request lower the share of worth", () => {
     const [own, inherited] = [worthOf(LOSS), worthOf(LOSS, { callPriority: "inherited" })];
     assert.ok(own > inherited, `${own} ${inherited}`);
 });
 
-/** Two thirds of the upstreams have room for it all, at this load. */
+/** At this load, two thirds of the upstreams can serve all requests. */
 const LIGHT = { hosts: 13, load: 0.7, lengthMs: 26_000, policy: usualPolicy };
 const EVACUATE: readonly ModelTrouble[] = [{ type: "evacuate", atMs: 8000, durationMs: 8000, hall: 0 }];
 const COLD = { perSecond: 12, overage: 1.5, slack: 2 };
 
-test("model: a hall that is evacuated and comes back cold, where the others have room, costs less than a tenth of what is served in time", () => {
+test("model: evacuating a hall that returns cold costs at most a tenth of the worth under light load", () => {
     for (const seed of SEEDS) {
         const calm = worthShare(runModel(layered({ ...LIGHT, troubles: [] }), seededRandom(seed)).classes);
         const troubled = layered({ ...LIGHT, troubles: EVACUATE, coldLimits: COLD });
@@ -94,12 +98,12 @@
     }
 });
 
-test("model: where all upstreams are cold after a restart, the most urgent class is served no worse than the others", () => {
+test("model: with all upstreams cold after a restart, the urgent class is not the one served worst", () => {
     for (const seed of SEEDS) {
         const scenario = layered({ ...LIGHT, troubles: RESTART, coldLimits: COLD });
         const { classes } = runModel(scenario, seededRandom(seed));
         const shareOf = (name: string): number => {
-            const { inTime, requests } = classes.find(one => one.name === name)!;
+            const { inTime, requests } = classes.find(tally => tally.name === name)!;
             return inTime / requests;
         };
         assert.ok(shareOf("order") >= Math.min(shareOf("view"), shareOf("work")), `seed ${seed}`);
--- a/src/policy/model/modelcall.ts
+++ b/src/policy/model/modelcall.ts
@@ -1,5 +1,5 @@
-/** What the upstreams of a model call. */
+/** Describes a call from one service to another in a simulation. */
 import type { ModelClass } from "./modelclass.js";
 
-/** A call between services: as a class, but for who sends it. */
+/** A request class that upstreams send instead of callers. */
 export type ModelCall = Pick<ModelClass, "name" | "service" | "priority" | "workMs" | "targetMs" | "timeLimitMs">;
--- a/src/policy/model/modelclass.ts
+++ b/src/policy/model/modelclass.ts
@@ -1,7 +1,10 @@
-/** What callers of a model send. Times in milliseconds. */
+/** Describes a class of requests that callers send in a simulation. */
 import type { Priority } from "../../config/priority.js";
 
-/** Requests of one kind. `calls`: a share of the runs makes one call, half way through. */
+/**
+ * Requests of one kind. Half way through its work, a share `calls.share` of them makes the call `calls.name`. Times
+ * are milliseconds.
+ */
 export type ModelClass = {
     readonly name: string;
     readonly service: string;
@@ -10,7 +13,7 @@
     readonly workMs: number;
     readonly targetMs: number;
     readonly timeLimitMs: number;
-    /** How long a caller waits, its second try among it. */
+    /** How long a caller waits for a response, including its second attempt. */
     readonly callerTimeoutMs: number;
     readonly worth: number;
     readonly calls?: { readonly name: string; readonly share: number; };
--- a/src/policy/model/modelgate.ts
+++ b/src/policy/model/modelgate.ts
@@ -1,4 +1,4 @@
-/** A gate of a model: the daemon's own admission and pace, with the model's time and upstream. */
+/** Simulates a gate: the daemon's own admission and pace policies, in simulated time and with a simulated upstream. */
 import { Admission } from "../admission/admission.js";
 import { createLimit } from "../admission/createlimit.js";
 import { LevelClock } from "../admission/levelclock.js";
@@ -19,9 +19,9 @@
 import type { Scenario } from "./scenario.js";
 import type { SentRequest } from "./sentrequest.js";
 
-/** A gate asks for the pace so often while it keeps a slot free. */
+/** The interval of pace reports while a slot is kept free because the upstream is slow. */
 const PACE_PROBE_INTERVAL_MS = 20;
-/** Of a run's work, before it makes its call. */
+/** The share of a request's work that precedes its call. */
 const WORK_SHARE_BEFORE_CALL = 0.5;
 
 type GateDependencies = {
@@ -29,21 +29,21 @@
     readonly loop: EventLoop;
     readonly random: RandomSource;
     readonly policy: ModelPolicy;
-    /** What was learnt of the service's upstreams, before a restart too. */
+    /** Returns the knee share learned at the service's upstreams, also before a restart; undefined if none is known. */
     readonly serviceKneeShare: () => number | undefined;
     readonly coldLimits: Scenario["cold"]["limits"];
-    /** Sends a call that a run makes. */
-    readonly sendCall: (name: string, parent: SentRequest, done: (end: ModelResult) => void) => void;
+    /** Sends a call that a running request makes. */
+    readonly sendCall: (name: string, parent: SentRequest, done: (result: ModelResult) => void) => void;
 };
 
-/** Lost with all that it holds at a restart. */
+/** A gate with its queue and the state of its policies. A restart replaces it, and its state is lost. */
 export class ModelGate {
     readonly #pace = new Pace();
     readonly #times = new RuleTimes();
     readonly #levels: LevelClock;
     readonly #admission: Admission<ModelRequest>;
-    /** Ends of the requests that are here. */
-    readonly #pending = new Set<(stop: ModelResult) => void>();
+    /** The result callbacks of the requests that are queued or running. */
+    readonly #pending = new Set<(result: ModelResult) => void>();
     #isStopped = false;
     #isPaceProbeScheduled = false;
     #isSendScheduled = false;
@@ -53,12 +53,12 @@
         const { upstream: { slots }, loop, policy, coldLimits } = deps;
         this.#coldGuard = new ColdGuard(loop.now, coldLimits && { ...coldLimits, startMs: 0 });
         this.#levels = new LevelClock(slots, loop.now);
-        const heeded = policy.waitsForPace ? this.#pace : new Pace();
+        const observedPace = policy.waitsForPace ? this.#pace : new Pace();
         this.#admission = new Admission(
             createLimit(policy.limit, slots, deps.serviceKneeShare),
             this.#times,
             this.#levels,
-            heeded,
+            observedPace,
             new SendRate(this.#coldGuard, new StatedRateLimiter()),
         );
     }
@@ -71,8 +71,8 @@
         return this.#isStopped;
     }
 
-    /** Cuts off what is here. */
-    end(): void {
+    /** Stops the gate; all its requests fail. */
+    stop(): void {
         this.#isStopped = true;
         [...this.#pending].forEach(done => done({ outcome: "failed" }));
     }
@@ -81,11 +81,11 @@
         return { ...this.#admission.report(this.deps.loop.now), pace: this.#pace.lastReported };
     }
 
-    /** `onEnd` is called once. */
-    serve(request: ModelRequest, onResult: (end: ModelResult) => void): void {
-        const done = (end: ModelResult): void => {
+    /** Serves, queues or refuses a request; `onResult` is called once. */
+    serve(request: ModelRequest, onResult: (result: ModelResult) => void): void {
+        const done = (result: ModelResult): void => {
             if (this.#pending.delete(done)) {
-                onResult(end);
+                onResult(result);
             }
         };
         this.#pending.add(done);
@@ -96,19 +96,19 @@
             return;
         }
         this.#probeIfNeeded();
-        const verdict = this.#admission.admit(request, loop.now);
-        if (verdict.type === "refuse") {
-            done({ outcome: "refused", ...verdict.refusal });
+        const decision = this.#admission.admit(request, loop.now);
+        if (decision.type === "refuse") {
+            done({ outcome: "refused", ...decision.refusal });
             return;
         }
-        if (verdict.type === "run") {
+        if (decision.type === "run") {
             this.#run(request, done);
             return;
         }
         this.#queue(request, done);
     }
 
-    /** An answer takes no time here. */
+    /** Probes the upstream if due. The response to a probe takes no time in the simulation. */
     #probeIfNeeded(): void {
         const { loop, upstream } = this.deps;
         if (this.#coldGuard.shouldProbe(loop.now)) {
@@ -117,7 +117,7 @@
         }
     }
 
-    #queue(request: ModelRequest, done: (end: ModelResult) => void): void {
+    #queue(request: ModelRequest, done: (result: ModelResult) => void): void {
         const { loop } = this.deps;
         const { afterMs, reason } = waitLimit(request.maxWaitMs, request.deadline - loop.now);
         const cancelTimeout = loop.schedule(afterMs, () => {
@@ -129,46 +129,50 @@
             cancelTimeout();
             this.#run(request, done);
         };
-        request.refuse = end => {
+        request.refuse = result => {
             cancelTimeout();
-            done(end);
+            done(result);
         };
         this.#schedulePaceProbe();
         this.#scheduleNextSend();
     }
 
-    #run(request: ModelRequest, done: (end: ModelResult) => void): void {
-        const { upstream, loop, random, sendCall: call } = this.deps;
+    #run(request: ModelRequest, done: (result: ModelResult) => void): void {
+        const { upstream, loop, random, sendCall } = this.deps;
         const { kind } = request.sent;
         const startedAt = loop.now;
         const work = new WorkTime(this.#levels, startedAt);
         const pace = upstream.pace;
         const workMs = upstream.workMs(kind.workMs, this.#admission.running);
-        const finish = (end: ModelResult): void => {
+        const finish = (result: ModelResult): void => {
             if (this.#isStopped) {
                 return;
             }
-            const served = end.outcome === "served" ? loop.now - startedAt : undefined;
+            const serviceMs = result.outcome === "served" ? loop.now - startedAt : undefined;
             this.#pace.observe(upstream.pace, loop.now);
-            this.#admission.recordFinished(served, { rule: request.rule, work: work.read(loop.now), pace }, loop.now);
-            done(end);
+            this.#admission.recordFinished(
+                serviceMs,
+                { rule: request.rule, work: work.read(loop.now), pace },
+                loop.now,
+            );
+            done(result);
             this.#startQueued();
         };
-        const finishWorkAfter = (ms: number, onDone: () => void): void => {
+        const workFor = (ms: number, onDone: () => void): void => {
             const remainingMs = request.deadline - loop.now;
             loop.schedule(Math.min(ms, remainingMs), ms > remainingMs ? () => finish({ outcome: "failed" }) : onDone);
         };
         if (kind.calls === undefined || random() >= kind.calls.share) {
-            finishWorkAfter(workMs, () => finish({ outcome: "served" }));
+            workFor(workMs, () => finish({ outcome: "served" }));
             return;
         }
         const { name } = kind.calls;
-        finishWorkAfter(workMs * WORK_SHARE_BEFORE_CALL, () => {
+        workFor(workMs * WORK_SHARE_BEFORE_CALL, () => {
             work.callBegan(loop.now);
-            call(name, request.sent, end => {
+            sendCall(name, request.sent, result => {
                 work.callEnded(loop.now);
-                if (end.outcome === "served") {
-                    finishWorkAfter(workMs * (1 - WORK_SHARE_BEFORE_CALL), () => finish(end));
+                if (result.outcome === "served") {
+                    workFor(workMs * (1 - WORK_SHARE_BEFORE_CALL), () => finish(result));
                 }
                 else {
                     finish({ outcome: "failed" });
@@ -178,7 +182,7 @@
     }
 
     #startQueued(): void {
-        const { run: runnable, expired: expired } = this.#admission.dequeue(this.deps.loop.now);
+        const { run: runnable, expired } = this.#admission.dequeue(this.deps.loop.now);
         expired.forEach(request => request.refuse({ outcome: "refused", reason: "deadline", retryAfterMs: 0 }));
         runnable.forEach(request => request.start());
         this.#schedulePaceProbe();
--- a/src/policy/model/modelhost.ts
+++ b/src/policy/model/modelhost.ts
@@ -1,10 +1,10 @@
-/** A host of a model: an upstream, the gate beside it, and an ingress. */
+/** Describes a host in a simulation: an upstream with its gate, and an ingress. */
 import type { ModelIngress } from "./modelingress.js";
 import type { ModelTarget } from "./modeltarget.js";
 
-/** Its ingress is replaced when it restarts. */
+/** A restart replaces the ingress. */
 export type ModelHost = ModelTarget & {
     ingress: ModelIngress;
-    /** What its record says that its gate has learnt; it outlasts restarts. */
+    /** The knee share that the gate has learned, as stored in the host's record; it is kept over restarts. */
     recordedKneeShare: number | undefined;
 };
--- a/src/policy/model/modelingress.ts
+++ b/src/policy/model/modelingress.ts
@@ -1,4 +1,4 @@
-/** An ingress of a model: the daemon's own placement, waits and bounds of moves. */
+/** Simulates an ingress: the daemon's own placement, queueing limits and redirect limits, in simulated time. */
 import { maxWait } from "../admission/maxwait.js";
 import { availableTargets } from "../placement/availabletargets.js";
 import { ExpectedTime } from "../placement/expectedtime.js";
@@ -14,74 +14,76 @@
 import { ruleOf } from "./ruleof.js";
 import type { SentRequest } from "./sentrequest.js";
 
-/** Between hosts, one way, in milliseconds. */
+/** One way between two hosts. */
 const HOP_LATENCY_MS = 0.5;
-/** As deploy/settings.json sets them. */
+/** The options of the placement in deploy/settings.json. */
 const PLACEMENT = { leaveHallCost: 1.5, ownWeight: 3, loadFadeMs: 50 };
-/** The service's own bound, in milliseconds. */
+/** The longest time that a service lets a request be queued. */
 const SERVICE_MAX_WAIT_MS = 1000;
-/** Refused by this many gates after its moves, a request is given up. */
-const MAX_REFUSALS_RETRIED = 1;
+/** A request that was refused, but not redirected, is sent to this many other gates. */
+const MAX_ATTEMPTS_AFTER_REFUSAL = 1;
 
 type IngressDependencies = { readonly loop: EventLoop; readonly random: RandomSource; readonly hall: number; };
 
-/** Forgets what it knew of upstreams at a restart, since it is made anew. */
+/** A restart replaces the ingress, so its knowledge of the upstreams is lost. */
 export class ModelIngress {
     readonly #placement = new ExpectedTime(PLACEMENT);
     readonly #views = new Map<ModelTarget, ModelView>();
 
     constructor(private readonly deps: IngressDependencies) {}
 
-    /** `done` is called once. */
-    serve(sent: SentRequest, hosts: readonly ModelTarget[], done: (end: ModelResult) => void): void {
+    /** Sends a request to the hosts of its service until one serves it; `done` is called once. */
+    serve(sent: SentRequest, hosts: readonly ModelTarget[], done: (result: ModelResult) => void): void {
         const views = hosts.filter(host => host.service === sent.kind.service).map(host => this.#viewOf(host));
-        this.#attempt(sent, views, { tried: new Set<ModelView>(), redirects: 0, refusals: 0 }, done);
+        this.#attempt(sent, views, { attempted: new Set<ModelView>(), redirects: 0, refusals: 0 }, done);
     }
 
     #attempt(
         sent: SentRequest,
         views: readonly ModelView[],
-        progress: { readonly tried: Set<ModelView>; redirects: number; refusals: number; },
-        done: (end: ModelResult) => void,
+        progress: { readonly attempted: Set<ModelView>; redirects: number; refusals: number; },
+        done: (result: ModelResult) => void,
     ): void {
         const { loop, random } = this.deps;
-        const target = this.#placement.choose(selectTargets(views, progress.tried, loop.now), loop.now, random) as
+        const target = this.#placement.choose(selectTargets(views, progress.attempted, loop.now), loop.now, random) as
             | ModelView
             | undefined;
         if (target === undefined) {
             done({ outcome: "refused", reason: "busy", retryAfterMs: 250 });
             return;
         }
-        progress.tried.add(target);
-        const untried = progress.redirects < maxRedirects ? availableTargets(views, progress.tried, loop.now) : [];
-        const request = this.#createRequest(sent, untried);
+        progress.attempted.add(target);
+        const otherTargets = progress.redirects < maxRedirects
+            ? availableTargets(views, progress.attempted, loop.now)
+            : [];
+        const request = this.#createRequest(sent, otherTargets);
         target.outstanding += 1;
-        const onResult = (end: ModelResult): void => {
+        const onResult = (result: ModelResult): void => {
             loop.schedule(HOP_LATENCY_MS, () => {
                 target.outstanding -= 1;
                 target.recordReport(loop.now);
-                if (end.outcome === "refused" && end.reason === "cold") {
+                if (result.outcome === "refused" && result.reason === "cold") {
                     target.recordCold(loop.now);
                 }
-                const isRedirect = end.outcome === "refused" && ["busy", "cold", "slow"].includes(end.reason);
-                const isFull = end.outcome === "refused" && !isRedirect && end.reason !== "deadline";
+                const isRedirect = result.outcome === "refused" && ["busy", "cold", "slow"].includes(result.reason);
+                const isFull = result.outcome === "refused" && !isRedirect && result.reason !== "deadline";
                 if (isRedirect && progress.redirects <= maxRedirects) {
                     progress.redirects += 1;
                     this.#attempt(sent, views, progress, done);
                 }
-                else if (isFull && progress.refusals < MAX_REFUSALS_RETRIED && untried.length > 0) {
+                else if (isFull && progress.refusals < MAX_ATTEMPTS_AFTER_REFUSAL && otherTargets.length > 0) {
                     progress.refusals += 1;
                     this.#attempt(sent, views, progress, done);
                 }
                 else {
-                    done(end);
+                    done(result);
                 }
             });
         };
         loop.schedule(HOP_LATENCY_MS, () => target.host.gate.serve(request, onResult));
     }
 
-    #createRequest(sent: SentRequest, untried: readonly ModelView[]): ModelRequest {
+    #createRequest(sent: SentRequest, otherTargets: readonly ModelView[]): ModelRequest {
         const { loop } = this.deps;
         const { kind, priority, deadline, depth, firstAttemptAt } = sent;
         const wait = {
@@ -97,8 +99,8 @@
             deadline,
             maxWaitMs: maxWait(wait, loop.now),
             rule: ruleOf(kind.name),
-            choices: untried.length,
-            nearChoices: untried.filter(view => view.sameHall).length,
+            choices: otherTargets.length,
+            nearChoices: otherTargets.filter(view => view.sameHall).length,
             start: () => {},
             refuse: () => {},
         };
--- a/src/policy/model/modelpolicy.ts
+++ b/src/policy/model/modelpolicy.ts
@@ -1,16 +1,16 @@
-/** Which parts of the policies a model runs with. */
+/** Selects the parts of the policies that a simulation runs with. */
 import type { LimitName } from "../admission/limitname.js";
 import type { CallPriorityPolicy } from "./callprioritypolicy.js";
 
-/** A part that is switched off, to see what it is worth. */
+/** Each part can be switched off or replaced, to measure its effect. */
 export type ModelPolicy = {
     readonly limit: LimitName;
-    /** Slots stay free while the upstream works slowly. */
+    /** Gates keep slots free while the upstream is slow. */
     readonly waitsForPace: boolean;
-    /** What a gate has learnt of its upstream outlasts a restart. */
+    /** The knee share that a gate has learned is kept over restarts. */
     readonly keepsKneeShare: boolean;
-    /** In which class a call waits. */
+    /** The rule by which a call gets its priority. */
     readonly callPriority: CallPriorityPolicy;
-    /** Gates send requests on to others. */
+    /** Gates redirect requests to other gates while their upstream is slow. */
     readonly redirects: boolean;
 };
--- a/src/policy/model/modelresult.ts
+++ b/src/policy/model/modelresult.ts
@@ -1,6 +1,6 @@
-/** What becomes of a request in a model. */
+/** Describes the result of an attempt or a request in a simulation. */
 
-/** How an attempt or a request ends. */
+/** A refusal says why, and when the caller should retry. */
 export type ModelResult =
     | { readonly outcome: "served"; }
     | { readonly outcome: "failed"; }
--- a/src/policy/model/modelservice.ts
+++ b/src/policy/model/modelservice.ts
@@ -1,6 +1,9 @@
-/** A service of a model. */
+/** Describes a service in a simulation. */
 
-/** Upstreams of one kind; `knee`: with more of the slots in use, as a share, work takes `kneeSlowdown` as long. */
+/**
+ * A number of equal upstreams. Work takes `kneeSlowdown` as long while more than the share `knee` of the slots is in
+ * use.
+ */
 export type ModelService = {
     readonly name: string;
     readonly upstreams: number;
--- a/src/policy/model/modeltally.ts
+++ b/src/policy/model/modeltally.ts
@@ -1,9 +1,9 @@
-/** What became of the requests of a model. */
+/** Counts the results of all requests of a simulation. */
 import type { ClassTally } from "./classtally.js";
 
-/** Sums over a model's classes. */
+/** Counts by class and by second. */
 export type ModelTally = {
     readonly classes: readonly ClassTally[];
-    /** Of each second: requests first tried in it, and those answered in time. */
+    /** For each second, the requests whose first attempt was made in it, and how many of them were served in time. */
     readonly seconds: readonly { readonly requests: number; readonly inTime: number; }[];
 };
--- a/src/policy/model/modeltarget.ts
+++ b/src/policy/model/modeltarget.ts
@@ -1,8 +1,8 @@
-/** A host of a model, as the ingresses of others see it. */
+/** Describes a host as the simulated ingresses of other hosts see it. */
 import type { ModelGate } from "./modelgate.js";
 import type { ModelUpstream } from "./modelupstream.js";
 
-/** Its gate is replaced when it restarts. */
+/** A restart replaces the gate. */
 export type ModelTarget = {
     readonly name: string;
     readonly service: string;
@@ -10,6 +10,6 @@
     readonly upstream: ModelUpstream;
     gate: ModelGate;
     isUp: boolean;
-    /** Its hall is. */
+    /** True while the host's data hall is evacuated. */
     isEvacuated: boolean;
 };
--- a/src/policy/model/modelteam.ts
+++ b/src/policy/model/modelteam.ts
@@ -1,5 +1,5 @@
-/** Models have one team: fairness between teams is tested where it is decided. */
+/** Names the only team of a simulation, which does not cover fairness between teams. */
 import type { TeamName } from "../../ids/teamname.js";
 
-/** Of all requests in a model. */
+/** The team of all requests. */
 export const modelTeam = "none" as TeamName;
--- a/src/policy/model/modeltrouble.ts
+++ b/src/policy/model/modeltrouble.ts
@@ -1,7 +1,10 @@
-/** What goes wrong in a model. Times in milliseconds. */
+/** Describes the disturbances in a simulation. */
 
-/** `times` the load for a while; a share of a service's upstreams gone for good; all hosts restarted, their upstreams cold; nothing
- * new sent to a hall's upstreams for a while, cold at its end. */
+/**
+ * `burst` multiplies the load by `loadFactor` for a while. `loss` stops `count` upstreams of a service for good.
+ * `restart` restarts all hosts, and their upstreams are cold afterwards. `evacuate` sends no new requests to the
+ * upstreams of a data hall for a while; they are cold at its end. Times are milliseconds.
+ */
 export type ModelTrouble =
     | { readonly type: "burst"; readonly atMs: number; readonly durationMs: number; readonly loadFactor: number; }
     | { readonly type: "loss"; readonly atMs: number; readonly service: string; readonly count: number; }
--- a/src/policy/model/modelupstream.ts
+++ b/src/policy/model/modelupstream.ts
@@ -1,11 +1,14 @@
-/** An upstream of a model: work takes longer by noise, when it is cold and when too many slots are in use; settled when it begins. */
+/**
+ * Simulates an upstream whose work takes longer by noise, while it is cold and while too many slots are in use. The
+ * duration of work is fixed when it begins.
+ */
 import type { RandomSource } from "../randomsource.js";
 import type { EventLoop } from "./eventloop.js";
 import { lognormal } from "./lognormal.js";
 import type { ModelService } from "./modelservice.js";
 import type { Scenario } from "./scenario.js";
 
-/** Its slots are counted by its gate. */
+/** Has no count of its running requests; the gate keeps that. */
 export class ModelUpstream {
     #startedAt = -Infinity;
     #noiseInterval = -1;
@@ -22,17 +25,17 @@
         return this.shape.slots;
     }
 
-    /** From now on it is cold. */
+    /** Makes the upstream cold from now on. */
     restart(): void {
         this.#startedAt = this.loop.now;
     }
 
-    /** For how much longer it is cold. */
+    /** Milliseconds until the upstream is warm; 0 if it is. */
     get coldMs(): number {
         return Math.max(0, this.#startedAt + this.scenario.cold.durationMs - this.loop.now);
     }
 
-    /** As it would report it: noise, and nothing of cold or of how full it is. */
+    /** The pace that the upstream reports, which includes noise but neither cold nor the slowdown above the knee. */
     get pace(): number {
         const { share, slowdown, intervalMs } = this.scenario.noise;
         const interval = Math.floor(this.loop.now / intervalMs);
@@ -43,7 +46,10 @@
         return this.#pace;
     }
 
-    /** How long work takes that begins now, as the last of so many. */
+    /**
+     * Returns how long work that begins now takes, in milliseconds; `running` counts the running requests, this one
+     * included.
+     */
     workMs(meanMs: number, running: number): number {
         const { knee, kneeSlowdown, slots } = this.shape;
         const { cold } = this.scenario;
--- a/src/policy/model/modelview.ts
+++ b/src/policy/model/modelview.ts
@@ -1,4 +1,7 @@
-/** What an ingress of a model knows of an upstream: as `UpstreamView` of the daemon, without what connections tell. */
+/**
+ * Holds what a simulated ingress knows of an upstream: as the daemon's `UpstreamView`, but without what is known from
+ * connections.
+ */
 import type { UpstreamName } from "../../ids/upstreamname.js";
 import type { Availability } from "../placement/availability.js";
 import type { Candidate } from "../placement/candidate.js";
@@ -7,7 +10,7 @@
 import type { Selectable } from "../placement/selectable.js";
 import type { ModelTarget } from "./modeltarget.js";
 
-/** Reports come with answers only. */
+/** Receives load reports with responses only. */
 export class ModelView implements Candidate, Selectable {
     readonly #exclusion = new Exclusion();
     outstanding = 0;
@@ -38,7 +41,7 @@
         return this.host.isUp ? "available" : "leaving";
     }
 
-    /** Records that its gate has turned a request away since it is cold. */
+    /** Records that the gate has redirected a request because the upstream is cold. */
     recordCold(now: number): void {
         this.#exclusion.start("cold", now);
     }
--- a/src/policy/model/priorityofcall.ts
+++ b/src/policy/model/priorityofcall.ts
@@ -1,8 +1,8 @@
-/** In which class does a call wait that a run makes? */
+/** Decides which priority a nested call has in the simulation. */
 import { Priority } from "../../config/priority.js";
 import type { CallPriorityPolicy } from "./callprioritypolicy.js";
 
-/** `own`: of its rule; `caller`: of the request for which it is made. */
+/** `own` is the priority of the call's rule, `caller` that of the request that makes the call. */
 export function priorityOfCall(policy: CallPriorityPolicy, own: Priority, caller: Priority): Priority {
     switch (policy) {
         case "own":
--- a/src/policy/model/ruleof.ts
+++ b/src/policy/model/ruleof.ts
@@ -1,5 +1,5 @@
-/** Rules of a model are named as its classes. */
+/** Names the rules of a simulation, each after its request class or call. */
 import type { RuleName } from "../../ids/rulename.js";
 
-/** The rule of a class or call. */
+/** Returns the name of the rule for the class or call `name`. */
 export const ruleOf = (name: string): RuleName => name as RuleName;
--- a/src/policy/model/runmodel.ts
+++ b/src/policy/model/runmodel.ts
@@ -1,7 +1,7 @@
 /**
- * Runs a model: callers, hosts and troubles of a scenario, with the daemon's own policies between them.
+ * Runs a simulation: the callers, hosts and disturbances of a scenario, with the daemon's own policies between them.
  *
- * No network, no clock, no processes: the same scenario and seed give the same figures.
+ * It uses no network, no clock and no processes, so the same scenario and seed give the same figures.
  */
 import { medianShare } from "../admission/medianshare.js";
 import type { RandomSource } from "../randomsource.js";
@@ -19,16 +19,17 @@
 import type { Scenario } from "./scenario.js";
 import type { SentRequest } from "./sentrequest.js";
 
-/** As many as the users' sites of this size have. */
+/** The number of data halls of users' sites of this size. */
 const HALLS = 3;
-/** Milliseconds; rates are by the second, and so are tallies. */
 const MS_PER_SECOND = 1000;
-/** A caller that is refused comes back when told, at the most so much of its time left later. */
+/**
+ * A refused caller retries after the time stated in the refusal, but after this share of its remaining time at the
+ * latest.
+ */
 const MAX_RETRY_DELAY_SHARE = 1 / 3;
-/** Tries of a caller. */
 const MAX_ATTEMPTS = 2;
 
-/** Once for each run. */
+/** One run of a simulation. */
 class Model {
     readonly #loop = new EventLoop();
     readonly #hosts: ModelHost[] = [];
@@ -42,10 +43,10 @@
         const count = Math.ceil(scenario.lengthMs / MS_PER_SECOND);
         this.#seconds = Array.from({ length: count }, () => ({ requests: 0, inTime: 0 }));
         for (const service of scenario.services) {
-            for (let at = 0; at < service.upstreams; at++) {
+            for (let index = 0; index < service.upstreams; index++) {
                 const upstream = new ModelUpstream(service, scenario, this.#loop, random);
                 upstream.restart();
-                const host = { name: `${service.name}-${at}`, service: service.name, hall: at % HALLS, upstream };
+                const host = { name: `${service.name}-${index}`, service: service.name, hall: index % HALLS, upstream };
                 this.#hosts.push({
                     ...host,
                     gate: this.#createGate(service.name, upstream),
@@ -62,11 +63,11 @@
         const { classes, troubles, lengthMs } = this.scenario;
         classes.forEach((kind, index) => this.#scheduleArrivals(kind, this.#classes[index]!));
         troubles.forEach(trouble => this.#scheduleTrouble(trouble));
-        this.#loop.runUntil(lengthMs + Math.max(...classes.map(({ callerTimeoutMs: callerMs }) => callerMs)));
+        this.#loop.runUntil(lengthMs + Math.max(...classes.map(({ callerTimeoutMs }) => callerTimeoutMs)));
         return { classes: this.#classes, seconds: this.#seconds };
     }
 
-    /** By the records of the service's hosts. */
+    /** Returns the knee share by the records of the service's hosts, or undefined if none is known. */
     #serviceKneeShare(service: string): number | undefined {
         if (!this.scenario.policy.keepsKneeShare) {
             return undefined;
@@ -121,38 +122,42 @@
             const startedAt = this.#loop.now;
             const liveHosts = this.#hosts.filter(host => host.isUp);
             const host = liveHosts[Math.floor(this.random() * liveHosts.length)];
-            const remainingMs = firstAttemptAt + kind.callerTimeoutMs - startedAt;
-            const onResult = (end: ModelResult): void => {
+            const callerRemainingMs = firstAttemptAt + kind.callerTimeoutMs - startedAt;
+            const onResult = (result: ModelResult): void => {
                 const now = this.#loop.now;
-                if (end.outcome === "served") {
+                if (result.outcome === "served") {
                     const isInTime = now - firstAttemptAt <= kind.targetMs;
                     tally[isInTime ? "inTime" : "late"] += 1;
                     second.inTime += Number(isInTime);
                     return;
                 }
                 const remainingMs = firstAttemptAt + kind.callerTimeoutMs - now;
-                if (end.outcome === "refused" && attempts < MAX_ATTEMPTS && remainingMs > 0) {
+                if (result.outcome === "refused" && attempts < MAX_ATTEMPTS && remainingMs > 0) {
                     this.#loop.schedule(
-                        Math.min(end.retryAfterMs, remainingMs * MAX_RETRY_DELAY_SHARE),
+                        Math.min(result.retryAfterMs, remainingMs * MAX_RETRY_DELAY_SHARE),
                         () => attempt(attempts + 1),
                     );
                     return;
                 }
-                tally[end.outcome === "refused" ? "refused" : "failed"] += 1;
+                tally[result.outcome === "refused" ? "refused" : "failed"] += 1;
             };
             if (host === undefined) {
-                onResult({ outcome: "refused", reason: "busy", retryAfterMs: remainingMs * MAX_RETRY_DELAY_SHARE });
+                onResult({
+                    outcome: "refused",
+                    reason: "busy",
+                    retryAfterMs: callerRemainingMs * MAX_RETRY_DELAY_SHARE,
+                });
                 return;
             }
-            const deadline = startedAt + Math.min(kind.timeLimitMs, remainingMs);
+            const deadline = startedAt + Math.min(kind.timeLimitMs, callerRemainingMs);
             const { priority } = kind;
             host.ingress.serve({ kind, priority, firstAttemptAt, deadline, depth: 0 }, this.#hosts, onResult);
         };
         attempt(1);
     }
 
-    #sendCall(name: string, parent: SentRequest, done: (end: ModelResult) => void): void {
-        const call = this.scenario.calls.find(other => other.name === name)!;
+    #sendCall(name: string, parent: SentRequest, done: (result: ModelResult) => void): void {
+        const call = this.scenario.calls.find(candidate => candidate.name === name)!;
         const now = this.#loop.now;
         const caller = this.#hosts[Math.floor(this.random() * this.#hosts.length)]!;
         const deadline = Math.min(parent.deadline, now + call.timeLimitMs);
@@ -167,15 +172,15 @@
                 return;
             case "loss":
                 this.#loop.schedule(trouble.atMs, () => {
-                    const all = this.#hosts.filter(host => host.service === trouble.service && host.isUp);
-                    all.slice(0, trouble.count).forEach(host => this.#stopHost(host));
+                    const hosts = this.#hosts.filter(host => host.service === trouble.service && host.isUp);
+                    hosts.slice(0, trouble.count).forEach(host => this.#stopHost(host));
                 });
                 return;
             case "restart":
                 this.#loop.schedule(trouble.atMs, () => {
-                    const all = this.#hosts.filter(host => host.isUp);
-                    all.forEach(host => this.#stopHost(host));
-                    this.#loop.schedule(trouble.downMs, () => all.forEach(host => this.#startHost(host)));
+                    const hosts = this.#hosts.filter(host => host.isUp);
+                    hosts.forEach(host => this.#stopHost(host));
+                    this.#loop.schedule(trouble.downMs, () => hosts.forEach(host => this.#startHost(host)));
                 });
                 return;
             case "evacuate":
@@ -184,7 +189,7 @@
         }
     }
 
-    /** Its upstreams are cold when they come back. */
+    /** Evacuates a data hall for `durationMs`; its upstreams are cold afterwards. */
     #evacuate(hall: number, durationMs: number): void {
         const hosts = this.#hosts.filter(host => host.hall === hall);
         hosts.forEach(host => host.isEvacuated = true);
@@ -198,7 +203,7 @@
     #stopHost(host: ModelHost): void {
         host.isUp = false;
         host.recordedKneeShare = host.gate.learnedShare ?? host.recordedKneeShare;
-        host.gate.end();
+        host.gate.stop();
     }
 
     #startHost(host: ModelHost): void {
@@ -209,7 +214,7 @@
     }
 }
 
-/** What became of the scenario's requests. */
+/** Runs the scenario and returns what became of its requests. */
 export function runModel(scenario: Scenario, random: RandomSource): ModelTally {
     return new Model(scenario, random).run();
 }
--- a/src/policy/model/scenario.ts
+++ b/src/policy/model/scenario.ts
@@ -1,4 +1,4 @@
-/** What a model is made of: services, what callers send, and what goes wrong when. Times in milliseconds. */
+/** Describes what is simulated: services, the requests of callers, and disturbances. Times are milliseconds. */
 import type { ColdLimits } from "../cold/coldlimits.js";
 import type { ModelCall } from "./modelcall.js";
 import type { ModelClass } from "./modelclass.js";
@@ -6,15 +6,15 @@
 import type { ModelService } from "./modelservice.js";
 import type { ModelTrouble } from "./modeltrouble.js";
 
-/** Made by a function for each kind of it, as layered.ts. */
+/** A scenario; `layered` creates one. */
 export type Scenario = {
     readonly lengthMs: number;
     readonly services: readonly ModelService[];
     readonly classes: readonly ModelClass[];
     readonly calls: readonly ModelCall[];
-    /** At each moment a share of the upstreams works `slowdown` as long; drawn again every so often. */
+    /** In each interval an upstream is slow with the probability `share`; its work then takes `slowdown` as long. */
     readonly noise: { readonly share: number; readonly slowdown: number; readonly intervalMs: number; };
-    /** After a start work takes `slowdown` as long, and a gate sends no more than the limits say, where there are any. */
+    /** After a start, work takes `slowdown` as long for `durationMs`, and gates apply `limits` if they are given. */
     readonly cold: {
         readonly durationMs: number;
         readonly slowdown: number;
--- a/src/policy/model/sentrequest.ts
+++ b/src/policy/model/sentrequest.ts
@@ -1,12 +1,12 @@
-/** A request in a model, as its ingress sends it. */
+/** Describes a request as a simulated ingress sends it. */
 import type { Priority } from "../../config/priority.js";
 import type { ModelCall } from "./modelcall.js";
 
-/** What the ingress knows of it. */
+/** The properties that do not change between attempts at several gates. Times are milliseconds of simulated time. */
 export type SentRequest = {
     readonly kind: ModelCall & { readonly calls?: { readonly name: string; readonly share: number; }; };
     readonly priority: Priority;
-    /** When its caller tried first. */
+    /** When the caller made its first attempt. */
     readonly firstAttemptAt: number;
     readonly deadline: number;
     readonly depth: number;
--- a/src/policy/model/usualpolicy.ts
+++ b/src/policy/model/usualpolicy.ts
@@ -1,7 +1,7 @@
-/** The policies of a model as they are where nothing is switched off. */
+/** The policies of a simulation with no part switched off. */
 import type { ModelPolicy } from "./modelpolicy.js";
 
-/** All parts as the daemon has them. */
+/** All parts as in the daemon. */
 export const usualPolicy: ModelPolicy = {
     limit: "learned",
     waitsForPace: true,
--- a/src/policy/model/worthshare.ts
+++ b/src/policy/model/worthshare.ts
@@ -1,10 +1,10 @@
-/** How much of the worth of a model's requests was served. */
+/** Computes how much of the worth of a simulation's requests was served. */
 import type { ClassTally } from "./classtally.js";
 
-/** Of an answer in time. */
+/** The worth of a late response, as a share of that of one in time. */
 const LATE_WORTH_SHARE = 0.1;
 
-/** Worth of what was answered in time, as a share of all; the late count a tenth. */
+/** Returns the worth of the served requests as a share of the worth of all requests, or 0 if there were none. */
 export function worthShare(classes: readonly ClassTally[]): number {
     const total = classes.reduce((sum, { requests, worth }) => sum + requests * worth, 0);
     const earned = classes.reduce(
