--- a/bench/makeviews.ts
+++ b/bench/makeviews.ts
@@ -1,4 +1,4 @@
-/** Upstreams as an ingress knows them, for measurements without a network. */
+/** Creates the views that an ingress has of upstreams, for benchmarks without a network. */
 import type { HallName } from "../src/ids/hallname.js";
 import { UpstreamStatements } from "../src/ingress/upstreamstatements.js";
 import { UpstreamView } from "../src/ingress/upstreamview.js";
@@ -7,7 +7,7 @@
 
 const idle = { local: false, isEvacuated: () => false, statements: new UpstreamStatements(), onSent: () => {} };
 
-/** So many, each with a report; `hall` is the ingress's own. */
+/** Returns `count` views, each with a load report; `hall` is the data hall of the ingress. */
 export function makeViews(count: number, hall: HallName): UpstreamView[] {
     return makeDocument(count).upstreams.map(upstream => {
         const options = { localIp: "127.0.0.1", key: "k", clock: () => performance.now(), onSilent: () => {} };
--- a/bench/measureslope.ts
+++ b/bench/measureslope.ts
@@ -1,16 +1,16 @@
-/** Measures what one more costs. */
+/** Measures the cost of one more item. */
 import type { Slope } from "./slope.js";
 
-/** Takes the total at each count, the least of a few tries; the slope is between the ends. */
+/** Takes the lowest of three totals at each count; the slope is that between the first and the last count. */
 export async function measureSlope(
     name: string,
     unit: string,
     counts: readonly number[],
-    total: (count: number) => number | Promise<number>,
+    measureTotal: (count: number) => number | Promise<number>,
 ): Promise<Slope> {
     const totals: { count: number; total: number; }[] = [];
     for (const count of counts) {
-        const runs = [await total(count), await total(count), await total(count)];
+        const runs = [await measureTotal(count), await measureTotal(count), await measureTotal(count)];
         totals.push({ count, total: Math.min(...runs) });
     }
     const [first, last] = [totals[0]!, totals.at(-1)!];
--- a/bench/model.ts
+++ b/bench/model.ts
@@ -1,7 +1,9 @@
 /**
- * `npm run model -- [--hosts N] [--load X] [--policy P] [--trouble T] [--seed S] [--seeds N] [--seconds N] [--cold-per-second N] [--plot FILE.svg]`.
+ * `npm run model -- [--hosts N] [--load X] [--policy P] [--trouble T] [--seed S] [--seeds N] [--seconds N]
+ * [--cold-per-second N] [--plot FILE.svg]`.
  *
- * Runs the model of src/policy/model and prints what became of the requests, by class: no processes, no network.
+ * Runs the simulation in src/policy/model and prints the results of its requests by class. It uses no processes and
+ * no network.
  */
 import { writeFileSync } from "node:fs";
 import { parseArgs } from "node:util";
@@ -39,31 +41,31 @@
 
 const { hosts, load, policy, troubles, seed, seeds, seconds, plot } = settings;
 const perSecond = settings["cold-per-second"];
-/** As the settings of a daemon have them where they say nothing. */
+/** The defaults of the daemon's settings. */
 const coldLimits = perSecond === undefined ? undefined : { perSecond, overage: 1.5, slack: 2 };
 const scenario = layered({ hosts, load, lengthMs: seconds * MS_PER_SECOND, troubles, policy, coldLimits });
 const tallies: ModelTally[] = [];
-for (let at = 0; at < seeds; at++) {
-    tallies.push(runModel(scenario, seededRandom(seed + at)));
+for (let index = 0; index < seeds; index++) {
+    tallies.push(runModel(scenario, seededRandom(seed + index)));
 }
 
-/** Of all seeds together. */
+/** Returns the sum of a count of the class `name` over all seeds. */
 const sumOf = (pick: (tally: ClassTally) => number, name: string): number =>
     tallies.flatMap(tally => tally.classes).filter(tally => tally.name === name).reduce(
-        (sum, one) => sum + pick(one),
+        (sum, tally) => sum + pick(tally),
         0,
     );
 const share = (pick: (tally: ClassTally) => number, name: string): string =>
-    (sumOf(pick, name) / sumOf(one => one.requests, name)).toFixed(DIGITS);
+    (sumOf(pick, name) / sumOf(tally => tally.requests, name)).toFixed(DIGITS);
 
 const rows = scenario.classes.map(({ name, worth }) => [
     name,
     String(worth),
-    String(sumOf(one => one.requests, name)),
-    share(one => one.inTime, name),
-    share(one => one.late, name),
-    share(one => one.refused, name),
-    share(one => one.failed, name),
+    String(sumOf(tally => tally.requests, name)),
+    share(tally => tally.inTime, name),
+    share(tally => tally.late, name),
+    share(tally => tally.refused, name),
+    share(tally => tally.failed, name),
 ]);
 console.log(table(["class", "worth", "asked", "in time", "late", "refused", "failed"], rows));
 const worths = tallies.map(({ classes }) => worthShare(classes));
--- a/bench/modelsettings.test.ts
+++ b/bench/modelsettings.test.ts
@@ -13,13 +13,13 @@
     plot: undefined,
 };
 
-test("model settings: flags are read, and a wrong one is named with its value", () => {
+test("model settings: flags are parsed, and each invalid flag is reported with its value", () => {
     const settings = modelSettings(FLAGS);
     assert.ok(!Array.isArray(settings));
     assert.equal(settings.policy.keepsKneeShare, false);
     assert.equal(settings.troubles.length, 1);
-    const wrong = modelSettings({ ...FLAGS, hosts: "many", policy: "best", load: "0" });
-    assert.ok(Array.isArray(wrong));
-    assert.deepEqual(wrong.map(line => line.split(":")[0]), ["--hosts many", "--load 0", "--policy best"]);
-    assert.match(wrong[2]!, /usual, no-pace-wait/);
+    const errors = modelSettings({ ...FLAGS, hosts: "many", policy: "best", load: "0" });
+    assert.ok(Array.isArray(errors));
+    assert.deepEqual(errors.map(line => line.split(":")[0]), ["--hosts many", "--load 0", "--policy best"]);
+    assert.match(errors[2]!, /usual, no-pace-wait/);
 });
--- a/bench/modelsettings.ts
+++ b/bench/modelsettings.ts
@@ -1,10 +1,10 @@
-/** What an operator of the model asks for; a wrong flag is named with its value and what is allowed. */
+/** Parses the flags of the simulation; an error names the flag, its value and the allowed values. */
 import { z } from "zod";
 import type { ModelPolicy } from "../src/policy/model/modelpolicy.js";
 import type { ModelTrouble } from "../src/policy/model/modeltrouble.js";
 import { usualPolicy } from "../src/policy/model/usualpolicy.js";
 
-/** Policies by name: all parts, and each with one part switched off. */
+/** Policies by name: `usual` has all parts, each other policy has one part switched off or replaced. */
 const policies: Readonly<Record<string, ModelPolicy>> = {
     "usual": usualPolicy,
     "no-pace-wait": { ...usualPolicy, waitsForPace: false },
@@ -16,7 +16,7 @@
     "calls-raised": { ...usualPolicy, callPriority: "raised" },
 };
 
-/** Troubles by name; times in milliseconds. */
+/** Disturbances by name; times are milliseconds. */
 const troubles: Readonly<Record<string, readonly ModelTrouble[]>> = {
     none: [],
     burst: [{ type: "burst", atMs: 8000, durationMs: 5000, loadFactor: 1.7 }],
@@ -45,13 +45,13 @@
     plot: z.string().optional(),
 });
 
-/** Checked. */
+/** The parsed flags, with the policy and the disturbances that they name. */
 type ModelSettings = Omit<z.infer<typeof Flags>, "policy" | "trouble"> & {
     readonly policy: ModelPolicy;
     readonly troubles: readonly ModelTrouble[];
 };
 
-/** The settings, or one line for each flag that is wrong. */
+/** Returns the settings, or one line for each invalid flag. */
 export function modelSettings(flags: Record<string, string | undefined>): ModelSettings | string[] {
     const { data, error } = Flags.safeParse(flags);
     if (data === undefined) {
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -1,5 +1,9 @@
-/** `node dist/bench/path.js [ROUNDS] [RATE]`: what one hop and two hops add, and what a daemon costs.
- *  `DAEMON_FLAGS` are given to the daemons' Node, such as `--cpu-prof`. */
+/**
+ * `node dist/bench/path.js [ROUNDS] [RATE]`.
+ *
+ * Measures the latency that one hop and two hops add, and the processor time and memory of a daemon. `DAEMON_FLAGS` are
+ * passed to the daemons' Node, for example `--cpu-prof`.
+ */
 import { Child } from "../demo/child.js";
 import { control } from "../demo/control.js";
 import { Mesh } from "../demo/mesh.js";
@@ -9,7 +13,7 @@
 import { pathMesh } from "./pathmesh.js";
 import { readUsage } from "./readusage.js";
 
-const WARM_ROUNDS = 6;
+const WARM_UP_ROUNDS = 6;
 const IDLE_MS = 5000;
 const rounds = Number(process.argv[2] ?? 20);
 const rate = Number(process.argv[3] ?? 500);
@@ -36,37 +40,39 @@
         { name: "daemon of the target", pid: mesh.daemons.get(target.name)!.pid },
         { name: "daemon of the neighbour", pid: mesh.daemons.get(neighbour.name)!.pid },
     ];
-    const idleBefore = processes.map(({ pid }) => readUsage(pid));
+    const usageAtStart = processes.map(({ pid }) => readUsage(pid));
     await new Promise(resolve => setTimeout(resolve, IDLE_MS));
-    const idle = processes.map(({ pid }) => readUsage(pid));
-    for (let round = 0; round < WARM_ROUNDS + rounds; round++) {
+    const usageAfterIdle = processes.map(({ pid }) => readUsage(pid));
+    for (let round = 0; round < WARM_UP_ROUNDS + rounds; round++) {
         for (const path of paths) {
             const times = await timePath(path.address, "/target", rate);
-            if (round >= WARM_ROUNDS) {
+            if (round >= WARM_UP_ROUNDS) {
                 path.times.push(...times);
             }
         }
     }
-    const loaded = processes.map(({ pid }) => readUsage(pid));
+    const usageAfterLoad = processes.map(({ pid }) => readUsage(pid));
     const shares = [0.5, 0.9, 0.99];
-    const sorted = paths.map(path => [...path.times].sort((a, b) => a - b));
-    const base = shares.map(share => quantile(sorted[0]!, share));
-    const added = sorted.map(times => shares.map((share, at) => quantile(times, share) - base[at]!));
-    const rows = paths.map((path, at) => [
+    const sortedTimes = paths.map(path => [...path.times].sort((a, b) => a - b));
+    const directQuantiles = shares.map(share => quantile(sortedTimes[0]!, share));
+    const added = sortedTimes.map(times =>
+        shares.map((share, index) => quantile(times, share) - directQuantiles[index]!)
+    );
+    const rows = paths.map((path, index) => [
         path.name,
-        ...shares.map(share => quantile(sorted[at]!, share).toFixed(2)),
-        ...added[at]!.map(ms => ms.toFixed(2)),
+        ...shares.map(share => quantile(sortedTimes[index]!, share).toFixed(2)),
+        ...added[index]!.map(ms => ms.toFixed(2)),
     ]);
     console.log(table(["path", "p50", "p90", "p99", "+p50", "+p90", "+p99"], rows));
-    const usage = processes.map(({ name }, at) => [
+    const usage = processes.map(({ name }, index) => [
         name,
-        ((idle[at]!.cpuMs - idleBefore[at]!.cpuMs) / IDLE_MS * 100).toFixed(2),
-        idle[at]!.residentMb.toFixed(0),
-        loaded[at]!.residentMb.toFixed(0),
+        ((usageAfterIdle[index]!.cpuMs - usageAtStart[index]!.cpuMs) / IDLE_MS * 100).toFixed(2),
+        usageAfterIdle[index]!.residentMb.toFixed(0),
+        usageAfterLoad[index]!.residentMb.toFixed(0),
     ]);
     console.log(table(["process", "idle % of a core", "MB idle", "MB loaded"], usage));
     console.log(JSON.stringify({
-        requests: sorted[0]!.length,
+        requests: sortedTimes[0]!.length,
         oneHopAddedP99Ms: Number(added[2]![2]!.toFixed(2)),
         twoHopsAddedP99Ms: Number(added[3]![2]!.toFixed(2)),
         forwarderAddedP99Ms: Number(added[1]![2]!.toFixed(2)),
--- a/bench/pathmesh.ts
+++ b/bench/pathmesh.ts
@@ -1,7 +1,7 @@
-/** The smallest mesh that has both paths. */
+/** Defines the smallest mesh with paths of one hop and of two hops. */
 import type { MeshSpec } from "../demo/meshspec.js";
 
-/** One hall, a target and a neighbour; the neighbour's daemon takes what goes two hops. */
+/** One data hall with a target and a neighbour; requests over two hops enter at the neighbour's daemon. */
 export const pathMesh: MeshSpec = {
     name: "path",
     region: "here",
--- a/bench/readusage.ts
+++ b/bench/readusage.ts
@@ -1,4 +1,4 @@
-/** What a process uses, from the system's own books. */
+/** Reads what a process uses from the `/proc` file system. */
 import { readFileSync } from "node:fs";
 
 /** Processor time of all threads, in milliseconds, and resident memory, in MB. */
@@ -9,7 +9,7 @@
 const USER_TICKS_FIELD = 11;
 const SYSTEM_TICKS_FIELD = 12;
 
-/** Reads `/proc`. */
+/** Returns what the process `pid` has used and uses now. */
 export function readUsage(pid: number): Usage {
     const stat = readFileSync(`/proc/${pid}/stat`, "utf8");
     const fields = stat.slice(stat.lastIndexOf(")") + 2).split(" ");
--- a/bench/slope.ts
+++ b/bench/slope.ts
@@ -1,6 +1,6 @@
-/** A measured cost of one more of something. */
+/** Describes the measured cost of one more item. */
 
-/** `each` is by the unit, from the smallest and the largest count. */
+/** `perItem` is the cost of one more item in `unit`, from the totals at the first and the last count. */
 export type Slope = {
     readonly name: string;
     readonly unit: string;
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -1,4 +1,4 @@
-/** `npm run slopes`: what one more upstream, view, report, revision or request costs a daemon. */
+/** `npm run slopes`: measures what one more upstream, view, report, revision or request costs a daemon. */
 import { pack, unpack } from "msgpackr";
 import { createHmac } from "node:crypto";
 import { Pool } from "undici";
@@ -30,7 +30,7 @@
 const COUNTS = [10, 50, 200, 660];
 const US_PER_MS = 1000;
 const IP_UDP_HEADER_BYTES = 28;
-const SIGNATURE_BYTES = 8;
+const TAG_BYTES = 8;
 const retained: unknown[] = [];
 
 const collectedHeapBytes = (): number => {
@@ -39,24 +39,24 @@
     return process.memoryUsage().heapUsed;
 };
 
-/** The heap and what it holds outside, such as sockets' buffers. */
+/** The heap in use and the memory that its objects hold outside of it, such as the buffers of sockets. */
 const memoryBytes = (): number => collectedHeapBytes() + process.memoryUsage().external;
 
-const retainedBytes = (make: () => unknown): number => {
+const retainedBytes = (create: () => unknown): number => {
     const before = collectedHeapBytes();
-    retained.push(make());
+    retained.push(create());
     const bytes = collectedHeapBytes() - before;
     retained.pop();
     return bytes;
 };
 
-const measureMicroseconds = (times: number, run: (at: number) => void): number => {
-    for (let at = 0; at < times; at++) {
-        run(at);
+const measureMicroseconds = (times: number, run: (index: number) => void): number => {
+    for (let index = 0; index < times; index++) {
+        run(index);
     }
     const startAt = performance.now();
-    for (let at = 0; at < times; at++) {
-        run(at);
+    for (let index = 0; index < times; index++) {
+        run(index);
     }
     return (performance.now() - startAt) * US_PER_MS / times;
 };
@@ -92,7 +92,7 @@
         report: { running: 12, waiting: 7, limit: 12, serviceMs: 10.123456, baseMs: 10.123456 },
     }],
 };
-const wireBytes = (message: Message): number => pack(message).length + SIGNATURE_BYTES + IP_UDP_HEADER_BYTES;
+const wireBytes = (message: Message): number => pack(message).length + TAG_BYTES + IP_UDP_HEADER_BYTES;
 const sign = (body: Buffer): Buffer => createHmac("sha256", "key").update(body).digest();
 
 const slopes: Slope[] = [
@@ -135,13 +135,13 @@
     await measureSlope("placing a request, by candidate", "us", [4, 7, 50, 200], count => {
         const views = makeViews(count, hall);
         const placement = new ExpectedTime();
-        return measureMicroseconds(2000, at => placement.choose(views, at / 10, random));
+        return measureMicroseconds(2000, index => placement.choose(views, index / 10, random));
     }),
     await measureSlope("ledger entry", "bytes", [1000, 5000, 50_000], count =>
         retainedBytes(() => {
             const ledger = new Ledger(count);
-            for (let at = 0; at < count; at++) {
-                ledger.admit(`AbCdEfGhIjKl.${at}` as RequestId, 1e9, 0);
+            for (let index = 0; index < count; index++) {
+                ledger.admit(`AbCdEfGhIjKl.${index}` as RequestId, 1e9, 0);
             }
             return ledger;
         })),
@@ -167,7 +167,9 @@
     }),
 ];
 
-/** Processor time of the two roles by request, from real daemons under load less the same when idle. */
+/**
+ * Measures the processor time of ingress and gate per request on real daemons: that under load less that while idle.
+ */
 const measureRoles = async (): Promise<
     { readonly ingressUs: number; readonly gateUs: number; readonly idlePercent: number; readonly residentMb: number; }
 > => {
@@ -180,22 +182,24 @@
         }
         const pids = [neighbour, target].map(host => mesh.daemons.get(host.name)!.pid);
         const idleMs = 5000;
-        const start = pids.map(pid => readUsage(pid).cpuMs);
+        const cpuMsAtStart = pids.map(pid => readUsage(pid).cpuMs);
         await new Promise(resolve => setTimeout(resolve, idleMs));
-        const idle = pids.map((pid, at) => (readUsage(pid).cpuMs - start[at]!) / idleMs);
-        const before = pids.map(pid => readUsage(pid).cpuMs);
+        const idleShares = pids.map((pid, index) => (readUsage(pid).cpuMs - cpuMsAtStart[index]!) / idleMs);
+        const cpuMsBeforeLoad = pids.map(pid => readUsage(pid).cpuMs);
         const startedAt = performance.now();
         let requests = 0;
         for (let round = 0; round < 8; round++) {
             requests += (await timePath(neighbour.ingress, "/target")).length;
         }
         const elapsedMs = performance.now() - startedAt;
-        const usedMs = pids.map((pid, at) => readUsage(pid).cpuMs - before[at]! - idle[at]! * elapsedMs);
+        const usedMs = pids.map((pid, index) =>
+            readUsage(pid).cpuMs - cpuMsBeforeLoad[index]! - idleShares[index]! * elapsedMs
+        );
         const [ingressUs, gateUs] = usedMs.map(ms => ms * US_PER_MS / requests);
         return {
             ingressUs: ingressUs!,
             gateUs: gateUs!,
-            idlePercent: idle[1]! * 100,
+            idlePercent: idleShares[1]! * 100,
             residentMb: readUsage(pids[1]!).residentMb,
         };
     }
@@ -204,7 +208,7 @@
     }
 };
 
-/** A process that answers, for connections to stand open to. */
+/** The server to which the connections are kept open. */
 const server = new Child(new URL("../standin/upstreammain.js", import.meta.url).pathname, [
     "127.0.0.1:7999",
     "100",
@@ -225,16 +229,16 @@
 );
 await server.end("SIGKILL");
 const roles = await measureRoles();
-const rows = slopes.map(({ name: what, unit, perItem: each, totals: at }) => [
-    what,
-    `${each.toFixed(each < 10 ? 4 : 0)} ${unit}`,
-    at.map(({ count, total }) => `${count}: ${total.toFixed(total < 10 ? 2 : 0)}`).join("  "),
+const rows = slopes.map(({ name, unit, perItem, totals }) => [
+    name,
+    `${perItem.toFixed(perItem < 10 ? 4 : 0)} ${unit}`,
+    totals.map(({ count, total }) => `${count}: ${total.toFixed(total < 10 ? 2 : 0)}`).join("  "),
 ]);
 console.log(table(["what", "each", "totals"], rows));
-console.log(`bytes on the wire: beat ${wireBytes(heartbeat)}, load report ${wireBytes(loadReport)}`);
+console.log(`bytes on the wire: heartbeat ${wireBytes(heartbeat)}, load report ${wireBytes(loadReport)}`);
 console.log(JSON.stringify({
     slopes: Object.fromEntries(
-        slopes.map(({ name: what, unit, perItem: each }) => [what, `${each.toFixed(3)} ${unit}`]),
+        slopes.map(({ name, unit, perItem }) => [name, `${perItem.toFixed(3)} ${unit}`]),
     ),
     beatBytes: wireBytes(heartbeat),
     loadBytes: wireBytes(loadReport),
