--- a/bench/measureslope.ts
+++ b/bench/measureslope.ts
@@ -14,5 +14,5 @@
         totals.push({ count, total: Math.min(...runs) });
     }
     const [first, last] = [totals[0]!, totals.at(-1)!];
-    return { name: name, unit, perItem: (last.total - first.total) / (last.count - first.count), totals: totals };
+    return { name, unit, perItem: (last.total - first.total) / (last.count - first.count), totals };
 }
--- a/days/play.js
+++ b/days/play.js
@@ -1,9 +1,11 @@
 /**
- * Plays the days of days.json on the users' bench and prints what came of each:
- * `node days/play.js BENCH SITE [--jobs N] [NAME...]`. All of them without a name. Exit code 1 when a rule was broken.
+ * `node days/play.js BENCH SITE [--jobs N] [NAME...]`.
  *
- * BENCH and SITE are paths; nothing of either is kept here. A day has the traffic of the site and 22 s, plus a bench run's
- * own end.
+ * Runs the named days of days.json, or all of them, with the users' bench program and prints the result of each.
+ * Exits with status 1 if a day broke a rule or could not be run.
+ *
+ * BENCH and SITE are paths to the users' program and to a site file, which are not part of this project. A day has
+ * the traffic of the site for 22 s, followed by the end that the bench adds to each run.
  */
 import { spawn } from "node:child_process";
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
@@ -11,13 +13,13 @@
 import { join } from "node:path";
 
 const SEED = 20261202;
-const UNTIL_S = 22;
+const DAY_LENGTH_S = 22;
 
 const readArguments = () => {
-    const words = process.argv.slice(2);
-    const at = words.indexOf("--jobs");
-    const jobs = at < 0 ? 2 : Number(words.splice(at, 2)[1]);
-    const [bench, site, ...names] = words;
+    const args = process.argv.slice(2);
+    const index = args.indexOf("--jobs");
+    const jobs = index < 0 ? 2 : Number(args.splice(index, 2)[1]);
+    const [bench, site, ...names] = args;
     if (bench === undefined || site === undefined || !(jobs >= 1)) {
         console.error("usage: node days/play.js BENCH SITE [--jobs N] [NAME...]");
         process.exit(2);
@@ -35,7 +37,7 @@
     return JSON.stringify(value);
 };
 
-const dayFile = (name, { plan = [], faults = [] }) =>
+const dayToToml = (name, { plan = [], faults = [] }) =>
     Object.entries({ name, slot: "trouble", seed: SEED, one: 1, zero: 0, goal: { floor: 0 }, plan, faults })
         .map(([key, value]) => `${key} = ${toToml(value)}`)
         .join("\n");
@@ -44,48 +46,52 @@
     new Promise(resolve => {
         const file = join(folder, `${name}.toml`);
         const report = join(folder, `${name}.json`);
-        writeFileSync(file, dayFile(name, day));
-        const why = `A day of our own: ${name}`;
-        const args = ["run", site, file, "--until", String(UNTIL_S), "--report", report, "--why", why];
-        const child = spawn(bench, args, { stdio: ["ignore", "pipe", "pipe"] });
-        let text = "";
-        child.stdout.on("data", chunk => text += chunk);
-        child.stderr.on("data", chunk => text += chunk);
-        child.on("close", () => resolve(readResult(name, report, text)));
+        writeFileSync(file, dayToToml(name, day));
+        const reason = `A day of our own: ${name}`;
+        const benchArgs = ["run", site, file, "--until", String(DAY_LENGTH_S), "--report", report, "--why", reason];
+        const child = spawn(bench, benchArgs, { stdio: ["ignore", "pipe", "pipe"] });
+        let output = "";
+        child.stdout.on("data", chunk => output += chunk);
+        child.stderr.on("data", chunk => output += chunk);
+        child.on("close", () => resolve(readResult(name, report, output)));
     });
 
-const readResult = (name, report, text) => {
+const readResult = (name, report, output) => {
     try {
         const { all, breaks, fault, served } = JSON.parse(readFileSync(report, "utf8"));
-        const broken = [
+        const violations = [
             ...Object.entries(breaks).map(([rule, count]) => `${rule} ${JSON.stringify(count)}`),
             fault ?? [],
         ]
             .flat();
-        return { name, served, inAim: all.in_aim / all.n, broken };
+        return { name, served, inTimeShare: all.in_aim / all.n, violations };
     }
     catch {
-        return { name, served: 0, inAim: 0, broken: [`not played: ${text.trim().split("\n").at(-1)}`] };
+        return { name, served: 0, inTimeShare: 0, violations: [`not played: ${output.trim().split("\n").at(-1)}`] };
     }
 };
 
 const main = async () => {
     const options = readArguments();
     const { days } = JSON.parse(readFileSync(new URL("days.json", import.meta.url), "utf8"));
-    const wanted = Object.entries(days).filter(([name]) => options.names.length === 0 || options.names.includes(name));
+    const remainingDays = Object.entries(days).filter(([name]) =>
+        options.names.length === 0 || options.names.includes(name)
+    );
     const folder = mkdtempSync(join(tmpdir(), "winglock-days-"));
-    let red = 0;
-    const work = async () => {
-        for (let next = wanted.shift(); next !== undefined; next = wanted.shift()) {
-            const { name, served, inAim, broken } = await play(options, folder, ...next);
-            red += broken.length === 0 ? 0 : 1;
-            const credit = `credit ${served.toFixed(3)}  in time ${inAim.toFixed(3)}`;
-            console.log(`${name.padEnd(24)} ${credit}  ${broken.length === 0 ? "all rules kept" : broken.join("; ")}`);
+    let failedDays = 0;
+    const runRemainingDays = async () => {
+        for (let next = remainingDays.shift(); next !== undefined; next = remainingDays.shift()) {
+            const { name, served, inTimeShare, violations } = await play(options, folder, ...next);
+            failedDays += violations.length === 0 ? 0 : 1;
+            const credit = `credit ${served.toFixed(3)}  in time ${inTimeShare.toFixed(3)}`;
+            console.log(
+                `${name.padEnd(24)} ${credit}  ${violations.length === 0 ? "all rules kept" : violations.join("; ")}`,
+            );
         }
     };
-    await Promise.all(Array.from({ length: options.jobs }, work));
+    await Promise.all(Array.from({ length: options.jobs }, runRemainingDays));
     rmSync(folder, { recursive: true, force: true });
-    process.exitCode = red === 0 ? 0 : 1;
+    process.exitCode = failedDays === 0 ? 0 : 1;
 };
 
 await main();
