--- a/src/policy/model/model.test.ts
+++ b/src/policy/model/model.test.ts
@@ -4,7 +4,7 @@
  * The load: three services of which two call another, about half used; twice as many slots as work that fits below
  * the knee; work five times slower at a quarter of the upstreams, sampled again every 150 ms; bursts, the loss of
  * half of a service, and a restart of all hosts. The figures are shares of the worth that was served in time, as
- * means over seeds. Each bound is the measured figure less the differences between seeds.
+ * means over seeds. Each bound leaves room for the differences between seeds.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
