--- a/src/policy/model/modelingress.ts
+++ b/src/policy/model/modelingress.ts
@@ -1,4 +1,4 @@
-/** An ingress of a model: the daemon's own placement, waits and bounds of moves. */
+/** Simulates an ingress: the daemon's own placement, queueing limits and redirect limits, in simulated time. */
 import { maxWait } from "../admission/maxwait.js";
 import { availableTargets } from "../placement/availabletargets.js";
 import { ExpectedTime } from "../placement/expectedtime.js";
@@ -6,85 +6,92 @@
 import type { RandomSource } from "../randomsource.js";
 import { maxRedirects } from "../retry/maxredirects.js";
 import type { EventLoop } from "./eventloop.js";
-import type { ModelEnd } from "./modelend.js";
 import type { ModelRequest } from "./modelrequest.js";
-import type { ModelSent } from "./modelsent.js";
+import type { ModelResult } from "./modelresult.js";
 import type { ModelTarget } from "./modeltarget.js";
 import { modelTeam } from "./modelteam.js";
 import { ModelView } from "./modelview.js";
 import { ruleOf } from "./ruleof.js";
+import type { SentRequest } from "./sentrequest.js";
 
-/** Between hosts, one way, in milliseconds. */
-const HOP_MS = 0.5;
-/** As deploy/settings.json sets them. */
+/** One way between two hosts. */
+const HOP_LATENCY_MS = 0.5;
+/** The options of the placement in deploy/settings.json. */
 const PLACEMENT = { leaveHallCost: 1.5, ownWeight: 3, loadFadeMs: 50 };
-/** The service's own bound, in milliseconds. */
+/** The longest time that a service lets a request be queued. */
 const SERVICE_MAX_WAIT_MS = 1000;
-/** Refused by this many gates after its moves, a request is given up. */
-const MAX_REFUSALS = 1;
+/** A request that was refused, but not redirected, is sent to this many other gates. */
+const MAX_ATTEMPTS_AFTER_REFUSAL = 1;
 
 type IngressDependencies = { readonly loop: EventLoop; readonly random: RandomSource; readonly hall: number; };
 
-/** Forgets what it knew of upstreams at a restart, since it is made anew. */
+/** A restart replaces the ingress, so its knowledge of the upstreams is lost. */
 export class ModelIngress {
     readonly #placement = new ExpectedTime(PLACEMENT);
     readonly #views = new Map<ModelTarget, ModelView>();
 
     constructor(private readonly deps: IngressDependencies) {}
 
-    /** `done` is called once. */
-    serve(sent: ModelSent, hosts: readonly ModelTarget[], done: (end: ModelEnd) => void): void {
+    /** Sends a request to the hosts of its service until one serves it; `done` is called once. */
+    serve(sent: SentRequest, hosts: readonly ModelTarget[], done: (result: ModelResult) => void): void {
         const views = hosts.filter(host => host.service === sent.kind.service).map(host => this.#viewOf(host));
-        this.#try(sent, views, { tried: new Set<ModelView>(), moves: 0, refusals: 0 }, done);
+        this.#attempt(sent, views, { attempted: new Set<ModelView>(), redirects: 0, refusals: 0 }, done);
     }
 
-    #try(
-        sent: ModelSent,
+    #attempt(
+        sent: SentRequest,
         views: readonly ModelView[],
-        so: { readonly tried: Set<ModelView>; moves: number; refusals: number; },
-        done: (end: ModelEnd) => void,
+        progress: { readonly attempted: Set<ModelView>; redirects: number; refusals: number; },
+        done: (result: ModelResult) => void,
     ): void {
         const { loop, random } = this.deps;
-        const target = this.#placement.choose(selectTargets(views, so.tried, loop.now), loop.now, random) as
+        const target = this.#placement.choose(selectTargets(views, progress.attempted, loop.now), loop.now, random) as
             | ModelView
             | undefined;
         if (target === undefined) {
             done({ outcome: "refused", reason: "busy", retryAfterMs: 250 });
             return;
         }
-        so.tried.add(target);
-        const untried = so.moves < maxRedirects ? availableTargets(views, so.tried, loop.now) : [];
-        const request = this.#request(sent, untried);
+        progress.attempted.add(target);
+        const otherTargets = progress.redirects < maxRedirects
+            ? availableTargets(views, progress.attempted, loop.now)
+            : [];
+        const request = this.#createRequest(sent, otherTargets);
         target.outstanding += 1;
-        const onEnd = (end: ModelEnd): void => {
-            loop.in(HOP_MS, () => {
+        const onResult = (result: ModelResult): void => {
+            loop.schedule(HOP_LATENCY_MS, () => {
                 target.outstanding -= 1;
                 target.recordReport(loop.now);
-                if (end.outcome === "refused" && end.reason === "cold") {
+                if (result.outcome === "refused" && result.reason === "cold") {
                     target.recordCold(loop.now);
                 }
-                const isMove = end.outcome === "refused" && ["busy", "cold", "slow"].includes(end.reason);
-                const isFull = end.outcome === "refused" && !isMove && end.reason !== "deadline";
-                if (isMove && so.moves <= maxRedirects) {
-                    so.moves += 1;
-                    this.#try(sent, views, so, done);
+                const isRedirect = result.outcome === "refused" && ["busy", "cold", "slow"].includes(result.reason);
+                const isFull = result.outcome === "refused" && !isRedirect && result.reason !== "deadline";
+                if (isRedirect && progress.redirects <= maxRedirects) {
+                    progress.redirects += 1;
+                    this.#attempt(sent, views, progress, done);
                 }
-                else if (isFull && so.refusals < MAX_REFUSALS && untried.length > 0) {
-                    so.refusals += 1;
-                    this.#try(sent, views, so, done);
+                else if (isFull && progress.refusals < MAX_ATTEMPTS_AFTER_REFUSAL && otherTargets.length > 0) {
+                    progress.refusals += 1;
+                    this.#attempt(sent, views, progress, done);
                 }
                 else {
-                    done(end);
+                    done(result);
                 }
             });
         };
-        loop.in(HOP_MS, () => target.host.gate.serve(request, onEnd));
+        loop.schedule(HOP_LATENCY_MS, () => target.host.gate.serve(request, onResult));
     }
 
-    #request(sent: ModelSent, untried: readonly ModelView[]): ModelRequest {
+    #createRequest(sent: SentRequest, otherTargets: readonly ModelView[]): ModelRequest {
         const { loop } = this.deps;
-        const { kind, priority, deadline, depth, firstAt } = sent;
-        const wait = { serviceMaxWaitMs: SERVICE_MAX_WAIT_MS, targetMs: kind.targetMs, startedAt: firstAt, depth };
+        const { kind, priority, deadline, depth, firstAttemptAt } = sent;
+        const wait = {
+            serviceMaxWaitMs: SERVICE_MAX_WAIT_MS,
+            targetMs: kind.targetMs,
+            startedAt: firstAttemptAt,
+            depth,
+        };
         return {
             sent,
             priority,
@@ -92,17 +99,17 @@
             deadline,
             maxWaitMs: maxWait(wait, loop.now),
             rule: ruleOf(kind.name),
-            choices: untried.length,
-            nearChoices: untried.filter(view => view.sameHall).length,
-            grant: () => {},
+            choices: otherTargets.length,
+            nearChoices: otherTargets.filter(view => view.sameHall).length,
+            start: () => {},
             refuse: () => {},
         };
     }
 
     #viewOf(host: ModelTarget): ModelView {
-        const known = this.#views.get(host);
-        if (known !== undefined) {
-            return known;
+        const existing = this.#views.get(host);
+        if (existing !== undefined) {
+            return existing;
         }
         const view = new ModelView(host, host.hall === this.deps.hall);
         this.#views.set(host, view);
--- a/src/policy/model/modelservice.ts
+++ b/src/policy/model/modelservice.ts
@@ -1,10 +1,13 @@
-/** A service of a model. */
+/** Describes a service in a simulation. */
 
-/** Upstreams of one kind; `knee`: with more of the slots in use, as a share, work takes `kneeTimes` as long. */
+/**
+ * A number of equal upstreams. Work takes `kneeSlowdown` as long while more than the share `knee` of the slots is in
+ * use.
+ */
 export type ModelService = {
     readonly name: string;
     readonly upstreams: number;
     readonly slots: number;
     readonly knee: number;
-    readonly kneeTimes: number;
+    readonly kneeSlowdown: number;
 };
--- a/src/policy/model/modelsent.ts
+++ b/src/policy/model/sentrequest.ts
@@ -1,13 +1,13 @@
-/** A request in a model, as its ingress sends it. */
+/** Describes a request as a simulated ingress sends it. */
 import type { Priority } from "../../config/priority.js";
 import type { ModelCall } from "./modelcall.js";
 
-/** What the ingress knows of it. */
-export type ModelSent = {
+/** The properties that do not change between attempts at several gates. Times are milliseconds of simulated time. */
+export type SentRequest = {
     readonly kind: ModelCall & { readonly calls?: { readonly name: string; readonly share: number; }; };
     readonly priority: Priority;
-    /** When its caller tried first. */
-    readonly firstAt: number;
+    /** When the caller made its first attempt. */
+    readonly firstAttemptAt: number;
     readonly deadline: number;
     readonly depth: number;
 };
--- a/src/policy/model/usualpolicy.ts
+++ b/src/policy/model/usualpolicy.ts
@@ -1,11 +1,11 @@
-/** The policies of a model as they are where nothing is switched off. */
+/** The policies of a simulation with no part switched off. */
 import type { ModelPolicy } from "./modelpolicy.js";
 
-/** All parts as the daemon has them. */
+/** All parts as in the daemon. */
 export const usualPolicy: ModelPolicy = {
     limit: "learned",
     waitsForPace: true,
-    remembers: true,
-    calls: "own",
-    moves: true,
+    keepsKneeShare: true,
+    callPriority: "own",
+    redirects: true,
 };
--- a/src/policy/model/worthshare.ts
+++ b/src/policy/model/worthshare.ts
@@ -1,12 +1,15 @@
-/** How much of the worth of a model's requests was served. */
+/** Computes how much of the worth of a simulation's requests was served. */
 import type { ClassTally } from "./classtally.js";
 
-/** Of an answer in time. */
-const LATE = 0.1;
+/** The worth of a late response, as a share of that of one in time. */
+const LATE_WORTH_SHARE = 0.1;
 
-/** Worth of what was answered in time, as a share of all; the late count a tenth. */
+/** Returns the worth of the served requests as a share of the worth of all requests, or 0 if there were none. */
 export function worthShare(classes: readonly ClassTally[]): number {
-    const owed = classes.reduce((sum, { asked, worth }) => sum + asked * worth, 0);
-    const earned = classes.reduce((sum, { inTime, late, worth }) => sum + (inTime + LATE * late) * worth, 0);
-    return owed === 0 ? 0 : earned / owed;
+    const total = classes.reduce((sum, { requests, worth }) => sum + requests * worth, 0);
+    const earned = classes.reduce(
+        (sum, { inTime, late, worth }) => sum + (inTime + LATE_WORTH_SHARE * late) * worth,
+        0,
+    );
+    return total === 0 ? 0 : earned / total;
 }
