--- a/src/daemon/bootstrap.ts
+++ b/src/daemon/bootstrap.ts
@@ -21,7 +21,7 @@
     evacuations: Evacuations,
     clock: Clock,
 ): Promise<void> => {
-    const askedAt = clock();
+    const requestedAt = clock();
     try {
         const { document, halls, isNewest } = await store.readCached();
         if (halls !== undefined) {
@@ -31,7 +31,7 @@
             configuration.apply(decodeDocument(document.value));
         }
         if (isNewest) {
-            configuration.confirm(configuration.revision, askedAt);
+            configuration.confirm(configuration.revision, requestedAt);
         }
     }
     catch (err) {
@@ -48,6 +48,6 @@
     evacuations: Evacuations,
     clock: Clock,
 ): Promise<void> {
-    const asked = seeds.map(async seed => await puller.pull(Infinity, seed));
-    await Promise.all([readStore(store, configuration, evacuations, clock), ...asked]);
+    const pulls = seeds.map(async seed => await puller.pull(Infinity, seed));
+    await Promise.all([readStore(store, configuration, evacuations, clock), ...pulls]);
 }
--- a/src/daemon/configurationgroup.ts
+++ b/src/daemon/configurationgroup.ts
@@ -12,10 +12,10 @@
 import { RuleMatcher } from "./rulematcher.js";
 
 /** Before the second try of a change, and as much longer before each later one, in milliseconds. */
-const RETRY_PAUSE_MS = 100;
+const RETRY_DELAY_MS = 100;
 
 /** What the document says of halls, where it says it. */
-const hallsOf = ({ revision, evacuated = [] }: Document): HallsChange => ({
+const evacuatedHallsOf = ({ revision, evacuated = [] }: Document): HallsChange => ({
     mark: { era: 0, revision },
     complete: true,
     evacuated,
@@ -38,11 +38,11 @@
         this.rules = new RuleMatcher(current, clock);
         this.puller = new ConfigurationPuller(current, peer, metrics);
         this.watcher = new DocumentWatcher(environment.store, current, evacuations, clock);
-        this.publisher = new ChangePublisher(environment.store, current, attempt => sleep(RETRY_PAUSE_MS * attempt));
+        this.publisher = new ChangePublisher(environment.store, current, attempt => sleep(RETRY_DELAY_MS * attempt));
         current.onChange(document => metrics.revision.set(document.revision));
         metrics.showAge(() => current.ageMs(clock()));
         if (environment.registry === undefined) {
-            current.onChange(document => evacuations.recordStoreChange(hallsOf(document)));
+            current.onChange(document => evacuations.recordStoreChange(evacuatedHallsOf(document)));
         }
         metrics.showEvacuated(() => evacuations.halls.length);
     }
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -20,9 +20,9 @@
 const logger = log("daemon");
 
 /** How long peers may still ask what became of requests that they sent; a revocation waits for 300 ms at the most. */
-const PEER_GRACE_MS = 500;
+const PEER_REVOKE_GRACE_MS = 500;
 /** Until the peers have received that the gates here take no more requests: a datagram's way, several times. */
-const SPREAD_MS = 100;
+const LEAVE_PROPAGATION_MS = 100;
 
 /** `start` and `stop` are called once each. */
 export class Daemon {
@@ -30,50 +30,50 @@
     readonly #configuration: ConfigurationGroup;
     readonly #gates: GateGroup;
     readonly #membership: MembershipGroup;
-    readonly #path: RequestPathGroup;
+    readonly #requestPath: RequestPathGroup;
     readonly #operators: OperatorGroup;
     readonly #router: DatagramRouter;
 
-    constructor(settings: Settings, environment: (settings: Settings, metrics: Metrics) => Environment) {
+    constructor(settings: Settings, createEnvironment: (settings: Settings, metrics: Metrics) => Environment) {
         const metrics = new Metrics();
-        const context = new DaemonContext(settings, environment(settings, metrics), metrics);
+        const context = new DaemonContext(settings, createEnvironment(settings, metrics), metrics);
         this.#context = context;
         this.#configuration = new ConfigurationGroup(context);
         this.#gates = new GateGroup(context, this.#configuration);
         this.#membership = new MembershipGroup(context, this.#configuration, this.#gates);
-        this.#path = new RequestPathGroup(context, this.#configuration, this.#gates, this.#membership);
-        this.#operators = new OperatorGroup(context, this.#configuration, this.#path, this.#membership);
+        this.#requestPath = new RequestPathGroup(context, this.#configuration, this.#gates, this.#membership);
+        this.#operators = new OperatorGroup(context, this.#configuration, this.#requestPath, this.#membership);
         this.#router = new DatagramRouter({
             self: context.self,
             clock: context.clock,
             send: context.send,
             identity: this.#gates.identity,
             gates: this.#gates.gates,
-            upstreams: this.#path.table,
+            upstreams: this.#requestPath.upstreamTable,
             heartbeats: this.#membership.heartbeats,
-            gossip: this.#membership.announced?.gossip,
-            failureDetector: this.#path.sharing.failureDetector,
-            transfer: this.#path.sharing.transfer,
+            gossip: this.#membership.registryMembership?.gossip,
+            failureDetector: this.#requestPath.loadSharing.failureDetector,
+            transfer: this.#requestPath.loadSharing.transfer,
             crashes: this.#membership.crashes,
         });
-        this.#membership.onChange(() => this.#path.apply(this.#membership.upstreams));
+        this.#membership.onChange(() => this.#requestPath.apply(this.#membership.upstreams));
     }
 
     /** Listens once a configuration is had or none can be; rejects when an address can't be had. */
     async start(): Promise<void> {
         const { settings, datagrams } = this.#context;
         const loaded = this.#configuration.load();
-        if (this.#membership.announced === undefined) {
+        if (this.#membership.registryMembership === undefined) {
             await loaded;
         }
         await datagrams.bind(settings.peer, message => this.#router.receive(message));
-        await this.#path.peerServer.listen(settings.peer);
+        await this.#requestPath.peerServer.listen(settings.peer);
         await this.#operators.listen();
-        await this.#path.ingress.listen(settings.ingress);
+        await this.#requestPath.ingress.listen(settings.ingress);
         await this.#operators.listenForReadiness();
         await this.#membership.start();
-        this.#path.sharing.start();
-        this.#gates.health.start();
+        this.#requestPath.loadSharing.start();
+        this.#gates.healthCheck.start();
         logger.change("The daemon is up.", {
             ready: true,
             host: settings.host,
@@ -86,26 +86,26 @@
     }
 
     /** Stops by plan: callers sent elsewhere, peers told, what runs is finished; after the time limit the rest is cut. */
-    async stop(hurry: AbortSignal): Promise<void> {
+    async stop(forceStop: AbortSignal): Promise<void> {
         const { settings, clock } = this.#context;
         const { lingerMs, limitMs } = settings.stop;
-        logger.change("The daemon stops.", { host: settings.host, inFlight: this.#inFlight() });
+        logger.change("The daemon stops.", { host: settings.host, inFlight: this.#inFlightCount() });
         this.#operators.server.unready();
-        this.#path.ingress.startClosing();
-        await sleep(lingerMs, hurry);
-        const endAt = clock() + limitMs;
+        this.#requestPath.ingress.startClosing();
+        await sleep(lingerMs, forceStop);
+        const deadline = clock() + limitMs;
         this.#startLeaving();
-        await sleep(SPREAD_MS, hurry);
-        await waitIdle(() => this.#gates.gates.pendingCount(), endAt - clock(), hurry);
-        await this.#path.ingress.close();
-        const left = await waitIdle(() => this.#inFlight(), endAt - clock(), hurry);
+        await sleep(LEAVE_PROPAGATION_MS, forceStop);
+        await waitIdle(() => this.#gates.gates.pendingCount(), deadline - clock(), forceStop);
+        await this.#requestPath.ingress.close();
+        const left = await waitIdle(() => this.#inFlightCount(), deadline - clock(), forceStop);
         if (left > 0) {
             logger.warn("Requests were cut off by the stop.", "the time for a stop is over", { left });
             console.error(`winglock:daemon ${left} requests were cut off by the stop.`);
         }
-        this.#path.ingress.destroy();
-        await this.#closePeers(hurry);
-        this.#endControl();
+        this.#requestPath.ingress.destroy();
+        await this.#closePeerServer(forceStop);
+        this.#stopControlTasks();
     }
 
     /**
@@ -113,34 +113,34 @@
      * serve on: the upstreams work. What runs there may call others through this ingress until it has ended.
      */
     #startLeaving(): void {
-        this.#path.sharing.stop();
-        void this.#membership.announced?.startLeaving();
+        this.#requestPath.loadSharing.stop();
+        void this.#membership.registryMembership?.startLeaving();
         this.#gates.gates.setClosed("stopping", true);
-        this.#announceStop();
-        this.#path.peerServer.startClosing();
+        this.#notifySenders();
+        this.#requestPath.peerServer.startClosing();
     }
 
     /** While it lasts, a peer that sent into a closing connection can still ask what became of the request. */
-    async #closePeers(hurry: AbortSignal): Promise<void> {
-        const { peerServer } = this.#path;
+    async #closePeerServer(forceStop: AbortSignal): Promise<void> {
+        const { peerServer } = this.#requestPath;
         peerServer.closeIdle();
-        await sleep(PEER_GRACE_MS, hurry);
-        await waitIdle(() => this.#inFlight(), PEER_GRACE_MS, hurry);
+        await sleep(PEER_REVOKE_GRACE_MS, forceStop);
+        await waitIdle(() => this.#inFlightCount(), PEER_REVOKE_GRACE_MS, forceStop);
         const closed = peerServer.close();
         peerServer.destroy();
         await closed;
     }
 
-    #inFlight(): number {
-        const { ingress, peerServer } = this.#path;
+    #inFlightCount(): number {
+        const { ingress, peerServer } = this.#requestPath;
         return this.#gates.gates.pendingCount() + ingress.inFlight + peerServer.inFlight;
     }
 
-    #endControl(): void {
+    #stopControlTasks(): void {
         const { environment, datagrams, peer } = this.#context;
         this.#membership.stop();
         this.#configuration.evacuations.stop();
-        this.#gates.health.stop();
+        this.#gates.healthCheck.stop();
         datagrams.close();
         void environment.store.close();
         void peer.close();
@@ -148,11 +148,11 @@
     }
 
     /** Tells those who sent requests here lately. */
-    #announceStop(): void {
+    #notifySenders(): void {
         const { self, datagrams } = this.#context;
         const upstreams = [...this.#gates.gates.all].map(gate => gate.upstream.name);
-        for (const peer of this.#path.sharing.reporter.recentSenders()) {
-            datagrams.send(peer, { type: "leave", from: self, upstreams });
+        for (const sender of this.#requestPath.loadSharing.reporter.recentSenders()) {
+            datagrams.send(sender, { type: "leave", from: self, upstreams });
         }
     }
 }
--- a/src/daemon/daemonpeerservice.ts
+++ b/src/daemon/daemonpeerservice.ts
@@ -20,7 +20,7 @@
 import { gateStatus } from "./gatestatus.js";
 
 /** The state from which peers are answered. */
-type ServiceDependencies = {
+type PeerServiceDependencies = {
     readonly identity: GateIdentity;
     readonly ledger: Ledger;
     readonly configuration: CurrentConfiguration;
@@ -34,7 +34,7 @@
 
 /** Answers from the daemon's own state. */
 export class DaemonPeerService extends PeerService {
-    constructor(private readonly deps: ServiceDependencies) {
+    constructor(private readonly deps: PeerServiceDependencies) {
         super();
     }
 
@@ -53,16 +53,16 @@
         return ledger.revoke(input.id, ledgerDeadline(input), clock());
     }
 
-    update(have: number): Update | undefined {
-        return this.deps.configuration.updateFor(have);
+    update(knownRevision: number): Update | undefined {
+        return this.deps.configuration.updateFor(knownRevision);
     }
 
     member(): Member {
         return this.#membership.member;
     }
 
-    records(have: RecordsPosition | undefined): RecordChanges {
-        return this.#membership.changesSince(have);
+    records(knownPosition: RecordsPosition | undefined): RecordChanges {
+        return this.#membership.changesSince(knownPosition);
     }
 
     crashes(changes: CrashChanges): CrashChanges {
@@ -72,8 +72,8 @@
     status(): GateStatus[] {
         const { gates, configuration, clock, membership, watchesStore } = this.deps;
         const now = clock();
-        const daemon = { watchesStore: watchesStore(), members: membership?.members.length ?? 0 };
-        return [...gates.all].map(gate => gateStatus(gate, configuration, daemon, now));
+        const daemonStatus = { watchesStore: watchesStore(), members: membership?.members.length ?? 0 };
+        return [...gates.all].map(gate => gateStatus(gate, configuration, daemonStatus, now));
     }
 
     get #membership(): Membership {
--- a/src/daemon/datagramrouter.ts
+++ b/src/daemon/datagramrouter.ts
@@ -37,7 +37,7 @@
             case "beat":
                 return heartbeats.receive(message);
             case "ping":
-                return this.#answer(message.from, message.sentAt);
+                return this.#sendPong(message.from, message.sentAt);
             case "pong":
                 return failureDetector.receivePong(message);
             case "load":
@@ -59,7 +59,7 @@
         }
     }
 
-    #answer(to: Address, sentAt: number): void {
+    #sendPong(to: Address, sentAt: number): void {
         const { self, clock, identity, gates, send } = this.deps;
         const { incarnation, gateTime, revision } = identity.note(clock());
         const loads = [...gates.all].map(gate => ({ upstream: gate.upstream.name, report: gate.report() }));
--- a/src/daemon/gategroup.ts
+++ b/src/daemon/gategroup.ts
@@ -26,90 +26,90 @@
 const coldLimitsOf = (
     { services }: Document,
     service: ServiceName,
-    bound: Pick<ColdLimits, "overage" | "slack">,
+    margin: Pick<ColdLimits, "overage" | "slack">,
 ): ColdLimits | undefined => {
     const { coldPerSecond: perSecond, coldStartMs: startMs = 0 } = services.find(({ name }) => name === service) ?? {};
-    return perSecond === undefined ? undefined : { perSecond, startMs, ...bound };
+    return perSecond === undefined ? undefined : { perSecond, startMs, ...margin };
 };
 
 /** Owns the ledger, the budgets of retries and the contexts of what runs here. */
 export class GateGroup {
-    readonly contexts = new CallContexts();
+    readonly callContexts = new CallContexts();
     readonly identity: GateIdentity;
     readonly ledger: Ledger;
-    readonly probes: ProbeBudget;
+    readonly probeBudget: ProbeBudget;
     readonly gates: GateSet;
-    readonly health: HealthCheck;
-    readonly retries: RetriesByService;
-    readonly guard: CrashGuard;
+    readonly healthCheck: HealthCheck;
+    readonly retriesByService: RetriesByService;
+    readonly crashGuard: CrashGuard;
     #onChange: () => void = () => {};
     #onEnding: (upstream: UpstreamName) => void = () => {};
-    #usualShare: (service: ServiceName) => number | undefined = () => undefined;
+    #medianLimitShare: (service: ServiceName) => number | undefined = () => undefined;
 
     constructor(context: DaemonContext, { current }: ConfigurationGroup) {
         const { settings, environment, metrics, clock, self, localIp } = context;
         const { control, limits, policy } = settings;
         this.identity = new GateIdentity(context.incarnation, () => current.revision);
         this.ledger = new Ledger(limits.ledgerEntries);
-        this.probes = new ProbeBudget(control, current, metrics, clock);
+        this.probeBudget = new ProbeBudget(control, current, metrics, clock);
         const { retryBurst: burst, repeats } = policy;
-        const bound = { ...repeats, windowMs: repeats.windowS * MS_PER_SECOND };
-        this.retries = new RetriesByService({ bound, burst, startedAt: clock() });
-        const shared = {
+        const repeatBound = { ...repeats, windowMs: repeats.windowS * MS_PER_SECOND };
+        this.retriesByService = new RetriesByService({ bound: repeatBound, burst, startedAt: clock() });
+        const gateDependencies = {
             clock,
             localIp,
             ledger: this.ledger,
-            contexts: this.contexts,
+            contexts: this.callContexts,
             identity: this.identity,
             dialect: environment.dialect,
             limit: policy.limit,
-            medianLimitShare: (service: ServiceName) => this.#usualShare(service),
+            medianLimitShare: (service: ServiceName) => this.#medianLimitShare(service),
             onChange: () => this.#onChange(),
-            mayAsk: () => this.probes.mayAsk(),
-            mayProbeCrash: () => this.probes.mayAskForCrash(),
+            mayAsk: () => this.probeBudget.mayAsk(),
+            mayProbeCrash: () => this.probeBudget.mayAskForCrash(),
             onArrival: (service: ServiceName, arrival: Arrival) => metrics.arrived(service, arrival),
             onCrash: (service: ServiceName, crash: CrashId, requests: readonly RequestKey[]) => {
                 metrics.crashed(service);
-                this.guard.recordCrash({ service, crash, requests });
+                this.crashGuard.recordCrash({ service, crash, requests });
             },
             onHeldBack: (service: ServiceName, reason: "cold" | "limited") => metrics.heldBack(service, reason),
             onEnding: (upstream: UpstreamName) => this.#onEnding(upstream),
-            onServed: (request: RequestKey) => this.guard.recordServed(request),
-            quarantinedForMs: (request: RequestKey | undefined) => this.guard.quarantinedForMs(request),
+            onServed: (request: RequestKey) => this.crashGuard.recordServed(request),
+            quarantinedForMs: (request: RequestKey | undefined) => this.crashGuard.quarantinedForMs(request),
             onUnresponsive: (address: Address) => context.unresponsiveConnections.record("upstream", address),
             repeatsLeft: (service: ServiceName) => this.#repeatsLeft(service, current, clock()),
-            healthPath: (service: ServiceName) => this.probes.healthPath(service),
+            healthPath: (service: ServiceName) => this.probeBudget.healthPath(service),
             coldLimits: (service: ServiceName) => coldLimitsOf(current.document, service, policy.cold),
-            mayProbeCold: () => this.probes.mayAskForCold(),
+            mayProbeCold: () => this.probeBudget.mayAskForCold(),
         };
-        this.guard = new CrashGuard({
+        this.crashGuard = new CrashGuard({
             clock,
             hasServed: request => [...this.gates.all].some(gate => gate.hasServed(request)),
             cancel: request => [...this.gates.all].forEach(gate => gate.cancel(request)),
         });
         metrics.showLimited(() => [...this.gates.all].filter(gate => gate.limitPerSecond !== undefined).length);
-        metrics.showQuarantined(() => this.guard.quarantinedCount);
-        this.gates = new GateSet(self, upstream => new Gate(upstream, shared));
+        metrics.showQuarantined(() => this.crashGuard.quarantinedCount);
+        this.gates = new GateSet(self, upstream => new Gate(upstream, gateDependencies));
         context.unresponsiveConnections.onDetected(() =>
             [...this.gates.all].forEach(gate => gate.dropSuspectConnections())
         );
         current.onChange(() => [...this.gates.all].forEach(gate => gate.cold.updateLimits()));
-        this.health = new HealthCheck({ perSecond: control.healthPerSecond }, () => this.gates.all, metrics);
+        this.healthCheck = new HealthCheck({ perSecond: control.healthPerSecond }, () => this.gates.all, metrics);
     }
 
     /** Without a bound of its own, a service that the configuration no longer has gets none. */
     #repeatsLeft(name: ServiceName, current: ConfigurationGroup["current"], now: number): number {
-        const service = current.document.services.find(each => each.name === name);
+        const service = current.document.services.find(candidate => candidate.name === name);
         if (service === undefined) {
             return 0;
         }
-        const { budget, allowance } = this.retries.get(service, now);
+        const { budget, allowance } = this.retriesByService.get(service, now);
         return budget.remaining(allowance, now);
     }
 
     /** Where gates ask what was found at others of their service. */
-    onUsualShare(usualShare: (service: ServiceName) => number | undefined): void {
-        this.#usualShare = usualShare;
+    setMedianLimitShareSource(medianLimitShare: (service: ServiceName) => number | undefined): void {
+        this.#medianLimitShare = medianLimitShare;
     }
 
     /** Calls the listener when an upstream has said that it leaves for good. */
--- a/src/daemon/gateset.ts
+++ b/src/daemon/gateset.ts
@@ -8,13 +8,13 @@
 const DRAINING = "draining";
 const REMOVED = "removed";
 
-const samePlace = (a: Upstream, b: Upstream): boolean =>
+const hasSameGateSettings = (a: Upstream, b: Upstream): boolean =>
     a.address === b.address && a.slots === b.slots && a.connections === b.connections && a.service === b.service;
 
 /** Holds one gate for each upstream whose `gate` is this daemon's address. */
 export class GateSet {
     readonly #gates = new Map<UpstreamName, Gate>();
-    readonly #reasons = new Set<CloseReason>();
+    readonly #closeReasons = new Set<CloseReason>();
 
     constructor(private readonly self: Address, private readonly makeGate: (upstream: Upstream) => Gate) {}
 
@@ -28,32 +28,32 @@
 
     /** Follows the upstreams that there are; a gate whose upstream is none of them finishes what it has. */
     apply(upstreams: readonly Upstream[]): void {
-        const mine = upstreams.filter(upstream => upstream.gate === this.self);
-        const named = new Map(mine.map(upstream => [upstream.name, upstream]));
+        const ownUpstreams = upstreams.filter(upstream => upstream.gate === this.self);
+        const upstreamByName = new Map(ownUpstreams.map(upstream => [upstream.name, upstream]));
         for (const gate of [...this.#gates.values()]) {
-            const settings = named.get(gate.upstream.name);
-            if (settings === undefined || !samePlace(settings, gate.upstream)) {
+            const upstream = upstreamByName.get(gate.upstream.name);
+            if (upstream === undefined || !hasSameGateSettings(upstream, gate.upstream)) {
                 this.#gates.delete(gate.upstream.name);
                 gate.close(REMOVED);
                 void gate.shutDown();
             }
         }
-        for (const upstream of mine) {
+        for (const upstream of ownUpstreams) {
             const gate = this.#gates.get(upstream.name) ?? this.#open(upstream);
-            this.#mark(gate, DRAINING, upstream.draining);
+            this.#updateCloseReason(gate, DRAINING, upstream.draining);
         }
     }
 
     /** Closes all gates to new requests for a reason, those still to come too, or takes the reason back. */
     setClosed(reason: CloseReason, closed: boolean): void {
         if (closed) {
-            this.#reasons.add(reason);
+            this.#closeReasons.add(reason);
         }
         else {
-            this.#reasons.delete(reason);
+            this.#closeReasons.delete(reason);
         }
         for (const gate of this.#gates.values()) {
-            this.#mark(gate, reason, closed);
+            this.#updateCloseReason(gate, reason, closed);
         }
     }
 
@@ -65,11 +65,11 @@
     #open(upstream: Upstream): Gate {
         const gate = this.makeGate(upstream);
         this.#gates.set(upstream.name, gate);
-        this.#reasons.forEach(reason => gate.close(reason));
+        this.#closeReasons.forEach(reason => gate.close(reason));
         return gate;
     }
 
-    #mark(gate: Gate, reason: CloseReason, closed: boolean): void {
+    #updateCloseReason(gate: Gate, reason: CloseReason, closed: boolean): void {
         if (closed) {
             gate.close(reason);
         }
--- a/src/daemon/gatestatus.ts
+++ b/src/daemon/gatestatus.ts
@@ -6,7 +6,7 @@
 /** What its daemon adds to the line. */
 type DaemonStatus = Pick<GateStatus, "watchesStore" | "members">;
 
-const stateOf = (gate: Gate): GateStatus["state"] => {
+const gateState = (gate: Gate): GateStatus["state"] => {
     if (gate.isEvacuated) {
         return "evacuated";
     }
@@ -23,13 +23,13 @@
 export function gateStatus(
     gate: Gate,
     configuration: CurrentConfiguration,
-    daemon: DaemonStatus,
+    daemonStatus: DaemonStatus,
     now: number,
 ): GateStatus {
     const { running, waiting, limit } = gate.report();
     return {
         upstream: gate.upstream.name,
-        state: stateOf(gate),
+        state: gateState(gate),
         revision: configuration.revision,
         fresh: configuration.isFresh(now),
         running,
@@ -38,6 +38,6 @@
         limitPerSecond: gate.limitPerSecond,
         finished: gate.finished,
         refused: gate.refused,
-        ...daemon,
+        ...daemonStatus,
     };
 }
--- a/src/daemon/hops.ts
+++ b/src/daemon/hops.ts
@@ -20,37 +20,37 @@
     readonly identity: GateIdentity;
     readonly ledger: Ledger;
     readonly peer: PeerClient;
-    readonly options: PeerOptions;
+    readonly peerOptions: PeerOptions;
 };
 
 /** Opens ways when they are first wanted and closes those that no upstream is behind any more. */
 export class Hops {
-    readonly #remote = new Map<Address, RemoteHop>();
+    readonly #remoteHops = new Map<Address, RemoteHop>();
 
     constructor(private readonly deps: HopsDependencies) {}
 
     /** The way to an upstream's gate: none of the network when the gate is this daemon's own. */
     open(upstream: Upstream): { readonly hop: Hop; readonly near: boolean; readonly local: boolean; } {
-        const { self, hall, gates, identity, ledger, options, peer } = this.deps;
+        const { self, hall, gates, identity, ledger, peerOptions, peer } = this.deps;
         if (upstream.gate === self) {
             const gate = (): Gate | undefined => gates.find(upstream.name);
-            return { hop: new LocalHop(gate, identity, ledger, options.clock), near: true, local: true };
+            return { hop: new LocalHop(gate, identity, ledger, peerOptions.clock), near: true, local: true };
         }
-        const hop = this.#remote.get(upstream.gate) ?? new RemoteHop(upstream.gate, peer, options);
-        this.#remote.set(upstream.gate, hop);
+        const hop = this.#remoteHops.get(upstream.gate) ?? new RemoteHop(upstream.gate, peer, peerOptions);
+        this.#remoteHops.set(upstream.gate, hop);
         return { hop, near: upstream.hall === hall, local: false };
     }
 
     /** Ends idle connections to all gates: they may have gone silent. */
     dropIdle(): void {
-        this.#remote.forEach(hop => hop.dropIdle());
+        this.#remoteHops.forEach(hop => hop.dropIdle());
     }
 
     apply(upstreams: readonly Upstream[]): void {
-        const named = new Set(upstreams.map(upstream => upstream.gate));
-        for (const [address, hop] of this.#remote) {
-            if (!named.has(address)) {
-                this.#remote.delete(address);
+        const gateAddresses = new Set(upstreams.map(upstream => upstream.gate));
+        for (const [address, hop] of this.#remoteHops) {
+            if (!gateAddresses.has(address)) {
+                this.#remoteHops.delete(address);
                 void hop.close();
             }
         }
--- a/src/daemon/membershipgroup.ts
+++ b/src/daemon/membershipgroup.ts
@@ -20,12 +20,12 @@
  * other by then (RegistryWatcher.rereadStale), and those that need not watch never do. Milliseconds: the time within which records
  * are written that are written at the start.
  */
-const ALONE_MS = 4000;
+const DISCOVERY_MS = 4000;
 
 /** From the document where it names the upstreams, by announcements where there is a registry; heartbeats carry both. */
 export class MembershipGroup {
     readonly heartbeats: HallHeartbeats;
-    readonly announced: Membership | undefined;
+    readonly registryMembership: Membership | undefined;
     readonly crashes: CrashPropagation;
     readonly #crashPublisher: CrashPublisher | undefined;
     readonly #unknownHalls = new UnknownHalls();
@@ -36,27 +36,27 @@
         private readonly configuration: ConfigurationGroup,
         private readonly gates: GateGroup,
     ) {
-        this.announced = this.#makeMembership();
+        this.registryMembership = this.#createMembership();
         this.crashes = this.#createCrashPropagation();
-        this.#crashPublisher = this.#makeCrashPublisher();
-        this.heartbeats = this.#makeHeartbeats();
-        context.unresponsiveConnections.onDetected(() => this.#renewStore());
-        gates.onUsualShare(service => this.announced?.medianLimitShare(service));
-        gates.onEnding(name => this.announced?.recordLeaving(name));
+        this.#crashPublisher = this.#createCrashPublisher();
+        this.heartbeats = this.#createHeartbeats();
+        context.unresponsiveConnections.onDetected(() => this.#renewStoreConnections());
+        gates.setMedianLimitShareSource(service => this.registryMembership?.medianLimitShare(service));
+        gates.onEnding(name => this.registryMembership?.recordLeaving(name));
         context.metrics.showMembership(() => this.members.length, () => this.heartbeats.isWatcher);
-        configuration.current.onChange(() => this.#changed());
-        this.announced?.onChange(() => this.#changed());
-        configuration.evacuations.onChange(() => this.#checkHalls());
+        configuration.current.onChange(() => this.#applyUpstreamChange());
+        this.registryMembership?.onChange(() => this.#applyUpstreamChange());
+        configuration.evacuations.onChange(() => this.#checkEvacuatedHalls());
     }
 
     /** The upstreams of the document, and those that have announced themselves. */
     get upstreams(): readonly Upstream[] {
-        return [...this.configuration.current.document.upstreams, ...this.announced?.upstreams ?? []];
+        return [...this.configuration.current.document.upstreams, ...this.registryMembership?.upstreams ?? []];
     }
 
     /** This daemon and those that it knows; none where the document names the upstreams. */
     get members(): Member[] {
-        return this.announced?.members ?? [];
+        return this.registryMembership?.members ?? [];
     }
 
     /** Calls the listener when the upstreams have changed. */
@@ -65,7 +65,7 @@
     }
 
     async start(): Promise<void> {
-        await this.announced?.start();
+        await this.registryMembership?.start();
         this.heartbeats.updateMembers();
         this.heartbeats.start();
         this.#crashPublisher?.start();
@@ -74,39 +74,39 @@
     stop(): void {
         this.heartbeats.stop();
         this.#crashPublisher?.stop();
-        this.announced?.stop();
+        this.registryMembership?.stop();
     }
 
-    #changed(): void {
+    #applyUpstreamChange(): void {
         this.heartbeats.updateMembers();
         this.crashes.onMembersChanged();
         this.#listener();
     }
 
-    #checkHalls(): void {
-        const known = new Set(this.#places().map(({ hall }) => hall));
-        this.#unknownHalls.check(this.configuration.evacuations.halls, known, this.heartbeats.watchesEvacuations);
+    #checkEvacuatedHalls(): void {
+        const knownHalls = new Set(this.#locations().map(({ hall }) => hall));
+        this.#unknownHalls.check(this.configuration.evacuations.halls, knownHalls, this.heartbeats.watchesEvacuations);
     }
 
-    #places(): readonly DaemonLocation[] {
+    #locations(): readonly DaemonLocation[] {
         return [...this.configuration.current.document.upstreams, ...this.members];
     }
 
     /** Calls of the store and watches of it go on over new connections: the old ones may have gone silent. */
-    #renewStore(): void {
+    #renewStoreConnections(): void {
         this.context.environment.store.renewConnections();
-        if (this.announced === undefined) {
+        if (this.registryMembership === undefined) {
             this.configuration.watcher.renew();
         }
         else {
-            this.announced.restartWatches();
+            this.registryMembership.restartWatches();
         }
     }
 
-    #makeMembership(): Membership | undefined {
+    #createMembership(): Membership | undefined {
         const { settings, environment, clock, random, self, send, incarnation, peer } = this.context;
         const { current, puller, watcher, evacuations } = this.configuration;
-        const { gates, probes } = this.gates;
+        const { gates, probeBudget } = this.gates;
         return environment.registry && new Membership({
             self,
             incarnation,
@@ -114,8 +114,8 @@
             settings,
             registry: environment.registry,
             dialect: environment.dialect,
-            healthPath: service => probes.healthPath(service),
-            onCrashRecords: records => this.gates.guard.merge(records),
+            healthPath: service => probeBudget.healthPath(service),
+            onCrashRecords: records => this.gates.crashGuard.merge(records),
             learnedShare: name => gates.find(name)?.learnedShare,
             documentWatcher: watcher,
             configuration: current,
@@ -134,9 +134,9 @@
             incarnation,
             random,
             send,
-            guard: this.gates.guard,
-            members: () => [...new Set(this.#places().map(({ gate }) => gate))],
-            relays: () => selectRelays(this.#places(), settings.hall, self),
+            guard: this.gates.crashGuard,
+            members: () => [...new Set(this.#locations().map(({ gate }) => gate))],
+            relays: () => selectRelays(this.#locations(), settings.hall, self),
             siblings: service =>
                 this.upstreams.filter(upstream => upstream.service === service).map(({ gate }) => gate),
             exchange: (address, changes) => peer.crashes(address, changes),
@@ -144,16 +144,16 @@
     }
 
     /** None where the store keeps the operators' document only. */
-    #makeCrashPublisher(): CrashPublisher | undefined {
+    #createCrashPublisher(): CrashPublisher | undefined {
         const { registry } = this.context.environment;
         return registry && new CrashPublisher({
-            guard: this.gates.guard,
+            guard: this.gates.crashGuard,
             clock: this.context.clock,
             write: (record, keepMs) => registry.storeCrashRecord(record, keepMs),
         });
     }
 
-    #makeHeartbeats(): HallHeartbeats {
+    #createHeartbeats(): HallHeartbeats {
         const { settings, environment, clock, random, self, send } = this.context;
         const { current, puller, watcher } = this.configuration;
         return new HallHeartbeats({
@@ -165,16 +165,16 @@
             host: settings.host,
             configuration: current,
             puller,
-            election: new WatcherElection(self, clock(), this.announced === undefined ? 0 : ALONE_MS),
-            watch: this.announced?.watch ?? new ConfigurationWatch(watcher),
-            locations: () => this.#places(),
-            crashDigest: () => this.gates.guard.digest,
-            suspectDigest: () => this.gates.guard.suspectDigest,
-            onCrashDigest: (from, mark) => this.crashes.compareDigests(from, mark),
+            election: new WatcherElection(self, clock(), this.registryMembership === undefined ? 0 : DISCOVERY_MS),
+            watch: this.registryMembership?.watch ?? new ConfigurationWatch(watcher),
+            locations: () => this.#locations(),
+            crashDigest: () => this.gates.crashGuard.digest,
+            suspectDigest: () => this.gates.crashGuard.suspectDigest,
+            onCrashDigest: (from, digest) => this.crashes.compareDigests(from, digest),
             evacuations: this.configuration.evacuations,
-            onScopeChange: () => this.#checkHalls(),
+            onScopeChange: () => this.#checkEvacuatedHalls(),
             leavingHosts: new LeavingHosts(environment.store),
-            onHostLeaving: leaving => this.gates.gates.setClosed("host-leaving", leaving),
+            onHostLeaving: isLeaving => this.gates.gates.setClosed("host-leaving", isLeaving),
         });
     }
 }
--- a/src/daemon/operatorgroup.ts
+++ b/src/daemon/operatorgroup.ts
@@ -15,7 +15,7 @@
     constructor(
         private readonly context: DaemonContext,
         { current, publisher, evacuations }: ConfigurationGroup,
-        { table }: RequestPathGroup,
+        { upstreamTable }: RequestPathGroup,
         membership: MembershipGroup,
     ) {
         const { clock, peer, metrics } = context;
@@ -25,7 +25,7 @@
             publisher,
             evacuations,
             configuration: current,
-            upstreams: table,
+            upstreams: upstreamTable,
             known: () => membership.upstreams,
         });
         this.server = new OperatorServer(api, metrics, () => current.revision > 0);
--- a/src/daemon/readinessserver.ts
+++ b/src/daemon/readinessserver.ts
@@ -4,17 +4,17 @@
 import type { Address } from "../ids/address.js";
 import { listen } from "../time/listen.js";
 
-const PATH = "/readyz";
+const READINESS_PATH = "/readyz";
 
 /** Asks at each question. */
 export class ReadinessServer {
     readonly #server: Server;
 
-    constructor(ready: () => boolean) {
+    constructor(isReady: () => boolean) {
         this.#server = createServer((req, res) => {
-            const status = req.url !== PATH
+            const status = req.url !== READINESS_PATH
                 ? httpStatus.notFound
-                : ready()
+                : isReady()
                 ? httpStatus.ok
                 : httpStatus.serviceUnavailable;
             res.writeHead(status, { "content-length": "0" }).end();
--- a/src/daemon/requestpathgroup.ts
+++ b/src/daemon/requestpathgroup.ts
@@ -16,12 +16,12 @@
 
 /** Owns the listeners for callers and peers, and the connections to peers. */
 export class RequestPathGroup {
-    readonly table: UpstreamTable;
-    readonly sharing: LoadSharing;
+    readonly upstreamTable: UpstreamTable;
+    readonly loadSharing: LoadSharing;
     readonly peerServer: PeerServer;
     readonly ingress: Ingress;
     readonly #hops: Hops;
-    #requests = 0;
+    #requestCount = 0;
 
     constructor(
         private readonly context: DaemonContext,
@@ -29,11 +29,19 @@
         private readonly gates: GateGroup,
         private readonly membership: MembershipGroup,
     ) {
-        const { settings, self, clock, random, send, peer, peerOptions: options } = context;
+        const { settings, self, clock, random, send, peer, peerOptions } = context;
         const { identity, ledger } = gates;
-        this.#hops = new Hops({ self, hall: settings.hall, gates: gates.gates, identity, ledger, peer, options });
-        this.table = new UpstreamTable(upstream => this.#hops.open(upstream), configuration.evacuations);
-        this.sharing = new LoadSharing({
+        this.#hops = new Hops({
+            self,
+            hall: settings.hall,
+            gates: gates.gates,
+            identity,
+            ledger,
+            peer,
+            peerOptions,
+        });
+        this.upstreamTable = new UpstreamTable(upstream => this.#hops.open(upstream), configuration.evacuations);
+        this.loadSharing = new LoadSharing({
             self,
             clock,
             random,
@@ -41,36 +49,36 @@
             gates: () => gates.gates.all,
             gate: name => gates.gates.find(name),
             siblings: () => membership.upstreams,
-            upstreams: this.table,
+            upstreams: this.upstreamTable,
             policy: settings.policy,
         });
-        this.peerServer = this.#makePeerServer();
-        this.ingress = this.#makeIngress();
+        this.peerServer = this.#createPeerServer();
+        this.ingress = this.#createIngress();
         context.unresponsiveConnections.onDetected(() => this.#hops.dropIdle());
-        gates.onChange(() => this.sharing.checkGates());
-        configuration.evacuations.onChange(() => this.#followEvacuations());
+        gates.onChange(() => this.loadSharing.checkGates());
+        configuration.evacuations.onChange(() => this.#applyEvacuations());
         configuration.current.onChange(document => this.ingress.applyCallerLimits(document.limits ?? {}));
     }
 
     /** Follows the upstreams that there are. */
     apply(upstreams: readonly Upstream[]): void {
         this.gates.gates.apply(upstreams);
-        this.table.apply(upstreams);
+        this.upstreamTable.apply(upstreams);
         this.#hops.apply(upstreams);
         const gates = new Set(upstreams.map(({ gate }) => gate));
-        this.gates.retries.recordDaemonCount(Math.max(gates.size, this.membership.members.length));
+        this.gates.retriesByService.recordDaemonCount(Math.max(gates.size, this.membership.members.length));
     }
 
     /** All gates here are in this daemon's hall. */
-    #followEvacuations(): void {
+    #applyEvacuations(): void {
         const isEvacuated = this.configuration.evacuations.isEvacuated(this.context.settings.hall);
         this.gates.gates.setClosed("evacuated", isEvacuated);
     }
 
-    readonly #catchUp = (revision: number, from: string | undefined): Promise<void> =>
+    readonly #pullConfiguration = (revision: number, from: string | undefined): Promise<void> =>
         this.configuration.puller.pullForRequest(revision, from as Address | undefined);
 
-    #makePeerServer(): PeerServer {
+    #createPeerServer(): PeerServer {
         const { context, configuration, gates } = this;
         const { clock, settings } = context;
         const { rules, current } = configuration;
@@ -83,21 +91,21 @@
                 identity,
                 ledger,
                 clock,
-                membership: this.membership.announced,
+                membership: this.membership.registryMembership,
                 watchesStore: () => this.membership.heartbeats.isWatcher,
                 configuration: current,
                 gates: gates.gates,
                 crashes: this.membership.crashes,
             }),
             gate: name => gates.gates.find(name),
-            catchUp: this.#catchUp,
+            catchUp: this.#pullConfiguration,
             find: target => rules.find(target),
             isStale: (head, rule) => rules.isStale(head, rule),
-            onSender: sender => this.sharing.reporter.recordSender(sender as Address),
+            onSender: sender => this.loadSharing.reporter.recordSender(sender as Address),
         });
     }
 
-    #makeIngress(): Ingress {
+    #createIngress(): Ingress {
         const { settings, environment, metrics, clock, random, self, incarnation } = this.context;
         const { current, rules } = this.configuration;
         const { dialect } = environment;
@@ -107,8 +115,8 @@
             dialect,
             random,
             revision,
-            contexts: this.gates.contexts,
-            findRule: (target, draw) => rules.find(target, draw),
+            contexts: this.gates.callContexts,
+            findRule: (target, sample) => rules.find(target, sample),
         });
         return new Ingress(settings.limits, { planner, callerService: settings.callerService }, {
             clock,
@@ -117,13 +125,13 @@
             dialect,
             revision,
             placement: makePlacement(policy),
-            upstreams: this.table,
-            retries: service => this.gates.retries.get(service, clock()),
+            upstreams: this.upstreamTable,
+            retries: service => this.gates.retriesByService.get(service, clock()),
             isHedgingEnabled: policy.hedge,
-            crashGuard: this.gates.guard,
-            newRequestId: () => `${incarnation}.${this.#requests++}`,
+            crashGuard: this.gates.crashGuard,
+            newRequestId: () => `${incarnation}.${this.#requestCount++}`,
             peerAddress: self,
-            pullConfiguration: this.#catchUp,
+            pullConfiguration: this.#pullConfiguration,
             replan: (out, plan) => rules.replan(out, plan),
         });
     }
--- a/src/daemon/rulematcher.test.ts
+++ b/src/daemon/rulematcher.test.ts
@@ -23,12 +23,12 @@
     configuration.apply(document);
     const matcher = new RuleMatcher(configuration, () => 0);
     const target = { method: "GET", host: "h", path: "/" };
-    for (const draw of [0.1, 0.9]) {
-        const matched = matcher.find(target, draw)!;
+    for (const splitSample of [0.1, 0.9]) {
+        const matched = matcher.find(target, splitSample)!;
         const plan: Plan = {
             type: "plan",
             ...matched,
-            splitSample: draw,
+            splitSample,
             startedAt: 0,
             deadline: 1000,
             depth: 0,
--- a/src/daemon/rulematcher.ts
+++ b/src/daemon/rulematcher.ts
@@ -14,9 +14,9 @@
     constructor(private readonly configuration: CurrentConfiguration, private readonly clock: Clock) {}
 
     /** What the rules here say of a request; undefined when none matches. `draw` chooses the part of a split. */
-    find(target: RequestTarget, draw = 0): MatchedRule | undefined {
+    find(target: RequestTarget, splitSample = 0): MatchedRule | undefined {
         const { document } = this.configuration;
-        return matchRequest(document, target, this.configuration.isFresh(this.clock()), draw);
+        return matchRequest(document, target, this.configuration.isFresh(this.clock()), splitSample);
     }
 
     /** The plan by the rules as they are now; the plan itself when none matches. */
--- a/src/daemon/serve.ts
+++ b/src/daemon/serve.ts
@@ -20,22 +20,22 @@
         return parse(Settings, JSON.parse(readFileSync(file, "utf8")));
     }
     catch (err) {
-        const what = err instanceof ConfigError ? err.message : (err as Error).message;
-        console.error(`winglock:daemon The settings in ${file} can't be used:\n${what}`);
+        const reason = err instanceof ConfigError ? err.message : (err as Error).message;
+        console.error(`winglock:daemon The settings in ${file} can't be used:\n${reason}`);
         process.exit(EXIT_SETTINGS);
     }
 };
 
 const stopOnSignal = (daemon: Daemon): void => {
-    const hurry = new AbortController();
-    let stopping = false;
+    const forceStop = new AbortController();
+    let isStopping = false;
     const onSignal = (): void => {
-        if (stopping) {
-            hurry.abort();
+        if (isStopping) {
+            forceStop.abort();
             return;
         }
-        stopping = true;
-        void daemon.stop(hurry.signal).finally(() => logSink.end()).finally(() => process.exit(0));
+        isStopping = true;
+        void daemon.stop(forceStop.signal).finally(() => logSink.end()).finally(() => process.exit(0));
     };
     STOP_SIGNALS.forEach(signal => process.on(signal, onSignal));
 };
@@ -48,11 +48,11 @@
 /** Reads the settings, starts, and stops by plan at the first signal, at once at the second. */
 export async function serve(
     file: string,
-    surroundings: (settings: Settings, metrics: Metrics) => Environment,
+    createEnvironment: (settings: Settings, metrics: Metrics) => Environment,
 ): Promise<void> {
     const settings = readSettings(file);
     logSink.configure(settings.log.level, settings.log.linesPerSecond);
-    const daemon = new Daemon(settings, surroundings);
+    const daemon = new Daemon(settings, createEnvironment);
     stopOnSignal(daemon);
     reloadOnSignal(new SettingsFile(file, settings));
     try {
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -12,7 +12,7 @@
 /** Bytes. */
 const MIB = 1024 * KIB;
 /** Characters: a key that is guessed in a second is none. */
-const MIN_KEY = 16;
+const MIN_KEY_LENGTH = 16;
 
 const Ms = z.int().min(1).max(3_600_000);
 
@@ -96,7 +96,7 @@
     callerService: ServiceName.optional(),
     store: Address,
     seeds: z.array(Address).max(64).default([]),
-    peerKey: z.string().min(MIN_KEY).max(256),
+    peerKey: z.string().min(MIN_KEY_LENGTH).max(256),
     limits: Limits.prefault({}),
     control: Control.prefault({}),
     policy: Policy.prefault({}),
--- a/src/daemon/settingsfile.ts
+++ b/src/daemon/settingsfile.ts
@@ -10,17 +10,17 @@
 const logger = log("daemon");
 
 /** The file may change without a signal; milliseconds. */
-const LOOK_EVERY_MS = 5000;
+const POLL_INTERVAL_MS = 5000;
 /** What a reload can change; the rest applies from the next start on. */
-const RELOADED: ReadonlySet<string> = new Set(["log"]);
+const RELOADABLE_FIELDS: ReadonlySet<string> = new Set(["log"]);
 
 /** Settings that can't be used change nothing. */
 export class SettingsFile {
-    #text: string;
-    readonly #ticker = new Ticker(LOOK_EVERY_MS, () => this.reload());
+    #lastText: string;
+    readonly #ticker = new Ticker(POLL_INTERVAL_MS, () => this.reload());
 
     constructor(private readonly file: string, private current: Settings) {
-        this.#text = readFileSync(file, "utf8");
+        this.#lastText = readFileSync(file, "utf8");
     }
 
     start(): void {
@@ -31,8 +31,8 @@
     reload(): void {
         try {
             const text = readFileSync(this.file, "utf8");
-            if (text !== this.#text) {
-                this.#text = text;
+            if (text !== this.#lastText) {
+                this.#lastText = text;
                 this.#apply(parse(Settings, JSON.parse(text)));
             }
         }
@@ -42,12 +42,12 @@
     }
 
     #apply(settings: Settings): void {
-        const changed = changedFields(this.current, settings);
+        const changedNames = changedFields(this.current, settings);
         this.current = settings;
         logSink.configure(settings.log.level, settings.log.linesPerSecond);
         logger.change("The settings are read again.", {
-            inForce: changed.filter(field => RELOADED.has(field)),
-            fromTheNextStart: changed.filter(field => !RELOADED.has(field)),
+            inForce: changedNames.filter(field => RELOADABLE_FIELDS.has(field)),
+            fromTheNextStart: changedNames.filter(field => !RELOADABLE_FIELDS.has(field)),
         });
     }
 }
