--- a/build/bundle.js
+++ b/build/bundle.js
@@ -1,7 +1,8 @@
 /**
- * Bundles a daemon's binary, so that its start reads one file: `node build/bundle.js OUT_FOLDER SOURCE`.
+ * Bundles a daemon into one file, so that it starts quickly: `node build/bundle.js OUT_FOLDER SOURCE`.
  *
- * Writes `winglockd.cjs`, the launcher, and `winglockd.bundle.cjs`, what it runs. `build/warm.js` adds the code cache.
+ * Writes the launcher, `winglockd.cjs`, and the bundle that it runs, `winglockd.bundle.cjs`. Deletes an earlier code
+ * cache; `build/warm.js` writes a new one.
  */
 import { build } from "esbuild";
 import { copyFileSync, rmSync } from "node:fs";
--- a/build/filltemplate.js
+++ b/build/filltemplate.js
@@ -1,12 +1,14 @@
 /**
- * Fills the platform's template of settings (deploy/settings.json) with nothing, so that the build can start a daemon by it.
+ * Renders the platform's settings template (deploy/settings.json) without any values, so that the build can start a
+ * daemon with it.
  *
- * A part for a value that is given goes, a part for one that is not given stays, and a gap in a text holds "x".
+ * Removes sections for values that are set, keeps sections for values that are not set, and fills a string that begins
+ * with a placeholder with "x".
  */
 
-/** Returns the template's JSON as an object; throws what JSON.parse throws. */
+/** Returns the rendered template as an object; throws a SyntaxError if it is not JSON. */
 export const fillTemplate = text => {
-    const without = text.replaceAll(/\{\{#([\w.]+)\}\}[^]*?\{\{\/\1\}\}/g, "");
-    const plain = without.replaceAll(/\{\{\^([\w.]+)\}\}([^]*?)\{\{\/\1\}\}/g, "$2");
-    return JSON.parse(plain.replaceAll(/"\{\{.*?\}\}.*?"/g, "\"x\""));
+    const withoutSetSections = text.replaceAll(/\{\{#([\w.]+)\}\}[^]*?\{\{\/\1\}\}/g, "");
+    const withUnsetSections = withoutSetSections.replaceAll(/\{\{\^([\w.]+)\}\}([^]*?)\{\{\/\1\}\}/g, "$2");
+    return JSON.parse(withUnsetSections.replaceAll(/"\{\{.*?\}\}.*?"/g, "\"x\""));
 };
--- a/build/launcher.cjs
+++ b/build/launcher.cjs
@@ -1,7 +1,8 @@
 #!/usr/bin/env node
 /**
- * Starts a daemon from its bundle, with the code cache beside it where there is one that fits this Node.js and its
- * flags: compiling is most of what a start costs. `WINGLOCK_WRITE_CODE_CACHE=1` writes the cache at the end.
+ * Starts a daemon from its bundle. Uses the code cache beside the bundle, if there is one that fits this version of
+ * Node.js and its flags, because most of the start time is compilation. With `WINGLOCK_WRITE_CODE_CACHE=1`, writes the
+ * cache when the process exits.
  */
 "use strict";
 
@@ -26,7 +27,7 @@
     filename: BUNDLE,
     cachedData,
 });
-/** Told in the daemon's first log line. */
+/** Logged by the daemon when it has started. */
 process.env.WINGLOCK_CODE_CACHE = cachedData === undefined ? "none" : script.cachedDataRejected ? "rejected" : "used";
 if (process.env.WINGLOCK_WRITE_CODE_CACHE === "1") {
     process.on("exit", () => writeFileSync(CACHE, script.createCachedData()));
--- a/build/leaveout.js
+++ b/build/leaveout.js
@@ -1,14 +1,14 @@
 /**
- * Parts of libraries that the daemons never use, but whose load costs a start dear: they bring in HTTP/2, TLS, child
- * processes, workers and native add-ons. An esbuild plugin that puts the parts that are used in their place.
+ * Replaces library modules in the bundle by smaller ones that hold only what the daemons use; an esbuild plugin.
  *
- * Each entry says what the bundle of platform/main.ts loads and holds more without it: modules of Node.js by
- * `process.moduleLoadList`, and size, both measured by leaving the entry out (164 modules and 931 KB with all of them).
+ * The unused code slows down the start, because it loads HTTP/2, TLS, child processes, workers and native add-ons. Each
+ * entry states what the bundle of platform/main.ts saves by it: Node.js modules loaded (`process.moduleLoadList`) and
+ * size. With all entries, the bundle loads 164 modules and has 931 KB.
  */
 
-/** What stands for a module, by the name it is asked for and the folder of whoever asks. */
-const REPLACED = [
-    // Its index loads fetch, web sockets, caches and mocks: 46 modules, 230 KB.
+/** The replacements, by the name of the imported module and the path of the module that imports it (`from`). */
+const REPLACEMENTS = [
+    // The index loads fetch, web sockets, caches and mocks: 46 modules, 230 KB.
     {
         name: /^undici$/,
         code: `
@@ -19,7 +19,7 @@
             exports.Pool = require("./node_modules/undici/lib/dispatcher/pool.js");
             exports.buildConnector = require("./node_modules/undici/lib/core/connect.js");`,
     },
-    // Its index loads the cluster's and the process's default metrics: 21 modules, 53 KB.
+    // The index loads the metrics of clusters and the default metrics of the process: 21 modules, 53 KB.
     {
         name: /^prom-client$/,
         code: `
@@ -28,7 +28,7 @@
             exports.Gauge = require("./node_modules/prom-client/lib/gauge.js");
             exports.Histogram = require("./node_modules/prom-client/lib/histogram.js");`,
     },
-    // undici checks its own arguments by it: 6 modules.
+    // undici uses it only to check its own arguments: 6 modules.
     {
         name: /^(node:)?assert$/,
         from: /undici/,
@@ -39,13 +39,13 @@
                 }
             };`,
     },
-    // pino's own ways of writing; src/log/output.ts writes: 11 modules, 19 KB.
+    // pino's own destinations, which are not used, because src/log/output.ts writes the log: 11 modules, 19 KB.
     { name: /^(\.\/sonic-boom|sonic-boom|thread-stream)$/, from: /pino/, code: "module.exports = class {};" },
-    // pino asks whether it runs in a worker: 5 modules.
+    // pino only checks whether it runs in a worker: 5 modules.
     { name: /^worker_threads$/, from: /pino/, code: "exports.isMainThread = true;" },
-    // undici looks up names of fields: 30 modules.
+    // undici only looks up the names of header fields: 30 modules.
     { name: /^node:http2$/, from: /undici/, code: "exports.constants = {};" },
-    // Its index for Node.js looks for a native add-on, and has streams: 6 modules.
+    // The index for Node.js searches for a native add-on and loads streams: 6 modules.
     { name: /^msgpackr$/, code: "module.exports = require(\"./node_modules/msgpackr/index.js\");" },
     // Error messages in all languages but English: 257 KB.
     { name: /locales\/index\.js$/, from: /zod/, code: "export {};" },
@@ -53,11 +53,11 @@
 
 const NAMESPACE = "left-out";
 
-/** The plugin. */
+/** The esbuild plugin. */
 export const leaveOut = {
     name: NAMESPACE,
     setup(build) {
-        REPLACED.forEach(({ name, from = /./ }, index) => {
+        REPLACEMENTS.forEach(({ name, from = /./ }, index) => {
             build.onResolve(
                 { filter: name },
                 ({ importer, namespace }) =>
@@ -67,7 +67,7 @@
             );
         });
         build.onLoad({ filter: /./, namespace: NAMESPACE }, ({ path }) => ({
-            contents: REPLACED[Number(path)].code,
+            contents: REPLACEMENTS[Number(path)].code,
             resolveDir: new URL("..", import.meta.url).pathname,
         }));
     },
--- a/build/warm.js
+++ b/build/warm.js
@@ -1,9 +1,10 @@
 /**
  * Writes the code cache of a bundled daemon for the users' platform: `node build/warm.js OUT_FOLDER`.
  *
- * Two daemons serve requests between stand-ins on loopback for a moment, so that the cache holds all functions that a
- * start and a request need. The flags must be those of the real daemons (deploy/system.toml): a cache made under others is
- * turned down. Without a cache a daemon only starts more slowly, so a failure here is told and is no failure of the build.
+ * For a moment, two daemons serve requests between stand-ins on loopback, so that the cache contains all functions that
+ * a start and a request need. The Node.js flags must be those of the deployed daemons (deploy/system.toml), since Node.js
+ * rejects a cache that was written with other flags. Without a cache, a daemon only starts more slowly. A failure is
+ * therefore logged, but does not fail the build.
  */
 import { build } from "esbuild";
 import { spawn } from "node:child_process";
@@ -15,36 +16,36 @@
 import { fillTemplate } from "./filltemplate.js";
 
 const ROOT = new URL("..", import.meta.url);
-const OUT = resolve(process.argv[2]);
-const FOLDER = `${OUT}/warm`;
-/** Of its own, so that builds at the same time do not meet; tests use the addresses up to 127.249. */
+const OUT_FOLDER = resolve(process.argv[2]);
+const WORK_FOLDER = `${OUT_FOLDER}/warm`;
+/** Loopback network of this build, so that concurrent builds do not conflict; tests use 127.249 and below. */
 const NETWORK = `127.250.${1 + process.pid % 250}`;
 const IPS = [`${NETWORK}.1`, `${NETWORK}.2`];
 const STORE = `${NETWORK}.3:7300`;
-/** The whole of it takes about five seconds; a build must not hang on it. */
-const LIMIT_MS = 20_000;
-/** Each function on the path of a request has run often enough to be compiled; chosen, not measured. */
+/** A run takes about five seconds; the limit keeps a build from hanging. */
+const TIMEOUT_MS = 20_000;
+/** Enough rounds for every function on the request path to be compiled. */
 const ROUNDS = 60;
 
-const children = [];
+const childProcesses = [];
 
-/** Node's own flags in the deploy file's `run`: a code cache is for one set of flags. */
-const flags = () => {
+/** Returns the Node.js flags in `run` of the deploy file; a code cache is valid for one set of flags only. */
+const nodeFlags = () => {
     const [, run] = /^run = "node (.*?) target\//m.exec(readFileSync(new URL("deploy/system.toml", ROOT), "utf8"));
     return run.split(" ");
 };
 
 const start = (args, env = {}) => {
     const child = spawn(process.execPath, args, { stdio: "ignore", env: { ...process.env, ...env } });
-    children.push(child);
+    childProcesses.push(child);
     return child;
 };
 
-/** The stand-ins are TypeScript; the platform's build runs no tsc. */
-const makeStandins = () =>
+/** Bundles the stand-ins, because they are TypeScript and the platform's build does not run tsc. */
+const bundleStandins = () =>
     build({
         entryPoints: ["standin/storemain.ts", "standin/instancemain.ts"].map(name => new URL(name, ROOT).pathname),
-        outdir: FOLDER,
+        outdir: WORK_FOLDER,
         outExtension: { ".js": ".mjs" },
         bundle: true,
         platform: "node",
@@ -52,7 +53,7 @@
         logLevel: "error",
     });
 
-/** The deployed settings, with addresses on loopback in the place of what the platform fills in. */
+/** Returns the deployed settings, with loopback addresses in place of the values that the platform fills in. */
 const settings = (ip, index) => ({
     ...fillTemplate(readFileSync(new URL("deploy/settings.json", ROOT), "utf8")),
     host: `h${index}`,
@@ -69,7 +70,7 @@
     stop: { lingerMs: 50, limitMs: 500 },
 });
 
-/** One rule of each kind, so that both paths through the gate are compiled. */
+/** Has a rule of each kind, so that both paths through the gate are compiled. */
 const configuration = {
     revision: 1,
     rules: ["repeatable", "once"].map(kind => ({
@@ -87,8 +88,8 @@
     limits: { headerBytes: 16384, bodyBytes: 65536, headersTimeoutMs: 3000, keepAliveMs: 15000 },
 };
 
-/** The store is a process that has just been started: it is tried until it answers. */
-const configure = async () => {
+/** Writes the configuration to the store. Retries until the store, which has just been started, responds. */
+const storeConfiguration = async () => {
     const value = Buffer.from(JSON.stringify(configuration)).toString("base64");
     const body = JSON.stringify({ put: [{ key: "op/config", value }] });
     for (;;) {
@@ -102,71 +103,74 @@
     }
 };
 
-/** Resolves with the status, 0 when there is none. */
+/** Resolves with the status of the response, or 0 if there is none. */
 const send = (ip, agent, method, path) =>
-    new Promise(told => {
+    new Promise(settle => {
         const headers = {
             host: "site.example",
             "attempt-id": Math.random().toString(16).slice(2),
             "deadline-ms": "800",
         };
         const req = request(`http://${ip}:7104${path}`, { method, headers, agent }, res => {
-            res.resume().on("end", () => told(res.statusCode)).on("error", () => told(0));
+            res.resume().on("end", () => settle(res.statusCode)).on("error", () => settle(0));
         });
-        req.on("error", () => told(0));
+        req.on("error", () => settle(0));
         req.end(method === "POST" ? "a body" : undefined);
     });
 
-/** Requests that stay on their host and such that cross, on kept and on new connections. */
-const exercise = async () => {
-    const kept = new Agent({ keepAlive: true });
+/**
+ * Sends requests that stay on their host and requests that cross to the other one, on kept-alive and on new
+ * connections. Resolves with the number of requests that were served.
+ */
+const sendRequests = async () => {
+    const keepAliveAgent = new Agent({ keepAlive: true });
     let served = 0;
     for (let round = 0; round < ROUNDS; round++) {
-        const sent = IPS.flatMap(ip => [
-            send(ip, kept, "GET", "/repeatable/1"),
+        const responses = IPS.flatMap(ip => [
+            send(ip, keepAliveAgent, "GET", "/repeatable/1"),
             send(ip, undefined, "POST", "/once/1"),
             send(ip, undefined, "GET", "/repeatable/2"),
         ]);
-        served += (await Promise.all(sent)).filter(status => status === 200).length;
+        served += (await Promise.all(responses)).filter(status => status === 200).length;
         await sleep(10);
     }
-    kept.destroy();
+    keepAliveAgent.destroy();
     return served;
 };
 
-const warm = async () => {
-    await makeStandins();
-    start([`${FOLDER}/storemain.mjs`, STORE]);
-    await configure();
+const writeCodeCache = async () => {
+    await bundleStandins();
+    start([`${WORK_FOLDER}/storemain.mjs`, STORE]);
+    await storeConfiguration();
     const daemons = IPS.map((ip, index) => {
-        const file = `${FOLDER}/settings-${index}.json`;
+        const file = `${WORK_FOLDER}/settings-${index}.json`;
         writeFileSync(file, JSON.stringify(settings(ip, index)));
         const env = { WINGLOCK_BOOT: file, WINGLOCK_WRITE_CODE_CACHE: index === 0 ? "1" : "0" };
-        return start([...flags(), `${OUT}/winglockd.cjs`], env);
+        return start([...nodeFlags(), `${OUT_FOLDER}/winglockd.cjs`], env);
     });
     IPS.forEach((ip, index) =>
-        start([`${FOLDER}/instancemain.mjs`, `i-${index}`, "pages", `${ip}:7200`, "2", `${ip}:7106`])
+        start([`${WORK_FOLDER}/instancemain.mjs`, `i-${index}`, "pages", `${ip}:7200`, "2", `${ip}:7106`])
     );
     await sleep(1000);
-    const served = await exercise();
-    const ends = daemons.map(daemon => once(daemon, "exit"));
+    const served = await sendRequests();
+    const exits = daemons.map(daemon => once(daemon, "exit"));
     daemons.forEach(daemon => daemon.kill("SIGTERM"));
-    await Promise.all(ends);
-    console.log(`winglock: the code cache is made; ${served} requests served.`);
+    await Promise.all(exits);
+    console.log(`winglock: code cache written after ${served} served requests.`);
 };
 
-const limit = new AbortController();
+const timeoutAbort = new AbortController();
 try {
-    const late = sleep(LIMIT_MS, undefined, { signal: limit.signal }).then(() => {
-        throw new Error("it takes too long");
+    const timeout = sleep(TIMEOUT_MS, undefined, { signal: timeoutAbort.signal }).then(() => {
+        throw new Error("the time limit has passed");
     });
-    await Promise.race([warm(), late]);
+    await Promise.race([writeCodeCache(), timeout]);
 }
 catch (err) {
-    console.log(`winglock: no code cache, daemons start more slowly: ${err.message}`);
+    console.log(`winglock: code cache could not be written, so daemons start more slowly: ${err.message}`);
 }
 finally {
-    limit.abort();
-    children.forEach(child => child.kill("SIGKILL"));
-    rmSync(FOLDER, { recursive: true, force: true });
+    timeoutAbort.abort();
+    childProcesses.forEach(child => child.kill("SIGKILL"));
+    rmSync(WORK_FOLDER, { recursive: true, force: true });
 }
--- a/src/daemon/ownenvironment.ts
+++ b/src/daemon/ownenvironment.ts
@@ -7,7 +7,7 @@
 import type { Environment } from "./environment.js";
 import type { Settings } from "./settings.js";
 
-/** Creates an environment without a registry; the calls to its store are counted in `metrics`. */
+/** Creates an environment without a registry; `metrics` counts the calls to its store and their bytes. */
 export function ownEnvironment(settings: Settings, metrics: Metrics): Environment {
     const localIp = splitAddress(settings.peer).ip;
     const store = new HttpStore(settings.store, localIp, countStoreEvents(metrics));
