--- a/build/bundle.js
+++ b/build/bundle.js
@@ -7,7 +7,7 @@
 import { build } from "esbuild";
 import { copyFileSync, rmSync } from "node:fs";
 import { join } from "node:path";
-import { leaveOut } from "./leaveout.js";
+import { replaceModules } from "./replacemodules.js";
 
 const [outdir, source] = process.argv.slice(2);
 
@@ -21,7 +21,7 @@
     target: "node20",
     format: "cjs",
     legalComments: "none",
-    plugins: [leaveOut],
+    plugins: [replaceModules],
 });
 copyFileSync(new URL("launcher.cjs", import.meta.url), join(outdir, "winglockd.cjs"));
 rmSync(join(outdir, "winglockd.cache"), { force: true });
--- a/build/leaveout.js
+++ b/build/replacemodules.js
@@ -54,7 +54,7 @@
 const NAMESPACE = "left-out";
 
 /** The esbuild plugin. */
-export const leaveOut = {
+export const replaceModules = {
     name: NAMESPACE,
     setup(build) {
         REPLACEMENTS.forEach(({ name, from = /./ }, index) => {
