--- a/build/warm.js
+++ b/build/warm.js
@@ -2,9 +2,9 @@
  * Writes the code cache of a bundled daemon for the users' platform: `node build/warm.js OUT_FOLDER`.
  *
  * For a moment, two daemons serve requests between stand-ins on loopback, so that the cache contains all functions that
- * a start and a request need. The Node.js flags must be those of the deployed daemons (deploy/system.toml), since Node.js
- * rejects a cache that was written with other flags. Without a cache, a daemon only starts more slowly. A failure is
- * therefore logged, but does not fail the build.
+ * a start and a request need. The Node.js flags must be those of the deployed daemons (deploy/system.toml), since
+ * Node.js rejects a cache that was written with other flags. Without a cache, a daemon only starts more slowly. A
+ * failure is therefore logged, but does not fail the build.
  */
 import { build } from "esbuild";
 import { spawn } from "node:child_process";
@@ -70,7 +70,7 @@
     stop: { lingerMs: 50, limitMs: 500 },
 });
 
-/** Has a rule of each kind, so that both paths through the gate are compiled. */
+/** The configuration in the store. It has a rule of each kind, so that both paths through the gate are compiled. */
 const configuration = {
     revision: 1,
     rules: ["repeatable", "once"].map(kind => ({
--- a/src/daemon/bootstrap.ts
+++ b/src/daemon/bootstrap.ts
@@ -15,7 +15,7 @@
 
 const logger = log("config");
 
-const readStore = async (
+const readFromStore = async (
     store: Store,
     configuration: CurrentConfiguration,
     evacuations: Evacuations,
@@ -52,5 +52,5 @@
     clock: Clock,
 ): Promise<void> {
     const pulls = seeds.map(async seed => await puller.pull(Infinity, seed));
-    await Promise.all([readStore(store, configuration, evacuations, clock), ...pulls]);
+    await Promise.all([readFromStore(store, configuration, evacuations, clock), ...pulls]);
 }
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -49,7 +49,7 @@
             clock: context.clock,
             send: context.send,
             identity: this.#gates.identity,
-            gates: this.#gates.gates,
+            gateSet: this.#gates.gateSet,
             upstreams: this.#requestPath.upstreamTable,
             heartbeats: this.#membership.heartbeats,
             gossip: this.#membership.registryMembership?.gossip,
@@ -103,7 +103,7 @@
         const deadline = clock() + limitMs;
         this.#startLeaving();
         await sleep(LEAVE_PROPAGATION_MS, forceStop);
-        await waitIdle(() => this.#gates.gates.pendingCount(), deadline - clock(), forceStop);
+        await waitIdle(() => this.#gates.gateSet.pendingCount(), deadline - clock(), forceStop);
         await this.#requestPath.ingress.close();
         const left = await waitIdle(() => this.#inFlightCount(), deadline - clock(), forceStop);
         if (left > 0) {
@@ -127,7 +127,7 @@
     #startLeaving(): void {
         this.#requestPath.loadSharing.stop();
         void this.#membership.registryMembership?.startLeaving();
-        this.#gates.gates.setClosed("stopping", true);
+        this.#gates.gateSet.setClosed("stopping", true);
         this.#notifySenders();
         this.#requestPath.peerServer.startClosing();
     }
@@ -145,7 +145,7 @@
 
     #inFlightCount(): number {
         const { ingress, peerServer } = this.#requestPath;
-        return this.#gates.gates.pendingCount() + ingress.inFlight + peerServer.inFlight;
+        return this.#gates.gateSet.pendingCount() + ingress.inFlight + peerServer.inFlight;
     }
 
     #stopControlTasks(): void {
@@ -162,7 +162,7 @@
     /** Notifies the peers that recently sent requests here. */
     #notifySenders(): void {
         const { self, datagrams } = this.#context;
-        const upstreams = [...this.#gates.gates.all].map(gate => gate.upstream.name);
+        const upstreams = [...this.#gates.gateSet.all].map(gate => gate.upstream.name);
         for (const sender of this.#requestPath.loadSharing.reporter.recentSenders()) {
             datagrams.send(sender, { type: "leave", from: self, upstreams });
         }
--- a/src/daemon/daemonpeerservice.ts
+++ b/src/daemon/daemonpeerservice.ts
@@ -23,7 +23,7 @@
     readonly identity: GateIdentity;
     readonly ledger: Ledger;
     readonly configuration: CurrentConfiguration;
-    readonly gates: GateSet;
+    readonly gateSet: GateSet;
     readonly crashes: CrashPropagation;
     readonly clock: Clock;
     /** Undefined if the configuration names the upstreams. */
@@ -69,10 +69,10 @@
     }
 
     status(): GateStatus[] {
-        const { gates, configuration, clock, membership, watchesStore } = this.deps;
+        const { gateSet, configuration, clock, membership, watchesStore } = this.deps;
         const now = clock();
         const daemonStatus = { watchesStore: watchesStore(), members: membership?.members.length ?? 0 };
-        return [...gates.all].map(gate => gateStatus(gate, configuration, daemonStatus, now));
+        return [...gateSet.all].map(gate => gateStatus(gate, configuration, daemonStatus, now));
     }
 
     get #membership(): Membership {
--- a/src/daemon/datagramrouter.ts
+++ b/src/daemon/datagramrouter.ts
@@ -15,7 +15,7 @@
     readonly self: Address;
     readonly clock: Clock;
     readonly identity: GateIdentity;
-    readonly gates: GateSet;
+    readonly gateSet: GateSet;
     readonly upstreams: UpstreamTable;
     readonly heartbeats: HallHeartbeats;
     readonly failureDetector: FailureDetector;
@@ -59,9 +59,9 @@
     }
 
     #sendPong(to: Address, sentAt: number): void {
-        const { self, clock, identity, gates, send } = this.deps;
+        const { self, clock, identity, gateSet, send } = this.deps;
         const { incarnation, gateTime, revision } = identity.note(clock());
-        const loads = [...gates.all].map(gate => ({ upstream: gate.upstream.name, report: gate.report() }));
+        const loads = [...gateSet.all].map(gate => ({ upstream: gate.upstream.name, report: gate.report() }));
         send(to, { type: "pong", from: self, sentAt, incarnation, gateTime, revision, loads });
     }
 }
--- a/src/daemon/gategroup.ts
+++ b/src/daemon/gategroup.ts
@@ -37,7 +37,7 @@
     readonly identity: GateIdentity;
     readonly ledger: Ledger;
     readonly probeBudget: ProbeBudget;
-    readonly gates: GateSet;
+    readonly gateSet: GateSet;
     readonly healthCheck: HealthCheck;
     readonly retriesByService: RetriesByService;
     readonly crashGuard: CrashGuard;
@@ -83,17 +83,17 @@
         };
         this.crashGuard = new CrashGuard({
             clock,
-            hasServed: request => [...this.gates.all].some(gate => gate.hasServed(request)),
-            cancel: request => [...this.gates.all].forEach(gate => gate.cancel(request)),
+            hasServed: request => [...this.gateSet.all].some(gate => gate.hasServed(request)),
+            cancel: request => [...this.gateSet.all].forEach(gate => gate.cancel(request)),
         });
-        metrics.showLimited(() => [...this.gates.all].filter(gate => gate.limitPerSecond !== undefined).length);
+        metrics.showLimited(() => [...this.gateSet.all].filter(gate => gate.limitPerSecond !== undefined).length);
         metrics.showQuarantined(() => this.crashGuard.quarantinedCount);
-        this.gates = new GateSet(self, upstream => new Gate(upstream, gateDependencies));
+        this.gateSet = new GateSet(self, upstream => new Gate(upstream, gateDependencies));
         context.unresponsiveConnections.onDetected(() =>
-            [...this.gates.all].forEach(gate => gate.dropSuspectConnections())
+            [...this.gateSet.all].forEach(gate => gate.dropSuspectConnections())
         );
-        current.onChange(() => [...this.gates.all].forEach(gate => gate.cold.updateLimits()));
-        this.healthCheck = new HealthCheck({ perSecond: control.healthPerSecond }, () => this.gates.all, metrics);
+        current.onChange(() => [...this.gateSet.all].forEach(gate => gate.cold.updateLimits()));
+        this.healthCheck = new HealthCheck({ perSecond: control.healthPerSecond }, () => this.gateSet.all, metrics);
     }
 
     /** Returns how many repeats this daemon can still afford for a service; 0 if it is no longer configured. */
--- a/src/daemon/gateset.ts
+++ b/src/daemon/gateset.ts
@@ -48,15 +48,15 @@
     }
 
     /** Closes all gates to new requests for `reason`, also gates that are opened later; or withdraws the reason. */
-    setClosed(reason: CloseReason, closed: boolean): void {
-        if (closed) {
+    setClosed(reason: CloseReason, isClosed: boolean): void {
+        if (isClosed) {
             this.#closeReasons.add(reason);
         }
         else {
             this.#closeReasons.delete(reason);
         }
         for (const gate of this.#gates.values()) {
-            this.#updateCloseReason(gate, reason, closed);
+            this.#updateCloseReason(gate, reason, isClosed);
         }
     }
 
@@ -72,8 +72,8 @@
         return gate;
     }
 
-    #updateCloseReason(gate: Gate, reason: CloseReason, closed: boolean): void {
-        if (closed) {
+    #updateCloseReason(gate: Gate, reason: CloseReason, isClosed: boolean): void {
+        if (isClosed) {
             gate.close(reason);
         }
         else {
--- a/src/daemon/hops.ts
+++ b/src/daemon/hops.ts
@@ -15,7 +15,7 @@
 type HopsDependencies = {
     readonly self: Address;
     readonly hall: HallName;
-    readonly gates: GateSet;
+    readonly gateSet: GateSet;
     readonly identity: GateIdentity;
     readonly ledger: Ledger;
     readonly peer: PeerClient;
@@ -33,9 +33,9 @@
      * `near` if it is in this daemon's hall.
      */
     open(upstream: Upstream): { readonly hop: Hop; readonly near: boolean; readonly local: boolean; } {
-        const { self, hall, gates, identity, ledger, peerOptions, peer } = this.deps;
+        const { self, hall, gateSet, identity, ledger, peerOptions, peer } = this.deps;
         if (upstream.gate === self) {
-            const gate = (): Gate | undefined => gates.find(upstream.name);
+            const gate = (): Gate | undefined => gateSet.find(upstream.name);
             return { hop: new LocalHop(gate, identity, ledger, peerOptions.clock), near: true, local: true };
         }
         const hop = this.#remoteHops.get(upstream.gate) ?? new RemoteHop(upstream.gate, peer, peerOptions);
--- a/src/daemon/membershipgroup.ts
+++ b/src/daemon/membershipgroup.ts
@@ -111,7 +111,7 @@
     #createMembership(): Membership | undefined {
         const { settings, environment, clock, random, self, send, incarnation, peer } = this.context;
         const { current, puller, watcher, evacuations } = this.configuration;
-        const { gates, probeBudget } = this.gates;
+        const { gateSet, probeBudget } = this.gates;
         return environment.registry && new Membership({
             self,
             incarnation,
@@ -121,7 +121,7 @@
             dialect: environment.dialect,
             healthPath: service => probeBudget.healthPath(service),
             onCrashRecords: records => this.gates.crashGuard.merge(records),
-            learnedShare: name => gates.find(name)?.learnedShare,
+            learnedShare: name => gateSet.find(name)?.learnedShare,
             documentWatcher: watcher,
             configuration: current,
             evacuations,
@@ -179,7 +179,7 @@
             evacuations: this.configuration.evacuations,
             onScopeChange: () => this.#checkEvacuatedHalls(),
             leavingHosts: new LeavingHosts(environment.store),
-            onHostLeaving: isLeaving => this.gates.gates.setClosed("host-leaving", isLeaving),
+            onHostLeaving: isLeaving => this.gates.gateSet.setClosed("host-leaving", isLeaving),
         });
     }
 }
--- a/src/daemon/requestpathgroup.ts
+++ b/src/daemon/requestpathgroup.ts
@@ -34,7 +34,7 @@
         this.#hops = new Hops({
             self,
             hall: settings.hall,
-            gates: gates.gates,
+            gateSet: gates.gateSet,
             identity,
             ledger,
             peer,
@@ -46,8 +46,8 @@
             clock,
             random,
             send,
-            gates: () => gates.gates.all,
-            gate: name => gates.gates.find(name),
+            gates: () => gates.gateSet.all,
+            gate: name => gates.gateSet.find(name),
             siblings: () => membership.upstreams,
             upstreams: this.upstreamTable,
             policy: settings.policy,
@@ -62,7 +62,7 @@
 
     /** Updates gates, the table of upstreams and hops to the present upstreams. */
     apply(upstreams: readonly Upstream[]): void {
-        this.gates.gates.apply(upstreams);
+        this.gates.gateSet.apply(upstreams);
         this.upstreamTable.apply(upstreams);
         this.#hops.apply(upstreams);
         const gates = new Set(upstreams.map(({ gate }) => gate));
@@ -72,7 +72,7 @@
     /** Closes all gates while this daemon's hall is evacuated; each of them is in that hall. */
     #applyEvacuations(): void {
         const isEvacuated = this.configuration.evacuations.isEvacuated(this.context.settings.hall);
-        this.gates.gates.setClosed("evacuated", isEvacuated);
+        this.gates.gateSet.setClosed("evacuated", isEvacuated);
     }
 
     readonly #pullConfiguration = (revision: number, from: string | undefined): Promise<void> =>
@@ -94,10 +94,10 @@
                 membership: this.membership.registryMembership,
                 watchesStore: () => this.membership.heartbeats.isWatcher,
                 configuration: current,
-                gates: gates.gates,
+                gateSet: gates.gateSet,
                 crashes: this.membership.crashes,
             }),
-            gate: name => gates.gates.find(name),
+            gate: name => gates.gateSet.find(name),
             catchUp: this.#pullConfiguration,
             find: target => rules.find(target),
             isStale: (head, rule) => rules.isStale(head, rule),
