--- a/build/bundle.js
+++ b/build/bundle.js
@@ -1,12 +1,13 @@
 /**
- * Bundles a daemon's binary, so that its start reads one file: `node build/bundle.js OUT_FOLDER SOURCE`.
+ * Bundles a daemon into one file, so that it starts quickly: `node build/bundle.js OUT_FOLDER SOURCE`.
  *
- * Writes `winglockd.cjs`, the launcher, and `winglockd.bundle.cjs`, what it runs. `build/warm.js` adds the code cache.
+ * Writes the launcher, `winglockd.cjs`, and the bundle that it runs, `winglockd.bundle.cjs`. Deletes an earlier code
+ * cache; `build/warm.js` writes a new one.
  */
 import { build } from "esbuild";
 import { copyFileSync, rmSync } from "node:fs";
 import { join } from "node:path";
-import { leaveOut } from "./leaveout.js";
+import { replaceModules } from "./replacemodules.js";
 
 const [outdir, source] = process.argv.slice(2);
 
@@ -20,7 +21,7 @@
     target: "node20",
     format: "cjs",
     legalComments: "none",
-    plugins: [leaveOut],
+    plugins: [replaceModules],
 });
 copyFileSync(new URL("launcher.cjs", import.meta.url), join(outdir, "winglockd.cjs"));
 rmSync(join(outdir, "winglockd.cache"), { force: true });
--- a/src/daemon/bootstrap.ts
+++ b/src/daemon/bootstrap.ts
@@ -1,8 +1,8 @@
 /**
- * Gets a configuration, and which halls are evacuated, at start: the highest of what the store and the seeds give.
+ * Loads the configuration and the evacuated halls at the start of the daemon.
  *
- * What the store gives may be some seconds old, which a daemon that has just started is anyhow to its peers: the next heartbeat of a
- * watcher, or the watch itself, brings what is newer.
+ * Reads the store and pulls from the seeds at the same time; the highest revision wins. The state that the store
+ * returns may be some seconds old. The next heartbeat of a watcher, or the daemon's own watch, brings newer changes.
  */
 import type { ConfigurationPuller } from "../distribution/configurationpuller.js";
 import type { CurrentConfiguration } from "../distribution/currentconfiguration.js";
@@ -15,13 +15,13 @@
 
 const logger = log("config");
 
-const readStore = async (
+const readFromStore = async (
     store: Store,
     configuration: CurrentConfiguration,
     evacuations: Evacuations,
     clock: Clock,
 ): Promise<void> => {
-    const askedAt = clock();
+    const requestedAt = clock();
     try {
         const { document, halls, isNewest } = await store.readCached();
         if (halls !== undefined) {
@@ -31,15 +31,18 @@
             configuration.apply(decodeDocument(document.value));
         }
         if (isNewest) {
-            configuration.confirm(configuration.revision, askedAt);
+            configuration.confirm(configuration.revision, requestedAt);
         }
     }
     catch (err) {
-        logger.warn("The store gave no configuration.", err);
+        logger.warn(
+            "The configuration could not be read from the store at the start; only peers can supply it until it is.",
+            err,
+        );
     }
 };
 
-/** Resolves when all have answered or failed; the store may be down, and then the seeds suffice. */
+/** Resolves when the store and all seeds have responded or failed. If the store is down, the seeds suffice. */
 export async function bootstrap(
     store: Store,
     seeds: readonly Address[],
@@ -48,6 +51,6 @@
     evacuations: Evacuations,
     clock: Clock,
 ): Promise<void> {
-    const asked = seeds.map(async seed => await puller.pull(Infinity, seed));
-    await Promise.all([readStore(store, configuration, evacuations, clock), ...asked]);
+    const pulls = seeds.map(async seed => await puller.pull(Infinity, seed));
+    await Promise.all([readFromStore(store, configuration, evacuations, clock), ...pulls]);
 }
--- a/src/daemon/daemonpeerservice.ts
+++ b/src/daemon/daemonpeerservice.ts
@@ -1,4 +1,4 @@
-/** What this daemon does for its peers. */
+/** Handles the calls of peers from the state of this daemon. */
 import type { Update } from "../config/update.js";
 import type { CrashPropagation } from "../crashes/crashpropagation.js";
 import type { CurrentConfiguration } from "../distribution/currentconfiguration.js";
@@ -19,22 +19,21 @@
 import type { GateSet } from "./gateset.js";
 import { gateStatus } from "./gatestatus.js";
 
-/** The state from which peers are answered. */
-type ServiceDependencies = {
+type PeerServiceDependencies = {
     readonly identity: GateIdentity;
     readonly ledger: Ledger;
     readonly configuration: CurrentConfiguration;
-    readonly gates: GateSet;
+    readonly gateSet: GateSet;
     readonly crashes: CrashPropagation;
     readonly clock: Clock;
-    /** Undefined where the document names the upstreams. */
+    /** Undefined if the configuration names the upstreams. */
     readonly membership: Membership | undefined;
     readonly watchesStore: () => boolean;
 };
 
-/** Answers from the daemon's own state. */
+/** Implements the peer service; the peer server decodes requests and encodes responses. */
 export class DaemonPeerService extends PeerService {
-    constructor(private readonly deps: ServiceDependencies) {
+    constructor(private readonly deps: PeerServiceDependencies) {
         super();
     }
 
@@ -44,7 +43,7 @@
         return { incarnation, gateTime, revision };
     }
 
-    /** A request of another life of this daemon may have run there: nothing can be proven. */
+    /** Returns `unknown` for a request to another incarnation of this daemon, because that one may have run it. */
     revoke(input: RevokeInput): RevokeResult {
         const { identity, ledger, clock } = this.deps;
         if (input.incarnation !== identity.incarnation) {
@@ -53,16 +52,16 @@
         return ledger.revoke(input.id, ledgerDeadline(input), clock());
     }
 
-    update(have: number): Update | undefined {
-        return this.deps.configuration.updateFor(have);
+    update(knownRevision: number): Update | undefined {
+        return this.deps.configuration.updateFor(knownRevision);
     }
 
     member(): Member {
         return this.#membership.member;
     }
 
-    records(have: RecordsPosition | undefined): RecordChanges {
-        return this.#membership.changesSince(have);
+    records(knownPosition: RecordsPosition | undefined): RecordChanges {
+        return this.#membership.changesSince(knownPosition);
     }
 
     crashes(changes: CrashChanges): CrashChanges {
@@ -70,10 +69,10 @@
     }
 
     status(): GateStatus[] {
-        const { gates, configuration, clock, membership, watchesStore } = this.deps;
+        const { gateSet, configuration, clock, membership, watchesStore } = this.deps;
         const now = clock();
-        const daemon = { watchesStore: watchesStore(), members: membership?.members.length ?? 0 };
-        return [...gates.all].map(gate => gateStatus(gate, configuration, daemon, now));
+        const daemonStatus = { watchesStore: watchesStore(), members: membership?.members.length ?? 0 };
+        return [...gateSet.all].map(gate => gateStatus(gate, configuration, daemonStatus, now));
     }
 
     get #membership(): Membership {
--- a/src/daemon/datagramrouter.ts
+++ b/src/daemon/datagramrouter.ts
@@ -1,4 +1,4 @@
-/** Hands each datagram to the task that it is for. */
+/** Routes each received datagram to the component that handles its type. */
 import type { CrashPropagation } from "../crashes/crashpropagation.js";
 import type { Message } from "../datagram/message.js";
 import type { HallHeartbeats } from "../distribution/hallheartbeats.js";
@@ -11,23 +11,22 @@
 import type { WorkTransfer } from "../transfer/worktransfer.js";
 import type { GateSet } from "./gateset.js";
 
-/** The tasks, and how to answer. */
 type RouterDependencies = {
     readonly self: Address;
     readonly clock: Clock;
     readonly identity: GateIdentity;
-    readonly gates: GateSet;
+    readonly gateSet: GateSet;
     readonly upstreams: UpstreamTable;
     readonly heartbeats: HallHeartbeats;
     readonly failureDetector: FailureDetector;
     readonly crashes: CrashPropagation;
     readonly transfer: WorkTransfer;
-    /** Undefined where the document names the upstreams. */
+    /** Undefined if the configuration names the upstreams. */
     readonly gossip: Gossip | undefined;
     readonly send: (to: Address, message: Message) => boolean;
 };
 
-/** Knows every type of message. */
+/** Handles all types of messages; responds to pings itself. */
 export class DatagramRouter {
     constructor(private readonly deps: RouterDependencies) {}
 
@@ -37,7 +36,7 @@
             case "beat":
                 return heartbeats.receive(message);
             case "ping":
-                return this.#answer(message.from, message.sentAt);
+                return this.#sendPong(message.from, message.sentAt);
             case "pong":
                 return failureDetector.receivePong(message);
             case "load":
@@ -59,10 +58,10 @@
         }
     }
 
-    #answer(to: Address, sentAt: number): void {
-        const { self, clock, identity, gates, send } = this.deps;
+    #sendPong(to: Address, sentAt: number): void {
+        const { self, clock, identity, gateSet, send } = this.deps;
         const { incarnation, gateTime, revision } = identity.note(clock());
-        const loads = [...gates.all].map(gate => ({ upstream: gate.upstream.name, report: gate.report() }));
+        const loads = [...gateSet.all].map(gate => ({ upstream: gate.upstream.name, report: gate.report() }));
         send(to, { type: "pong", from: self, sentAt, incarnation, gateTime, revision, loads });
     }
 }
--- a/src/daemon/gateset.ts
+++ b/src/daemon/gateset.ts
@@ -1,4 +1,4 @@
-/** The gates of one daemon, opened and closed by the configuration. */
+/** Opens and closes the gates of one daemon as the upstreams change. */
 import type { Upstream } from "../config/upstream.js";
 import type { CloseReason } from "../gate/closereason.js";
 import type { Gate } from "../gate/gate.js";
@@ -8,13 +8,13 @@
 const DRAINING = "draining";
 const REMOVED = "removed";
 
-const samePlace = (a: Upstream, b: Upstream): boolean =>
+const hasSameGateSettings = (a: Upstream, b: Upstream): boolean =>
     a.address === b.address && a.slots === b.slots && a.connections === b.connections && a.service === b.service;
 
 /** Holds one gate for each upstream whose `gate` is this daemon's address. */
 export class GateSet {
     readonly #gates = new Map<UpstreamName, Gate>();
-    readonly #reasons = new Set<CloseReason>();
+    readonly #closeReasons = new Set<CloseReason>();
 
     constructor(private readonly self: Address, private readonly makeGate: (upstream: Upstream) => Gate) {}
 
@@ -26,38 +26,41 @@
         return this.#gates.get(name);
     }
 
-    /** Follows the upstreams that there are; a gate whose upstream is none of them finishes what it has. */
+    /**
+     * Opens and closes gates to match the present upstreams. A gate whose upstream is gone or has other settings
+     * completes the requests that it has, but takes no new ones.
+     */
     apply(upstreams: readonly Upstream[]): void {
-        const mine = upstreams.filter(upstream => upstream.gate === this.self);
-        const named = new Map(mine.map(upstream => [upstream.name, upstream]));
+        const ownUpstreams = upstreams.filter(upstream => upstream.gate === this.self);
+        const upstreamByName = new Map(ownUpstreams.map(upstream => [upstream.name, upstream]));
         for (const gate of [...this.#gates.values()]) {
-            const settings = named.get(gate.upstream.name);
-            if (settings === undefined || !samePlace(settings, gate.upstream)) {
+            const upstream = upstreamByName.get(gate.upstream.name);
+            if (upstream === undefined || !hasSameGateSettings(upstream, gate.upstream)) {
                 this.#gates.delete(gate.upstream.name);
                 gate.close(REMOVED);
                 void gate.shutDown();
             }
         }
-        for (const upstream of mine) {
+        for (const upstream of ownUpstreams) {
             const gate = this.#gates.get(upstream.name) ?? this.#open(upstream);
-            this.#mark(gate, DRAINING, upstream.draining);
+            this.#updateCloseReason(gate, DRAINING, upstream.draining);
         }
     }
 
-    /** Closes all gates to new requests for a reason, those still to come too, or takes the reason back. */
-    setClosed(reason: CloseReason, closed: boolean): void {
-        if (closed) {
-            this.#reasons.add(reason);
+    /** Closes all gates to new requests for `reason`, also gates that are opened later; or withdraws the reason. */
+    setClosed(reason: CloseReason, isClosed: boolean): void {
+        if (isClosed) {
+            this.#closeReasons.add(reason);
         }
         else {
-            this.#reasons.delete(reason);
+            this.#closeReasons.delete(reason);
         }
         for (const gate of this.#gates.values()) {
-            this.#mark(gate, reason, closed);
+            this.#updateCloseReason(gate, reason, isClosed);
         }
     }
 
-    /** Requests that run or wait at all gates. */
+    /** Returns the number of requests that are running or queued at all gates. */
     pendingCount(): number {
         return [...this.#gates.values()].reduce((sum, gate) => sum + gate.pendingCount, 0);
     }
@@ -65,12 +68,12 @@
     #open(upstream: Upstream): Gate {
         const gate = this.makeGate(upstream);
         this.#gates.set(upstream.name, gate);
-        this.#reasons.forEach(reason => gate.close(reason));
+        this.#closeReasons.forEach(reason => gate.close(reason));
         return gate;
     }
 
-    #mark(gate: Gate, reason: CloseReason, closed: boolean): void {
-        if (closed) {
+    #updateCloseReason(gate: Gate, reason: CloseReason, isClosed: boolean): void {
+        if (isClosed) {
             gate.close(reason);
         }
         else {
--- a/src/daemon/gatestatus.ts
+++ b/src/daemon/gatestatus.ts
@@ -1,12 +1,12 @@
-/** The state of a gate, as operators see it. */
+/** Determines the status of a gate that operators see. */
 import type { CurrentConfiguration } from "../distribution/currentconfiguration.js";
 import type { Gate } from "../gate/gate.js";
 import type { GateStatus } from "../peer/gatestatus.js";
 
-/** What its daemon adds to the line. */
+/** The fields that are the same for all gates of a daemon. */
 type DaemonStatus = Pick<GateStatus, "watchesStore" | "members">;
 
-const stateOf = (gate: Gate): GateStatus["state"] => {
+const gateState = (gate: Gate): GateStatus["state"] => {
     if (gate.isEvacuated) {
         return "evacuated";
     }
@@ -19,17 +19,17 @@
     return gate.cold.isCold ? "cold" : "up";
 };
 
-/** One line of `winglock status`. */
+/** Returns one line of `winglock status`. */
 export function gateStatus(
     gate: Gate,
     configuration: CurrentConfiguration,
-    daemon: DaemonStatus,
+    daemonStatus: DaemonStatus,
     now: number,
 ): GateStatus {
     const { running, waiting, limit } = gate.report();
     return {
         upstream: gate.upstream.name,
-        state: stateOf(gate),
+        state: gateState(gate),
         revision: configuration.revision,
         fresh: configuration.isFresh(now),
         running,
@@ -38,6 +38,6 @@
         limitPerSecond: gate.limitPerSecond,
         finished: gate.finished,
         refused: gate.refused,
-        ...daemon,
+        ...daemonStatus,
     };
 }
--- a/src/daemon/hops.ts
+++ b/src/daemon/hops.ts
@@ -1,4 +1,4 @@
-/** The ways to gates, one for each gate that requests are sent to. */
+/** Keeps the hops to gates: one to each peer that requests are sent to. */
 import type { Upstream } from "../config/upstream.js";
 import type { Gate } from "../gate/gate.js";
 import type { GateIdentity } from "../gate/gateidentity.js";
@@ -12,45 +12,48 @@
 import { RemoteHop } from "../peer/remotehop.js";
 import type { GateSet } from "./gateset.js";
 
-/** What a way is made of. */
 type HopsDependencies = {
     readonly self: Address;
     readonly hall: HallName;
-    readonly gates: GateSet;
+    readonly gateSet: GateSet;
     readonly identity: GateIdentity;
     readonly ledger: Ledger;
     readonly peer: PeerClient;
-    readonly options: PeerOptions;
+    readonly peerOptions: PeerOptions;
 };
 
-/** Opens ways when they are first wanted and closes those that no upstream is behind any more. */
+/** Opens a hop when it is first needed, and closes it when no upstream is left at its gate's address. */
 export class Hops {
-    readonly #remote = new Map<Address, RemoteHop>();
+    readonly #remoteHops = new Map<Address, RemoteHop>();
 
     constructor(private readonly deps: HopsDependencies) {}
 
-    /** The way to an upstream's gate: none of the network when the gate is this daemon's own. */
+    /**
+     * Returns the hop to an upstream's gate. `local` is true if the gate is in this daemon, which needs no network;
+     * `near` if it is in this daemon's hall.
+     */
     open(upstream: Upstream): { readonly hop: Hop; readonly near: boolean; readonly local: boolean; } {
-        const { self, hall, gates, identity, ledger, options, peer } = this.deps;
+        const { self, hall, gateSet, identity, ledger, peerOptions, peer } = this.deps;
         if (upstream.gate === self) {
-            const gate = (): Gate | undefined => gates.find(upstream.name);
-            return { hop: new LocalHop(gate, identity, ledger, options.clock), near: true, local: true };
+            const gate = (): Gate | undefined => gateSet.find(upstream.name);
+            return { hop: new LocalHop(gate, identity, ledger, peerOptions.clock), near: true, local: true };
         }
-        const hop = this.#remote.get(upstream.gate) ?? new RemoteHop(upstream.gate, peer, options);
-        this.#remote.set(upstream.gate, hop);
+        const hop = this.#remoteHops.get(upstream.gate) ?? new RemoteHop(upstream.gate, peer, peerOptions);
+        this.#remoteHops.set(upstream.gate, hop);
         return { hop, near: upstream.hall === hall, local: false };
     }
 
-    /** Ends idle connections to all gates: they may have gone silent. */
+    /** Closes the idle connections to all gates, because they may be unresponsive. */
     dropIdle(): void {
-        this.#remote.forEach(hop => hop.dropIdle());
+        this.#remoteHops.forEach(hop => hop.dropIdle());
     }
 
+    /** Closes the hops to addresses at which none of the upstreams has its gate. */
     apply(upstreams: readonly Upstream[]): void {
-        const named = new Set(upstreams.map(upstream => upstream.gate));
-        for (const [address, hop] of this.#remote) {
-            if (!named.has(address)) {
-                this.#remote.delete(address);
+        const gateAddresses = new Set(upstreams.map(upstream => upstream.gate));
+        for (const [address, hop] of this.#remoteHops) {
+            if (!gateAddresses.has(address)) {
+                this.#remoteHops.delete(address);
                 void hop.close();
             }
         }
--- a/src/daemon/membershipgroup.ts
+++ b/src/daemon/membershipgroup.ts
@@ -1,4 +1,9 @@
-/** How this daemon knows the others, in the way that its environment asks for; docs/DESIGN.md says why there are two. */
+/**
+ * Keeps track of the other daemons and of the upstreams.
+ *
+ * If the environment has a registry, upstreams announce themselves and daemons find each other by their records.
+ * Otherwise the configuration names the upstreams. docs/DESIGN.md says why both exist. Heartbeats serve both.
+ */
 import type { Upstream } from "../config/upstream.js";
 import { CrashPropagation } from "../crashes/crashpropagation.js";
 import { CrashPublisher } from "../crashes/crashpublisher.js";
@@ -16,16 +21,16 @@
 import type { GateGroup } from "./gategroup.js";
 
 /**
- * One that knows nobody when the store has its own record waits so long before it watches: where a whole hall starts, all have found each
- * other by then (RegistryWatcher.rereadStale), and those that need not watch never do. Milliseconds: the time within which records
- * are written that are written at the start.
+ * Time that a daemon waits before it watches the store if it knows no other daemon once its own record is in the store.
+ * Daemons that start together write their records within this time. By its end they have found each other
+ * (RegistryWatcher.rereadStale), so that only the watchers of a hall ever watch.
  */
-const ALONE_MS = 4000;
+const DISCOVERY_MS = 4000;
 
-/** From the document where it names the upstreams, by announcements where there is a registry; heartbeats carry both. */
+/** Owns the heartbeats, the membership by the registry, and the propagation of crash records. */
 export class MembershipGroup {
     readonly heartbeats: HallHeartbeats;
-    readonly announced: Membership | undefined;
+    readonly registryMembership: Membership | undefined;
     readonly crashes: CrashPropagation;
     readonly #crashPublisher: CrashPublisher | undefined;
     readonly #unknownHalls = new UnknownHalls();
@@ -36,36 +41,36 @@
         private readonly configuration: ConfigurationGroup,
         private readonly gates: GateGroup,
     ) {
-        this.announced = this.#makeMembership();
+        this.registryMembership = this.#createMembership();
         this.crashes = this.#createCrashPropagation();
-        this.#crashPublisher = this.#makeCrashPublisher();
-        this.heartbeats = this.#makeHeartbeats();
-        context.unresponsiveConnections.onDetected(() => this.#renewStore());
-        gates.onUsualShare(service => this.announced?.medianLimitShare(service));
-        gates.onEnding(name => this.announced?.recordLeaving(name));
+        this.#crashPublisher = this.#createCrashPublisher();
+        this.heartbeats = this.#createHeartbeats();
+        context.unresponsiveConnections.onDetected(() => this.#renewStoreConnections());
+        gates.setMedianLimitShareSource(service => this.registryMembership?.medianLimitShare(service));
+        gates.onEnding(name => this.registryMembership?.recordLeaving(name));
         context.metrics.showMembership(() => this.members.length, () => this.heartbeats.isWatcher);
-        configuration.current.onChange(() => this.#changed());
-        this.announced?.onChange(() => this.#changed());
-        configuration.evacuations.onChange(() => this.#checkHalls());
+        configuration.current.onChange(() => this.#applyUpstreamChange());
+        this.registryMembership?.onChange(() => this.#applyUpstreamChange());
+        configuration.evacuations.onChange(() => this.#checkEvacuatedHalls());
     }
 
-    /** The upstreams of the document, and those that have announced themselves. */
+    /** The upstreams that the configuration names, and those that have announced themselves. */
     get upstreams(): readonly Upstream[] {
-        return [...this.configuration.current.document.upstreams, ...this.announced?.upstreams ?? []];
+        return [...this.configuration.current.document.upstreams, ...this.registryMembership?.upstreams ?? []];
     }
 
-    /** This daemon and those that it knows; none where the document names the upstreams. */
+    /** This daemon's record and those of the daemons that it knows; empty if there is no registry. */
     get members(): Member[] {
-        return this.announced?.members ?? [];
+        return this.registryMembership?.members ?? [];
     }
 
-    /** Calls the listener when the upstreams have changed. */
+    /** Sets the listener that is called when the upstreams have changed. */
     onChange(listener: () => void): void {
         this.#listener = listener;
     }
 
     async start(): Promise<void> {
-        await this.announced?.start();
+        await this.registryMembership?.start();
         this.heartbeats.updateMembers();
         this.heartbeats.start();
         this.#crashPublisher?.start();
@@ -74,39 +79,39 @@
     stop(): void {
         this.heartbeats.stop();
         this.#crashPublisher?.stop();
-        this.announced?.stop();
+        this.registryMembership?.stop();
     }
 
-    #changed(): void {
+    #applyUpstreamChange(): void {
         this.heartbeats.updateMembers();
         this.crashes.onMembersChanged();
         this.#listener();
     }
 
-    #checkHalls(): void {
-        const known = new Set(this.#places().map(({ hall }) => hall));
-        this.#unknownHalls.check(this.configuration.evacuations.halls, known, this.heartbeats.watchesEvacuations);
+    #checkEvacuatedHalls(): void {
+        const knownHalls = new Set(this.#locations().map(({ hall }) => hall));
+        this.#unknownHalls.check(this.configuration.evacuations.halls, knownHalls, this.heartbeats.watchesEvacuations);
     }
 
-    #places(): readonly DaemonLocation[] {
+    #locations(): readonly DaemonLocation[] {
         return [...this.configuration.current.document.upstreams, ...this.members];
     }
 
-    /** Calls of the store and watches of it go on over new connections: the old ones may have gone silent. */
-    #renewStore(): void {
+    /** Continues calls to the store and watches of it on new connections, because the old ones may be unresponsive. */
+    #renewStoreConnections(): void {
         this.context.environment.store.renewConnections();
-        if (this.announced === undefined) {
+        if (this.registryMembership === undefined) {
             this.configuration.watcher.renew();
         }
         else {
-            this.announced.restartWatches();
+            this.registryMembership.restartWatches();
         }
     }
 
-    #makeMembership(): Membership | undefined {
+    #createMembership(): Membership | undefined {
         const { settings, environment, clock, random, self, send, incarnation, peer } = this.context;
         const { current, puller, watcher, evacuations } = this.configuration;
-        const { gates, probes } = this.gates;
+        const { gateSet, probeBudget } = this.gates;
         return environment.registry && new Membership({
             self,
             incarnation,
@@ -114,9 +119,9 @@
             settings,
             registry: environment.registry,
             dialect: environment.dialect,
-            healthPath: service => probes.healthPath(service),
-            onCrashRecords: records => this.gates.guard.merge(records),
-            learnedShare: name => gates.find(name)?.learnedShare,
+            healthPath: service => probeBudget.healthPath(service),
+            onCrashRecords: records => this.gates.crashGuard.merge(records),
+            learnedShare: name => gateSet.find(name)?.learnedShare,
             documentWatcher: watcher,
             configuration: current,
             evacuations,
@@ -134,26 +139,26 @@
             incarnation,
             random,
             send,
-            guard: this.gates.guard,
-            members: () => [...new Set(this.#places().map(({ gate }) => gate))],
-            relays: () => selectRelays(this.#places(), settings.hall, self),
+            guard: this.gates.crashGuard,
+            members: () => [...new Set(this.#locations().map(({ gate }) => gate))],
+            relays: () => selectRelays(this.#locations(), settings.hall, self),
             siblings: service =>
                 this.upstreams.filter(upstream => upstream.service === service).map(({ gate }) => gate),
             exchange: (address, changes) => peer.crashes(address, changes),
         });
     }
 
-    /** None where the store keeps the operators' document only. */
-    #makeCrashPublisher(): CrashPublisher | undefined {
+    /** Returns undefined if there is no registry: the store then holds only the operators' configuration. */
+    #createCrashPublisher(): CrashPublisher | undefined {
         const { registry } = this.context.environment;
         return registry && new CrashPublisher({
-            guard: this.gates.guard,
+            guard: this.gates.crashGuard,
             clock: this.context.clock,
             write: (record, keepMs) => registry.storeCrashRecord(record, keepMs),
         });
     }
 
-    #makeHeartbeats(): HallHeartbeats {
+    #createHeartbeats(): HallHeartbeats {
         const { settings, environment, clock, random, self, send } = this.context;
         const { current, puller, watcher } = this.configuration;
         return new HallHeartbeats({
@@ -165,16 +170,16 @@
             host: settings.host,
             configuration: current,
             puller,
-            election: new WatcherElection(self, clock(), this.announced === undefined ? 0 : ALONE_MS),
-            watch: this.announced?.watch ?? new ConfigurationWatch(watcher),
-            locations: () => this.#places(),
-            crashDigest: () => this.gates.guard.digest,
-            suspectDigest: () => this.gates.guard.suspectDigest,
-            onCrashDigest: (from, mark) => this.crashes.compareDigests(from, mark),
+            election: new WatcherElection(self, clock(), this.registryMembership === undefined ? 0 : DISCOVERY_MS),
+            watch: this.registryMembership?.watch ?? new ConfigurationWatch(watcher),
+            locations: () => this.#locations(),
+            crashDigest: () => this.gates.crashGuard.digest,
+            suspectDigest: () => this.gates.crashGuard.suspectDigest,
+            onCrashDigest: (from, digest) => this.crashes.compareDigests(from, digest),
             evacuations: this.configuration.evacuations,
-            onScopeChange: () => this.#checkHalls(),
+            onScopeChange: () => this.#checkEvacuatedHalls(),
             leavingHosts: new LeavingHosts(environment.store),
-            onHostLeaving: leaving => this.gates.gates.setClosed("host-leaving", leaving),
+            onHostLeaving: isLeaving => this.gates.gateSet.setClosed("host-leaving", isLeaving),
         });
     }
 }
--- a/src/daemon/readinessserver.ts
+++ b/src/daemon/readinessserver.ts
@@ -1,20 +1,20 @@
-/** Tells whoever sends callers here whether to: `GET /readyz` is 200 or 503. */
+/** Serves readiness checks: `GET /readyz` returns 200 if callers may be sent to this daemon, otherwise 503. */
 import { createServer, type Server } from "node:http";
 import { httpStatus } from "../http/httpstatus.js";
 import type { Address } from "../ids/address.js";
 import { listen } from "../time/listen.js";
 
-const PATH = "/readyz";
+const READINESS_PATH = "/readyz";
 
-/** Asks at each question. */
+/** Calls `isReady` for each check. */
 export class ReadinessServer {
     readonly #server: Server;
 
-    constructor(ready: () => boolean) {
+    constructor(isReady: () => boolean) {
         this.#server = createServer((req, res) => {
-            const status = req.url !== PATH
+            const status = req.url !== READINESS_PATH
                 ? httpStatus.notFound
-                : ready()
+                : isReady()
                 ? httpStatus.ok
                 : httpStatus.serviceUnavailable;
             res.writeHead(status, { "content-length": "0" }).end();
--- a/src/daemon/serve.ts
+++ b/src/daemon/serve.ts
@@ -1,4 +1,4 @@
-/** Runs a daemon as the one thing of its process. */
+/** Runs a daemon as the main program of a process, and handles its signals. */
 import { readFileSync } from "node:fs";
 import { ConfigError } from "../config/configerror.js";
 import { parse } from "../config/parse.js";
@@ -9,9 +9,9 @@
 import { Settings } from "./settings.js";
 import { SettingsFile } from "./settingsfile.js";
 
-/** Exit code: an address can't be had. */
+/** Exit code if the daemon can't start, for example because an address is in use. */
 const EXIT_FAILED = 1;
-/** Exit code: the settings can't be used. */
+/** Exit code if the settings are missing or invalid. */
 const EXIT_SETTINGS = 2;
 const STOP_SIGNALS = ["SIGTERM", "SIGINT"] as const;
 
@@ -20,22 +20,22 @@
         return parse(Settings, JSON.parse(readFileSync(file, "utf8")));
     }
     catch (err) {
-        const what = err instanceof ConfigError ? err.message : (err as Error).message;
-        console.error(`winglock:daemon The settings in ${file} can't be used:\n${what}`);
+        const reason = err instanceof ConfigError ? err.message : (err as Error).message;
+        console.error(`winglock:daemon The settings in ${file} can't be used:\n${reason}`);
         process.exit(EXIT_SETTINGS);
     }
 };
 
 const stopOnSignal = (daemon: Daemon): void => {
-    const hurry = new AbortController();
-    let stopping = false;
+    const forceStop = new AbortController();
+    let isStopping = false;
     const onSignal = (): void => {
-        if (stopping) {
-            hurry.abort();
+        if (isStopping) {
+            forceStop.abort();
             return;
         }
-        stopping = true;
-        void daemon.stop(hurry.signal).finally(() => logSink.end()).finally(() => process.exit(0));
+        isStopping = true;
+        void daemon.stop(forceStop.signal).finally(() => logSink.end()).finally(() => process.exit(0));
     };
     STOP_SIGNALS.forEach(signal => process.on(signal, onSignal));
 };
@@ -45,14 +45,14 @@
     settings.start();
 };
 
-/** Reads the settings, starts, and stops by plan at the first signal, at once at the second. */
+/** Reads the settings and starts a daemon. The first signal stops it gracefully, the second one at once. */
 export async function serve(
     file: string,
-    surroundings: (settings: Settings, metrics: Metrics) => Environment,
+    createEnvironment: (settings: Settings, metrics: Metrics) => Environment,
 ): Promise<void> {
     const settings = readSettings(file);
     logSink.configure(settings.log.level, settings.log.linesPerSecond);
-    const daemon = new Daemon(settings, surroundings);
+    const daemon = new Daemon(settings, createEnvironment);
     stopOnSignal(daemon);
     reloadOnSignal(new SettingsFile(file, settings));
     try {
