--- a/src/cli/explaincommand.ts
+++ b/src/cli/explaincommand.ts
@@ -1,9 +1,9 @@
 /** Implements `winglock explain`. */
 import { command, positional, string } from "cmd-ts";
 import type { ExplainRequestResponse } from "../gen/winglock/operator/v1/operator_pb.js";
-import { nameOf } from "../operator/nameof.js";
-import { protoKind } from "../operator/protokind.js";
+import { enumKeyOf } from "../operator/enumkeyof.js";
 import { protoPriority } from "../operator/protopriority.js";
+import { protoRequestKind } from "../operator/protorequestkind.js";
 import { CliError } from "./clierror.js";
 import { commonArgs } from "./commonargs.js";
 import { exitCode } from "./exitcode.js";
@@ -20,8 +20,8 @@
     return [
         `rule      ${res.rule}`,
         `service   ${res.service}`,
-        `class     ${nameOf(protoPriority, res.priority)}`,
-        `kind      ${nameOf(protoKind, res.kind)} (${res.kindReason})`,
+        `class     ${enumKeyOf(protoPriority, res.priority)}`,
+        `kind      ${enumKeyOf(protoRequestKind, res.kind)} (${res.kindReason})`,
         `tenant    ${res.tenant}`,
         `limit     ${res.timeLimitMs} ms`,
         table(["upstream", "eligible", "expected ms"], rows),
--- a/src/cli/ruleresource.ts
+++ b/src/cli/ruleresource.ts
@@ -1,18 +1,18 @@
 /** Defines the resource type of `winglock rule`. */
 import type { MessageInitShape } from "@bufbuild/protobuf";
 import { array, multioption, number, oneOf, option, optional, string } from "cmd-ts";
-import { AnswerMode } from "../config/answermode.js";
-import { Kind } from "../config/kind.js";
 import { Priority } from "../config/priority.js";
+import { RequestKind } from "../config/requestkind.js";
+import { ResponseMode } from "../config/responsemode.js";
 import type { ChangeSchema, Configuration } from "../gen/winglock/operator/v1/operator_pb.js";
-import { nameOf } from "../operator/nameof.js";
-import { protoAnswerMode } from "../operator/protoanswermode.js";
-import { protoKind } from "../operator/protokind.js";
+import { enumKeyOf } from "../operator/enumkeyof.js";
 import { protoPriority } from "../operator/protopriority.js";
+import { protoRequestKind } from "../operator/protorequestkind.js";
+import { protoResponseMode } from "../operator/protoresponsemode.js";
 import { Resource } from "./resource.js";
 import { toPlainItem } from "./toplainitem.js";
 
-type RuleItem = { name: string; kind?: Kind; priority?: Priority; answer?: AnswerMode; };
+type RuleItem = { name: string; kind?: RequestKind; priority?: Priority; answer?: ResponseMode; };
 
 /** Rules, which define how the requests that they match are handled. */
 export class RuleResource extends Resource {
@@ -49,7 +49,7 @@
             description: "The team that the requests belong to.",
         }),
         kind: option({
-            type: optional(oneOf(Kind.options)),
+            type: optional(oneOf(RequestKind.options)),
             long: "kind",
             description: "Whether a request may run again.",
         }),
@@ -59,7 +59,7 @@
             description: "Time limit of a request, in ms.",
         }),
         answer: option({
-            type: optional(oneOf(AnswerMode.options)),
+            type: optional(oneOf(ResponseMode.options)),
             long: "answer",
             description: "Whole or streamed response.",
         }),
@@ -68,9 +68,9 @@
     list(configuration: Configuration): ReturnType<Resource["list"]> {
         return configuration.rules.map(rule => ({
             ...toPlainItem(rule),
-            kind: nameOf(protoKind, rule.kind),
-            priority: nameOf(protoPriority, rule.priority),
-            answer: nameOf(protoAnswerMode, rule.answer),
+            kind: enumKeyOf(protoRequestKind, rule.kind),
+            priority: enumKeyOf(protoPriority, rule.priority),
+            answer: enumKeyOf(protoResponseMode, rule.answer),
         }));
     }
 
@@ -78,9 +78,9 @@
         const { kind, priority, answer, ...fields } = item as RuleItem;
         const value = {
             ...fields,
-            kind: kind && protoKind[kind],
+            kind: kind && protoRequestKind[kind],
             priority: priority && protoPriority[priority],
-            answer: answer && protoAnswerMode[answer],
+            answer: answer && protoResponseMode[answer],
         };
         return { change: { case: "putRule", value } };
     }
--- a/src/config/rule.ts
+++ b/src/config/rule.ts
@@ -3,11 +3,11 @@
 import { RuleName } from "../ids/rulename.js";
 import { ServiceName } from "../ids/servicename.js";
 import { TeamName } from "../ids/teamname.js";
-import { AnswerMode } from "./answermode.js";
-import { Kind } from "./kind.js";
 import { Priority } from "./priority.js";
 import { priorityOfRank } from "./priorityofrank.js";
-import { Share } from "./share.js";
+import { RequestKind } from "./requestkind.js";
+import { ResponseMode } from "./responsemode.js";
+import { WeightedService } from "./weightedservice.js";
 
 const DEFAULT_TIME_LIMIT_MS = 10_000;
 /** Ten minutes; also bounds how long the ledger keeps an entry for a request. */
@@ -23,7 +23,7 @@
 
 const Method = z.string().regex(/^[A-Z][A-Z-]{0,31}$/, "must be an HTTP method in capitals");
 
-const hasPositiveWeight = (shares: readonly Share[]): boolean =>
+const hasPositiveWeight = (shares: readonly WeightedService[]): boolean =>
     shares.length === 0 || shares.some(({ weight }) => weight > 0);
 
 const Rule = z.strictObject({
@@ -32,15 +32,18 @@
     pathPrefix: z.string().max(MAX_PATH_CHARS).startsWith("/"),
     methods: z.array(Method).max(MAX_METHODS).default([]),
     service: ServiceName,
-    split: z.array(Share).max(MAX_SHARES).refine(hasPositiveWeight, "at least one share must have a weight above 0")
+    split: z.array(WeightedService).max(MAX_SHARES).refine(
+        hasPositiveWeight,
+        "at least one share must have a weight above 0",
+    )
         .optional(),
     priority: z.union([Priority, z.int().min(0).transform(priorityOfRank)]).default("normal"),
     tenant: TeamName.default("none" as TeamName),
-    kind: Kind.optional(),
+    kind: RequestKind.optional(),
     timeLimitMs: z.int().min(1).max(MAX_TIME_LIMIT_MS).default(DEFAULT_TIME_LIMIT_MS),
     targetMs: z.int().min(1).max(MAX_TIME_LIMIT_MS).optional(),
     maxTries: z.int().min(1).max(MAX_ATTEMPTS).optional(),
-    answer: AnswerMode.default("whole"),
+    answer: ResponseMode.default("whole"),
 });
 type Rule = z.infer<typeof Rule>;
 
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -97,7 +97,7 @@
         const { settings, clock } = this.#context;
         const { lingerMs, limitMs } = settings.stop;
         logger.change("The daemon is stopping.", { host: settings.host, inFlight: this.#inFlightCount() });
-        this.#operators.server.unready();
+        this.#operators.server.setNotReady();
         this.#requestPath.ingress.startClosing();
         await sleep(lingerMs, forceStop);
         const deadline = clock() + limitMs;
--- a/src/daemon/daemoncontext.ts
+++ b/src/daemon/daemoncontext.ts
@@ -37,8 +37,9 @@
         this.self = advertise ?? peer;
         this.localIp = splitAddress(peer).ip;
         this.unresponsiveConnections = new UnresponsiveConnections(clock, metrics);
-        const onSilent = (address: Address): void => this.unresponsiveConnections.recordAndNotify("peer", address);
-        this.peerOptions = { localIp: this.localIp, key, clock, onSilent };
+        const onUnresponsive = (address: Address): void =>
+            this.unresponsiveConnections.recordAndNotify("peer", address);
+        this.peerOptions = { localIp: this.localIp, key, clock, onSilent: onUnresponsive };
         this.peer = new PeerClient(this.peerOptions);
         this.unresponsiveConnections.onDetected(() => this.peer.renewConnections());
         this.datagrams = new DatagramSocket({ key, clock, bytesPerSecond: control.bytesPerSecond, metrics });
--- a/src/daemon/daemonpeerservice.ts
+++ b/src/daemon/daemonpeerservice.ts
@@ -1,5 +1,5 @@
 /** Handles the calls of peers from the state of this daemon. */
-import type { Update } from "../config/update.js";
+import type { ConfigurationUpdate } from "../config/configurationupdate.js";
 import type { CrashPropagation } from "../crashes/crashpropagation.js";
 import type { CurrentConfiguration } from "../distribution/currentconfiguration.js";
 import type { GateIdentity } from "../gate/gateidentity.js";
@@ -39,7 +39,7 @@
 
     hello(): ReturnType<PeerService["hello"]> {
         const { identity, clock } = this.deps;
-        const { incarnation, gateTime, revision } = identity.note(clock());
+        const { incarnation, gateTime, revision } = identity.responseMetadata(clock());
         return { incarnation, gateTime, revision };
     }
 
@@ -52,7 +52,7 @@
         return ledger.revoke(input.id, ledgerDeadline(input), clock());
     }
 
-    update(knownRevision: number): Update | undefined {
+    update(knownRevision: number): ConfigurationUpdate | undefined {
         return this.deps.configuration.updateFor(knownRevision);
     }
 
--- a/src/daemon/datagramrouter.ts
+++ b/src/daemon/datagramrouter.ts
@@ -60,7 +60,7 @@
 
     #sendPong(to: Address, sentAt: number): void {
         const { self, clock, identity, gateSet, send } = this.deps;
-        const { incarnation, gateTime, revision } = identity.note(clock());
+        const { incarnation, gateTime, revision } = identity.responseMetadata(clock());
         const loads = [...gateSet.all].map(gate => ({ upstream: gate.upstream.name, report: gate.report() }));
         send(to, { type: "pong", from: self, sentAt, incarnation, gateTime, revision, loads });
     }
--- a/src/daemon/gategroup.ts
+++ b/src/daemon/gategroup.ts
@@ -64,14 +64,14 @@
             limit: policy.limit,
             medianLimitShare: (service: ServiceName) => this.#medianLimitShare(service),
             onChange: () => this.#onChange(),
-            mayAsk: () => this.probeBudget.mayAsk(),
-            mayProbeCrash: () => this.probeBudget.mayAskForCrash(),
-            onArrival: (service: ServiceName, arrival: Arrival) => metrics.arrived(service, arrival),
+            mayAsk: () => this.probeBudget.mayProbePace(),
+            mayProbeCrash: () => this.probeBudget.mayProbeCrash(),
+            onArrival: (service: ServiceName, arrival: Arrival) => metrics.countArrival(service, arrival),
             onCrash: (service: ServiceName, crash: CrashId, requests: readonly RequestKey[]) => {
-                metrics.crashed(service);
+                metrics.countCrash(service);
                 this.crashGuard.recordCrash({ service, crash, requests });
             },
-            onHeldBack: (service: ServiceName, reason: "cold" | "limited") => metrics.heldBack(service, reason),
+            onHeldBack: (service: ServiceName, reason: "cold" | "limited") => metrics.countHeldBack(service, reason),
             onEnding: (upstream: UpstreamName) => this.#onEnding(upstream),
             onServed: (request: RequestKey) => this.crashGuard.recordServed(request),
             quarantinedForMs: (request: RequestKey | undefined) => this.crashGuard.quarantinedForMs(request),
@@ -79,7 +79,7 @@
             repeatsLeft: (service: ServiceName) => this.#repeatsLeft(service, current, clock()),
             healthPath: (service: ServiceName) => this.probeBudget.healthPath(service),
             coldLimits: (service: ServiceName) => coldLimitsOf(current.document, service, policy.cold),
-            mayProbeCold: () => this.probeBudget.mayAskForCold(),
+            mayProbeCold: () => this.probeBudget.mayProbeCold(),
         };
         this.crashGuard = new CrashGuard({
             clock,
--- a/src/daemon/hops.ts
+++ b/src/daemon/hops.ts
@@ -44,8 +44,8 @@
     }
 
     /** Closes the idle connections to all gates, because they may be unresponsive. */
-    dropIdle(): void {
-        this.#remoteHops.forEach(hop => hop.dropIdle());
+    closeIdle(): void {
+        this.#remoteHops.forEach(hop => hop.closeIdle());
     }
 
     /** Closes the hops to addresses at which none of the upstreams has its gate. */
--- a/src/daemon/operatorgroup.ts
+++ b/src/daemon/operatorgroup.ts
@@ -26,10 +26,10 @@
             evacuations,
             configuration: current,
             upstreams: upstreamTable,
-            known: () => membership.upstreams,
+            knownUpstreams: () => membership.upstreams,
         });
         this.server = new OperatorServer(api, metrics, () => current.revision > 0);
-        this.#readiness = new ReadinessServer(() => this.server.ready);
+        this.#readiness = new ReadinessServer(() => this.server.isReady);
     }
 
     async listen(): Promise<void> {
--- a/src/daemon/requestpathgroup.ts
+++ b/src/daemon/requestpathgroup.ts
@@ -54,7 +54,7 @@
         });
         this.peerServer = this.#createPeerServer();
         this.ingress = this.#createIngress();
-        context.unresponsiveConnections.onDetected(() => this.#hops.dropIdle());
+        context.unresponsiveConnections.onDetected(() => this.#hops.closeIdle());
         gates.onChange(() => this.loadSharing.checkGates());
         configuration.evacuations.onChange(() => this.#applyEvacuations());
         configuration.current.onChange(document => this.ingress.applyCallerLimits(document.limits ?? {}));
@@ -98,8 +98,8 @@
                 crashes: this.membership.crashes,
             }),
             gate: name => gates.gateSet.find(name),
-            catchUp: this.#pullConfiguration,
-            find: target => rules.find(target),
+            pullConfiguration: this.#pullConfiguration,
+            findRule: target => rules.find(target),
             isStale: (head, rule) => rules.isStale(head, rule),
             onSender: sender => this.loadSharing.reporter.recordSender(sender as Address),
         });
--- a/src/datagram/datagramsocket.ts
+++ b/src/datagram/datagramsocket.ts
@@ -90,7 +90,7 @@
         }
         const { ip, port } = splitAddress(to);
         this.#socket.send([this.#computeTag(body), body], port, ip, err => this.#onSent(to, err));
-        this.options.metrics.spent(SPENDING_BY_TYPE[message.type], bytes);
+        this.options.metrics.countControlTraffic(SPENDING_BY_TYPE[message.type], bytes);
         return true;
     }
 
--- a/src/dialect/dialect.ts
+++ b/src/dialect/dialect.ts
@@ -65,7 +65,7 @@
     /** Returns why the upstream has provably not run the request, or undefined if it may have run it. */
     abstract notRunReason(status: number, headers: HttpHeaders): "shed" | "leaving" | "misdirected" | undefined;
     /** Returns true if the response is the upstream's own response to the request with this id. */
-    abstract isOwnAnswer(status: number, headers: HttpHeaders, id: string): boolean;
+    abstract isOwnResponse(status: number, headers: HttpHeaders, id: string): boolean;
     /**
      * Returns the id of the request during which an upstream makes this call, or undefined if the call does not show
      * it.
--- a/src/dialect/owndialect.ts
+++ b/src/dialect/owndialect.ts
@@ -34,7 +34,7 @@
     }
 
     /** Accepts a response without an id, since an upstream need not return it. */
-    isOwnAnswer(_status: number, headers: HttpHeaders, id: string): boolean {
+    isOwnResponse(_status: number, headers: HttpHeaders, id: string): boolean {
         const echo = headers[headerName.requestId];
         return echo === undefined || echo === id;
     }
--- a/src/dialect/readload.ts
+++ b/src/dialect/readload.ts
@@ -19,5 +19,5 @@
     if (fields.length < MIN_FIELDS || !fields.every(field => Number.isFinite(field) && field >= 0)) {
         return undefined;
     }
-    return { running: running!, waiting: queued!, slots: slots!, pace: pace / USUAL_PACE_HUNDREDTHS };
+    return { running: running!, queued: queued!, slots: slots!, pace: pace / USUAL_PACE_HUNDREDTHS };
 }
--- a/src/dialect/upstreamload.ts
+++ b/src/dialect/upstreamload.ts
@@ -6,7 +6,7 @@
  */
 export type UpstreamLoad = {
     readonly running: number;
-    readonly waiting: number;
+    readonly queued: number;
     readonly slots: number;
     readonly pace: number;
 };
--- a/src/distribution/configurationpuller.ts
+++ b/src/distribution/configurationpuller.ts
@@ -1,6 +1,6 @@
 /** Pulls newer revisions of the configuration from peers. */
+import { ConfigurationUpdate } from "../config/configurationupdate.js";
 import { parse } from "../config/parse.js";
-import { Update } from "../config/update.js";
 import type { Address } from "../ids/address.js";
 import { log } from "../log/log.js";
 import type { Metrics } from "../metrics/metrics.js";
@@ -43,8 +43,8 @@
         try {
             const update = await this.peer.update(from, this.configuration.revision);
             if (update !== undefined) {
-                this.metrics.spent("pull", JSON.stringify(update).length);
-                this.configuration.applyUpdate(parse(Update, update));
+                this.metrics.countControlTraffic("pull", JSON.stringify(update).length);
+                this.configuration.applyUpdate(parse(ConfigurationUpdate, update));
             }
         }
         catch (err) {
--- a/src/distribution/currentconfiguration.ts
+++ b/src/distribution/currentconfiguration.ts
@@ -5,11 +5,11 @@
  * older revision.
  */
 import { applyPatch } from "../config/applypatch.js";
+import type { ConfigurationUpdate } from "../config/configurationupdate.js";
 import type { Document } from "../config/document.js";
 import { emptyDocument } from "../config/emptydocument.js";
 import { makePatch } from "../config/makepatch.js";
 import type { Patch } from "../config/patch.js";
-import type { Update } from "../config/update.js";
 import { log } from "../log/log.js";
 
 const logger = log("config");
@@ -79,7 +79,7 @@
     }
 
     /** Applies an update from a peer; returns false if it contained nothing newer. */
-    applyUpdate(update: Update): boolean {
+    applyUpdate(update: ConfigurationUpdate): boolean {
         if (update.type === "full") {
             return this.apply(update.document);
         }
@@ -91,7 +91,7 @@
     }
 
     /** Returns the update for a peer that has the revision `peerRevision`, or undefined if the peer needs none. */
-    updateFor(peerRevision: number): Update | undefined {
+    updateFor(peerRevision: number): ConfigurationUpdate | undefined {
         if (peerRevision >= this.revision) {
             return undefined;
         }
--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -227,7 +227,7 @@
     /** Creates the note that accompanies a response or a refusal. */
     note(fields: Partial<ResponseMetadata> = {}): ResponseMetadata {
         return {
-            ...this.deps.identity.note(this.deps.clock()),
+            ...this.deps.identity.responseMetadata(this.deps.clock()),
             report: fields.report ?? this.report(),
             limitPerSecond: this.limitPerSecond,
             ending: this.#checks.isClosedFor("ending") || undefined,
--- a/src/gate/gateidentity.ts
+++ b/src/gate/gateidentity.ts
@@ -6,7 +6,7 @@
 export class GateIdentity {
     constructor(readonly incarnation: Incarnation, private readonly revision: () => number) {}
 
-    note(now: number): ResponseMetadata {
+    responseMetadata(now: number): ResponseMetadata {
         return { incarnation: this.incarnation, gateTime: now, revision: this.revision() };
     }
 }
--- a/src/gate/slotqueue.test.ts
+++ b/src/gate/slotqueue.test.ts
@@ -35,7 +35,7 @@
         clock,
         ledger: new Ledger(10),
         admission,
-        refusals: new GateRefusals(() => identity.note(clock())),
+        refusals: new GateRefusals(() => identity.responseMetadata(clock())),
         refreshPace: async () => {
             probeCount += 1;
             pace.observe(paces.shift()!, clock());
--- a/src/gate/upstreamclient.ts
+++ b/src/gate/upstreamclient.ts
@@ -48,7 +48,7 @@
         const sentAt = this.options.clock();
         const response = await this.#request(connection, call, headers, cancel, sentAt);
         const reason = dialect.notRunReason(response.status, response.headers);
-        const isOwnResponse = dialect.isOwnAnswer(
+        const isOwnResponse = dialect.isOwnResponse(
             response.status,
             response.headers,
             String(headers[dialect.requestId]),
--- a/src/health/healthcheck.ts
+++ b/src/health/healthcheck.ts
@@ -47,7 +47,7 @@
     async #check(gate: Gate): Promise<void> {
         try {
             await gate.checkHealth(HEALTH_CHECK_TIMEOUT_MS);
-            this.metrics.spent("health", HEALTH_CHECK_BYTES);
+            this.metrics.countControlTraffic("health", HEALTH_CHECK_BYTES);
         }
         catch (err) {
             logger.warn("The upstream did not respond to a health check.", err, { upstream: gate.upstream.name });
--- a/src/health/probebudget.ts
+++ b/src/health/probebudget.ts
@@ -47,24 +47,24 @@
     }
 
     /** Takes one pace probe from the budget; returns false if the budget is used up. */
-    mayAsk(): boolean {
+    mayProbePace(): boolean {
         return this.#takeProbe(this.#paceProbes);
     }
 
     /** Takes one crash probe from the budget; returns false if the budget is used up. */
-    mayAskForCrash(): boolean {
+    mayProbeCrash(): boolean {
         return this.#takeProbe(this.#crashProbes);
     }
 
     /** Takes one cold probe from the budget; returns false if the budget is used up. */
-    mayAskForCold(): boolean {
+    mayProbeCold(): boolean {
         return this.#takeProbe(this.#coldProbes);
     }
 
     #takeProbe(bucket: TokenBucket): boolean {
         const isAllowed = bucket.spend(1, this.clock());
         if (isAllowed) {
-            this.metrics.spent("health", PROBE_BYTES);
+            this.metrics.countControlTraffic("health", PROBE_BYTES);
         }
         return isAllowed;
     }
--- a/src/ingress/ingress.ts
+++ b/src/ingress/ingress.ts
@@ -184,7 +184,7 @@
         const elapsedMs = this.deps.clock() - plan.startedAt;
         this.#reportFailureToParent(req, outcome, status);
         const { priority, tenant: team } = plan.rule;
-        this.deps.metrics.finished({ service: plan.service.name, priority, team }, outcome, elapsedMs);
+        this.deps.metrics.recordFinishedRequest({ service: plan.service.name, priority, team }, outcome, elapsedMs);
         requestLog.requestEnded(plan, { outcome, status, revision: this.deps.revision(), attempts, elapsedMs });
     }
 
--- a/src/ingress/requesthandler.ts
+++ b/src/ingress/requesthandler.ts
@@ -194,7 +194,7 @@
      * Prepares another attempt: discards the last response, and pulls the newer configuration of a gate that has one.
      */
     async #prepareRetry(result: UnservedResult, target: UpstreamView): Promise<void> {
-        this.deps.metrics.retried(this.plan.service.name, reasonLabel(result));
+        this.deps.metrics.countRetry(this.plan.service.name, reasonLabel(result));
         if (result.outcome === "failed") {
             drainBody(result.response.body);
             return;
--- a/src/ingress/requestretries.ts
+++ b/src/ingress/requestretries.ts
@@ -110,7 +110,7 @@
             return false;
         }
         this.history.recordHedge();
-        metrics.retried(plan().service.name, "hedge");
+        metrics.countRetry(plan().service.name, "hedge");
         log.hedgeSent(overdueMs, overdue, target, this.#budgetLeft(now));
         return true;
     }
--- a/src/link/linkconnection.ts
+++ b/src/link/linkconnection.ts
@@ -15,15 +15,15 @@
 import { LinkError } from "./linkerror.js";
 import { packCall } from "./packcall.js";
 import { sendBody } from "./sendbody.js";
-import { unpackAnswer } from "./unpackanswer.js";
 import { unpackList } from "./unpacklist.js";
-import type { WireAnswer } from "./wireanswer.js";
+import { unpackResponse } from "./unpackresponse.js";
+import type { WireResponse } from "./wireresponse.js";
 import { writeFrame } from "./writeframe.js";
 
 const logger = log("peer");
 
 /** A response whose body is buffered, or a stream that fails if the body breaks off. */
-type LinkResponse = Omit<WireAnswer, "body"> & { readonly body: Buffer | Readable | undefined; };
+type LinkResponse = Omit<WireResponse, "body"> & { readonly body: Buffer | Readable | undefined; };
 
 /** A response that takes longer triggers a check of the connection; most responses arrive sooner. */
 const OVERDUE_MS = 250;
@@ -187,7 +187,7 @@
 
     #receive(frame: Frame): void {
         if (frame.type === frameType.response) {
-            this.#receiveResponse(unpackAnswer(frame.payload));
+            this.#receiveResponse(unpackResponse(frame.payload));
             return;
         }
         if (frame.type === frameType.probeResponse) {
@@ -205,7 +205,7 @@
         }
     }
 
-    #receiveResponse({ note: { probes, ...note }, ...rest }: WireAnswer): void {
+    #receiveResponse({ note: { probes, ...note }, ...rest }: WireResponse): void {
         const response = { ...rest, note };
         if (probes === true) {
             this.events.onProbeSupport();
--- a/src/link/linksession.ts
+++ b/src/link/linksession.ts
@@ -16,11 +16,11 @@
 import { isBodyFrame } from "./isbodyframe.js";
 import { packResponse } from "./packresponse.js";
 import { sendBody } from "./sendbody.js";
-import type { ServedAnswer } from "./servedanswer.js";
 import type { ServedCall } from "./servedcall.js";
+import type { ServedResponse } from "./servedresponse.js";
 import { unpackCall } from "./unpackcall.js";
-import type { WireAnswer } from "./wireanswer.js";
 import type { WireCall } from "./wirecall.js";
+import type { WireResponse } from "./wireresponse.js";
 import { writeFrame } from "./writeframe.js";
 
 const logger = log("peer");
@@ -28,9 +28,9 @@
 /** What a session needs of its listener; `serve` never rejects. */
 type SessionDependencies = {
     readonly key: Buffer;
-    readonly serve: (call: ServedCall, cancel: Cancellation) => Promise<ServedAnswer>;
+    readonly serve: (call: ServedCall, cancel: Cancellation) => Promise<ServedResponse>;
     /** Returns the refusal of a request that can't be decoded. */
-    readonly refuseBad: (err: unknown) => ServedAnswer;
+    readonly refuseInvalid: (err: unknown) => ServedResponse;
     /** Returns this daemon's incarnation and clock, which are the response to a probe. */
     readonly identity: () => ResponseMetadata;
     /** Returns true if each response is to be its connection's last one. */
@@ -145,7 +145,7 @@
             return unpackCall(payload);
         }
         catch (err) {
-            void this.#respond(this.deps.refuseBad(err), true);
+            void this.#respond(this.deps.refuseInvalid(err), true);
             return undefined;
         }
     }
@@ -165,7 +165,7 @@
         return this.#body.stream;
     }
 
-    async #respond({ body, ...response }: ServedAnswer, whole: boolean): Promise<void> {
+    async #respond({ body, ...response }: ServedResponse, whole: boolean): Promise<void> {
         const buffered = whole && body instanceof Readable ? await bufferShortBody(body) : body;
         const last = this.deps.isClosing();
         if (this.socket.destroyed) {
@@ -186,7 +186,7 @@
         this.#finish(last);
     }
 
-    #write({ note, ...response }: WireAnswer): void {
+    #write({ note, ...response }: WireResponse): void {
         const sentNote = this.#isFirst ? { ...note, probes: true } : note;
         this.#isFirst = false;
         this.socket.write(writeFrame(frameType.response, packResponse({ ...response, note: sentNote })));
--- a/src/link/silentlink.test.ts
+++ b/src/link/silentlink.test.ts
@@ -24,9 +24,9 @@
 
 test("silent link: an unresponsive connection fails its request, and idle connections can be closed", async () => {
     await between(serve, async ends => {
-        const { pool, sockets, found } = ends;
+        const { pool, sockets, unresponsive: found } = ends;
         await Promise.all([send(pool), send(pool), send(pool)]);
-        sockets.forEach(socket => ends.silence(socket));
+        sockets.forEach(socket => ends.makeUnresponsive(socket));
         const sentAt = performance.now();
         await assert.rejects(send(pool), { reason: "peer-broke", unsent: false });
         assert.ok(performance.now() - sentAt < 1000, "detected within a second");
@@ -38,9 +38,9 @@
 
 test("silent link: connections that are unresponsive together are detected with one new connection", async () => {
     await between(serve, async ends => {
-        const { pool, sockets, found } = ends;
+        const { pool, sockets, unresponsive: found } = ends;
         await Promise.all(Array.from({ length: 10 }, () => send(pool)));
-        sockets.forEach(socket => ends.silence(socket));
+        sockets.forEach(socket => ends.makeUnresponsive(socket));
         const results = await Promise.allSettled(Array.from({ length: 10 }, () => send(pool)));
         assert.ok(results.every(({ status }) => status === "rejected"));
         assert.equal(found.length, 10);
@@ -53,7 +53,7 @@
         await wait(1200);
         return response;
     };
-    await between(slow, async ({ pool, sockets, found }) => {
+    await between(slow, async ({ pool, sockets, unresponsive: found }) => {
         assert.equal(await send(pool), 200);
         assert.equal(await send(pool), 200);
         assert.deepEqual([sockets.length, found.length], [1, 0]);
@@ -63,29 +63,29 @@
 test("silent link: a connection to a host that does not respond at all is not closed as unresponsive", async () => {
     await between(serve, async ends => {
         await send(ends.pool);
-        ends.silence(ends.sockets[0]!);
+        ends.makeUnresponsive(ends.sockets[0]!);
         ends.stopReading();
         const settled = await Promise.race([send(ends.pool).catch(() => "broken"), wait(2000, "waits")]);
         assert.equal(settled, "waits");
-        assert.deepEqual(ends.found, []);
+        assert.deepEqual(ends.unresponsive, []);
     });
 });
 
 test("silent link: a new connection that does not respond to its probe is not used for requests", async () => {
     await between(serve, async ends => {
         await send(ends.pool);
-        ends.silence(ends.sockets[0]!);
+        ends.makeUnresponsive(ends.sockets[0]!);
         ends.stopReading();
         void send(ends.pool).catch(() => "broken");
         await wait(1500);
-        ends.readAgain();
+        ends.resumeReading();
         assert.equal(await Promise.race([send(ends.pool).catch(() => "broken"), wait(200, "waits")]), 200);
     });
 });
 
 test("silent link: an unread response or a body being sent does not make a connection unresponsive", async () => {
     const large: Serve = () => Promise.resolve({ ...response, body: Readable.from([Buffer.alloc(4_000_000)]) });
-    await between(large, async ({ pool, found }) => {
+    await between(large, async ({ pool, unresponsive: found }) => {
         const { body } = await (await pool.acquire()).send(call({ head: { ...call().head, answer: "streamed" } }));
         await wait(1500);
         assert.deepEqual(found, []);
@@ -95,7 +95,7 @@
         await wait(1500);
         return { ...response, body: Buffer.from(String((await bufferBody(body as Readable, Infinity)).size)) };
     };
-    await between(unread, async ({ pool, found }) => {
+    await between(unread, async ({ pool, unresponsive: found }) => {
         assert.equal(await send(pool, Readable.from([Buffer.from("x")])), 200);
         assert.equal(await send(pool, Readable.from(Array.from({ length: 80 }, () => Buffer.alloc(50_000)))), 200);
         assert.deepEqual(found, []);
@@ -104,7 +104,7 @@
 
 test("silent link: a streamed response may pause for longer than a check takes", async () => {
     const pausedBody = new PassThrough();
-    await between(() => Promise.resolve({ ...response, body: pausedBody }), async ({ pool, found }) => {
+    await between(() => Promise.resolve({ ...response, body: pausedBody }), async ({ pool, unresponsive: found }) => {
         pausedBody.write("one");
         const { body } = await (await pool.acquire()).send(call({ head: { ...call().head, answer: "streamed" } }));
         setTimeout(() => pausedBody.end("two"), 1500);
--- a/src/link/unpackanswer.ts
+++ b/src/link/unpackresponse.ts
@@ -4,10 +4,10 @@
 import { readHeaders } from "./readheaders.js";
 import { readWireBody } from "./readwirebody.js";
 import { unpackList } from "./unpacklist.js";
-import type { WireAnswer } from "./wireanswer.js";
+import type { WireResponse } from "./wireresponse.js";
 
 /** Returns the response; throws a LinkError if the payload is not one. */
-export function unpackAnswer(payload: Buffer): WireAnswer {
+export function unpackResponse(payload: Buffer): WireResponse {
     const [metadataFields, status, headerFields, last, follows, body] = unpackList(payload);
     const note = readResponseMetadata(metadataFields);
     const headers = readHeaders(headerFields);
--- a/src/link/wireanswer.ts
+++ b/src/link/wireresponse.ts
@@ -4,7 +4,7 @@
 import type { WireBody } from "./wirebody.js";
 
 /** `last` is true if the connection takes no more requests after this response. */
-export type WireAnswer = {
+export type WireResponse = {
     readonly note: ResponseMetadata;
     readonly status: number;
     readonly headers: HttpHeaders;
--- a/src/metrics/metrics.ts
+++ b/src/metrics/metrics.ts
@@ -121,7 +121,7 @@
     }
 
     /** Records the end of a caller's request. The team's label is `tenant`, the name that dashboards use for teams. */
-    finished({ service, priority, team }: FinishedRequest, outcome: string, elapsedMs: number): void {
+    recordFinishedRequest({ service, priority, team }: FinishedRequest, outcome: string, elapsedMs: number): void {
         this.#requests.observe({
             service,
             class: priority,
@@ -131,22 +131,22 @@
     }
 
     /** Records an attempt after the first of a request. */
-    retried(service: ServiceName, reason: string): void {
+    countRetry(service: ServiceName, reason: string): void {
         this.#retries.inc({ service, reason });
     }
 
     /** Records that a local upstream has received a request. */
-    arrived(service: ServiceName, arrival: Arrival): void {
+    countArrival(service: ServiceName, arrival: Arrival): void {
         this.#arrivals.inc({ service, arrival });
     }
 
     /** Records that a local upstream has crashed with requests in flight. */
-    crashed(service: ServiceName): void {
+    countCrash(service: ServiceName): void {
         this.#crashes.inc({ service });
     }
 
     /** Records that a gate has refused a request because its upstream's cold limit or stated rate limit is used up. */
-    heldBack(service: ServiceName, reason: "cold" | "limited"): void {
+    countHeldBack(service: ServiceName, reason: "cold" | "limited"): void {
         this.#heldBack.inc({ service, reason });
     }
 
@@ -156,12 +156,12 @@
     }
 
     /** Records a call to the store. */
-    storeCalled(kind: StoreCallKind): void {
+    countStoreCall(kind: StoreCallKind): void {
         this.#storeCalls.inc({ kind });
     }
 
     /** Records a message or call of control traffic and its size. */
-    spent(kind: ControlTrafficKind, bytes: number): void {
+    countControlTraffic(kind: ControlTrafficKind, bytes: number): void {
         this.#controlMessages.inc({ kind });
         this.#controlBytes.inc({ kind }, bytes);
     }
--- a/src/operator/decodechange.ts
+++ b/src/operator/decodechange.ts
@@ -14,10 +14,10 @@
     Upstream as ProtoUpstream,
 } from "../gen/winglock/operator/v1/operator_pb.js";
 import { HallName } from "../ids/hallname.js";
-import { nameOf } from "./nameof.js";
-import { protoAnswerMode } from "./protoanswermode.js";
-import { protoKind } from "./protokind.js";
+import { enumKeyOf } from "./enumkeyof.js";
 import { protoPriority } from "./protopriority.js";
+import { protoRequestKind } from "./protorequestkind.js";
+import { protoResponseMode } from "./protoresponsemode.js";
 
 /** In the schema, a number or string with its zero value means that the field is not set. */
 const undefinedIfZero = <Value>(value: Value): Value | undefined => value ? value : undefined;
@@ -40,11 +40,11 @@
         pathPrefix: rule.pathPrefix,
         methods: rule.methods,
         service: rule.service,
-        priority: nameOf(protoPriority, rule.priority),
+        priority: enumKeyOf(protoPriority, rule.priority),
         tenant: undefinedIfZero(rule.tenant),
-        kind: nameOf(protoKind, rule.kind),
+        kind: enumKeyOf(protoRequestKind, rule.kind),
         timeLimitMs: undefinedIfZero(rule.timeLimitMs),
-        answer: nameOf(protoAnswerMode, rule.answer),
+        answer: enumKeyOf(protoResponseMode, rule.answer),
     });
 
 const decodeContent = (configuration: Configuration): Extract<Change, { type: "replace"; }>["content"] => ({
--- a/src/operator/encodeconfiguration.ts
+++ b/src/operator/encodeconfiguration.ts
@@ -8,16 +8,16 @@
     type Rule as ProtoRule,
     RuleSchema,
 } from "../gen/winglock/operator/v1/operator_pb.js";
-import { protoAnswerMode } from "./protoanswermode.js";
-import { protoKind } from "./protokind.js";
 import { protoPriority } from "./protopriority.js";
+import { protoRequestKind } from "./protorequestkind.js";
+import { protoResponseMode } from "./protoresponsemode.js";
 
 const encodeRule = (rule: Rule): ProtoRule =>
     create(RuleSchema, {
         ...rule,
         priority: protoPriority[rule.priority],
-        kind: rule.kind === undefined ? undefined : protoKind[rule.kind],
-        answer: protoAnswerMode[rule.answer],
+        kind: rule.kind === undefined ? undefined : protoRequestKind[rule.kind],
+        answer: protoResponseMode[rule.answer],
     });
 
 /** Returns the message; caller limits and the ids of changes are not part of it. */
--- a/src/operator/explanation.ts
+++ b/src/operator/explanation.ts
@@ -1,5 +1,5 @@
 /** Defines the explanation of how a daemon would handle a request. */
-import type { Kind } from "../config/kind.js";
+import type { RequestKind } from "../config/requestkind.js";
 import type { Rule } from "../config/rule.js";
 import type { UpstreamName } from "../ids/upstreamname.js";
 
@@ -14,7 +14,7 @@
 /** `rule` is undefined if no rule matches; the request would then be refused. */
 export type Explanation = {
     readonly rule: Rule | undefined;
-    readonly kind: Kind | undefined;
+    readonly kind: RequestKind | undefined;
     readonly kindReason: string;
     readonly candidates: readonly ExplainedCandidate[];
 };
--- a/src/operator/operatorapi.ts
+++ b/src/operator/operatorapi.ts
@@ -22,7 +22,7 @@
     readonly evacuations: Evacuations;
     readonly upstreams: UpstreamTable;
     /** Returns all known upstreams: those of the document and those that announce themselves. */
-    readonly known: () => readonly Upstream[];
+    readonly knownUpstreams: () => readonly Upstream[];
     readonly peer: PeerClient;
 };
 
@@ -53,7 +53,7 @@
     }
 
     status(): ReturnType<typeof collectStatus> {
-        return collectStatus(this.deps.known(), this.deps.peer);
+        return collectStatus(this.deps.knownUpstreams(), this.deps.peer);
     }
 
     explain(method: string, url: URL): Explanation {
--- a/src/operator/operatorroutes.ts
+++ b/src/operator/operatorroutes.ts
@@ -18,8 +18,8 @@
 import { encodeChangeResult } from "./encodechangeresult.js";
 import { encodeConfiguration } from "./encodeconfiguration.js";
 import type { OperatorApi } from "./operatorapi.js";
-import { protoKind } from "./protokind.js";
 import { protoPriority } from "./protopriority.js";
+import { protoRequestKind } from "./protorequestkind.js";
 import type { StatusLine } from "./statusline.js";
 
 const prefixPaths = (path: string, issues: readonly Issue[]): Issue[] =>
@@ -106,7 +106,7 @@
                     rule: rule?.name ?? "",
                     service: rule?.service ?? "",
                     priority: rule === undefined ? undefined : protoPriority[rule.priority],
-                    kind: kind === undefined ? undefined : protoKind[kind],
+                    kind: kind === undefined ? undefined : protoRequestKind[kind],
                     tenant: rule?.tenant ?? "",
                     timeLimitMs: rule?.timeLimitMs ?? 0,
                     candidates: candidates.map(candidate => ({ ...candidate })),
--- a/src/operator/operatorserver.ts
+++ b/src/operator/operatorserver.ts
@@ -26,7 +26,7 @@
     }
 
     /** Makes the daemon report that it is not ready, from now on. */
-    unready(): void {
+    setNotReady(): void {
         this.#isMarkedUnready = true;
     }
 
@@ -35,7 +35,7 @@
         this.#server.closeAllConnections();
     }
 
-    get ready(): boolean {
+    get isReady(): boolean {
         return this.hasConfiguration() && !this.#isMarkedUnready;
     }
 
@@ -65,7 +65,7 @@
     }
 
     #sendReadiness(res: ServerResponse): void {
-        const { ready } = this;
+        const { isReady: ready } = this;
         res.writeHead(ready ? 200 : 503).end(ready ? "ready\n" : "not ready\n");
     }
 }
--- /dev/null
+++ b/src/operator/protorequestkind.ts
@@ -0,0 +1,9 @@
+/** Maps kinds to the enum of the schema. */
+import type { RequestKind } from "../config/requestkind.js";
+import { Kind as ProtoRequestKind } from "../gen/winglock/operator/v1/operator_pb.js";
+
+/** Has no entry for the unspecified value. */
+export const protoRequestKind: Readonly<Record<RequestKind, ProtoRequestKind>> = {
+    repeatable: ProtoRequestKind.REPEATABLE,
+    once: ProtoRequestKind.ONCE,
+};
--- a/src/peer/peerclient.ts
+++ b/src/peer/peerclient.ts
@@ -1,8 +1,8 @@
 /** Calls peers with tRPC; every call has a timeout. */
 import { createTRPCClient, type TRPCClient } from "@trpc/client";
 import { Agent } from "undici";
+import type { ConfigurationUpdate } from "../config/configurationupdate.js";
 import { parse } from "../config/parse.js";
-import type { Update } from "../config/update.js";
 import { headerName } from "../dialect/headername.js";
 import type { Address } from "../ids/address.js";
 import type { RevokeResult } from "../ledger/revokeresult.js";
@@ -63,8 +63,8 @@
     }
 
     /** Resolves with the peer's changes of the configuration since the revision `have`, or undefined if it has none. */
-    async update(address: Address, have: number): Promise<Update | undefined> {
-        return await this.#client(address).update.query({ have }, this.#timeout()) as Update | undefined;
+    async update(address: Address, have: number): Promise<ConfigurationUpdate | undefined> {
+        return await this.#client(address).update.query({ have }, this.#timeout()) as ConfigurationUpdate | undefined;
     }
 
     /** Resolves with the peer's own record. */
--- a/src/peer/peerserver.test.ts
+++ b/src/peer/peerserver.test.ts
@@ -50,8 +50,8 @@
         identity: { note: () => LinkEnds.note } as never,
         service: undefined as never,
         gate: () => ({ serve }) as never,
-        catchUp: async () => {},
-        find: () => undefined,
+        pullConfiguration: async () => {},
+        findRule: () => undefined,
         isStale: () => false,
         onSender: () => {},
     });
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -16,8 +16,8 @@
 import type { UpstreamName } from "../ids/upstreamname.js";
 import { detectProtocol } from "../link/detectprotocol.js";
 import { LinkSession } from "../link/linksession.js";
-import type { ServedAnswer } from "../link/servedanswer.js";
 import type { ServedCall } from "../link/servedcall.js";
+import type { ServedResponse } from "../link/servedresponse.js";
 import { log } from "../log/log.js";
 import type { MatchedRule } from "../policy/routing/matchedrule.js";
 import type { RequestTarget } from "../policy/routing/requesttarget.js";
@@ -44,9 +44,9 @@
     readonly service: PeerService;
     readonly gate: (name: UpstreamName) => Gate | undefined;
     /** Pulls a newer configuration, so that the gate decides by it. */
-    readonly catchUp: (revision: number, from: string | undefined) => Promise<void>;
+    readonly pullConfiguration: (revision: number, from: string | undefined) => Promise<void>;
     /** Returns the rule of this daemon's configuration that matches a request. */
-    readonly find: (target: RequestTarget) => MatchedRule | undefined;
+    readonly findRule: (target: RequestTarget) => MatchedRule | undefined;
     /** Returns true if the sender's older rules allow repeating the request, but this daemon's newer ones do not. */
     readonly isStale: (head: RequestMetadata, rule: MatchedRule | undefined) => boolean;
     /** Called with the address of each sender of a request, so that load reports are sent to it. */
@@ -112,7 +112,7 @@
         const session = new LinkSession(socket, {
             key: this.#key,
             serve: (call, cancel) => this.#serve(call, cancel),
-            refuseBad: err => this.#refuseInvalid(socket, err),
+            refuseInvalid: err => this.#refuseInvalid(socket, err),
             identity: () => this.#note({}),
             isClosing: () => this.#isClosing,
         });
@@ -138,12 +138,12 @@
         return received.length === this.#key.length && timingSafeEqual(received, this.#key);
     }
 
-    async #serve(call: ServedCall, cancel: Cancellation): Promise<ServedAnswer> {
+    async #serve(call: ServedCall, cancel: Cancellation): Promise<ServedResponse> {
         const { head } = call;
         try {
             this.deps.onSender(head.from);
             await this.#waitForPendingClose(head);
-            await this.deps.catchUp(head.revision, head.from);
+            await this.deps.pullConfiguration(head.revision, head.from);
             const { note, ...response } = await this.#sendToGate(call, cancel);
             return { ...response, note: note ?? this.#note({}) };
         }
@@ -184,19 +184,19 @@
             throw new HopError("not-run", "no-such-upstream");
         }
         const host = Array.isArray(headers.host) ? headers.host[0] : headers.host;
-        const matched = this.deps.find({ method, host, path });
+        const matched = this.deps.findRule({ method, host, path });
         if (this.deps.isStale(head, matched)) {
             throw new HopError("not-run", "stale-rule");
         }
         return await gate.serve({ head, rule: matched?.rule.name, method, path, headers, body, cancel });
     }
 
-    #refuseInvalid({ remoteAddress }: Socket, err: unknown): ServedAnswer {
+    #refuseInvalid({ remoteAddress }: Socket, err: unknown): ServedResponse {
         logger.warn("Could not decode a request from a peer; it is refused.", err, { peer: remoteAddress });
         return { note: this.#note({ outcome: "not-run", reason: INVALID_CALL }), ...REFUSAL };
     }
 
     #note(more: Partial<ResponseMetadata>): ResponseMetadata {
-        return { ...this.deps.identity.note(this.deps.clock()), ...more };
+        return { ...this.deps.identity.responseMetadata(this.deps.clock()), ...more };
     }
 }
--- a/src/peer/peerservice.ts
+++ b/src/peer/peerservice.ts
@@ -1,5 +1,5 @@
 /** Defines the calls that a daemon handles for its peers. */
-import type { Update } from "../config/update.js";
+import type { ConfigurationUpdate } from "../config/configurationupdate.js";
 import type { Incarnation } from "../ids/incarnation.js";
 import type { RevokeResult } from "../ledger/revokeresult.js";
 import type { CrashChanges } from "../wire/crashchanges.js";
@@ -16,11 +16,11 @@
     abstract hello(): Hello;
     abstract revoke(input: RevokeInput): RevokeResult;
     /** Returns the changes of the configuration since the revision `have`, or undefined if there are none. */
-    abstract update(have: number): Update | undefined;
+    abstract update(knownRevision: number): ConfigurationUpdate | undefined;
     /** Returns this daemon's own record; throws if the configuration lists the upstreams. */
     abstract member(): Member;
     /** Returns the changes of the member list since a position, or all of it; throws in the same case as `member`. */
-    abstract records(have: RecordsPosition | undefined): RecordChanges;
+    abstract records(knownPosition: RecordsPosition | undefined): RecordChanges;
     /** Adds the peer's changed crash records to this daemon's, and returns those that have changed here. */
     abstract crashes(changes: CrashChanges): CrashChanges;
     abstract status(): GateStatus[];
--- a/src/peer/remotehop.test.ts
+++ b/src/peer/remotehop.test.ts
@@ -25,7 +25,7 @@
                     receivedHead = head;
                     return { note: identity(), status: 200, headers: {}, body: undefined };
                 },
-                refuseBad: () => assert.fail(),
+                refuseInvalid: () => assert.fail(),
                 identity,
                 isClosing: () => true,
             });
--- a/src/peer/remotehop.ts
+++ b/src/peer/remotehop.ts
@@ -66,7 +66,7 @@
     }
 
     /** Closes idle connections, which may be unresponsive. */
-    dropIdle(): void {
+    closeIdle(): void {
         this.#pool.closeIdle();
     }
 
--- a/src/policy/admission/learnedlimit.test.ts
+++ b/src/policy/admission/learnedlimit.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { seededRandom } from "../../../standin/seededrandom.js";
-import { FullUpstream } from "../model/fullupstream.js";
+import { SaturatedUpstream } from "../model/saturatedupstream.js";
 import { FixedLimit } from "./fixedlimit.js";
 import { LearnedLimit } from "./learnedlimit.js";
 import type { SlotLimit } from "./slotlimit.js";
@@ -78,7 +78,7 @@
     for (const { slots, workMs } of SHAPES) {
         for (const seed of SEEDS) {
             const shape = { ...BASE_SHAPE, isSetAtStart: seed % 2 === 0, knee, slots, workMs };
-            const upstream = new FullUpstream(shape, createLimit(slots), seededRandom(seed));
+            const upstream = new SaturatedUpstream(shape, createLimit(slots), seededRandom(seed));
             upstream.run(fromMs);
             total += upstream.run(toMs - fromMs) / slots;
         }
@@ -114,8 +114,8 @@
     for (const seed of [...SEEDS, 7, 8, 9, 10]) {
         const limit = new LearnedLimit(18);
         const shape = { ...BASE_SHAPE, isSetAtStart: true, knee: 0.8, slots: 18, workMs: 220 };
-        const upstream = new FullUpstream(shape, limit, seededRandom(seed));
-        while (upstream.finished < 200) {
+        const upstream = new SaturatedUpstream(shape, limit, seededRandom(seed));
+        while (upstream.finishedCount < 200) {
             upstream.run(1);
         }
         if (Math.abs(limit.bestLimit - 14) > 1) {
--- a/src/policy/model/fullupstream.ts
+++ b/src/policy/model/saturatedupstream.ts
@@ -36,8 +36,8 @@
 };
 
 /** Starts a new job whenever the limit allows it. */
-export class FullUpstream {
-    finished = 0;
+export class SaturatedUpstream {
+    finishedCount = 0;
     #now = 0;
     #pace = 1;
     #jobs: Job[] = [];
@@ -111,7 +111,7 @@
         }
         this.#jobs = this.#jobs.filter(job => job.remainingMs > 0);
         for (const job of finishedJobs) {
-            this.finished += 1;
+            this.finishedCount += 1;
             const now = this.#clock.read(this.#now + 1);
             this.limit.observe(now.map((spentMs, level) => (spentMs - job.startReading[level]!) / (workMs * job.pace)));
             this.#clock.setRunning(this.#jobs.length, this.#now + 1);
--- a/src/policy/retry/decidehedge.ts
+++ b/src/policy/retry/decidehedge.ts
@@ -6,14 +6,14 @@
  * body can be sent again and its rule allows one more attempt. The hedge is sent when the response is overdue
  * (hedgedelay.ts). Its budget comes only from the share earned by requests, so that the reserve is left for failures.
  */
-import type { AnswerMode } from "../../config/answermode.js";
-import type { Kind } from "../../config/kind.js";
+import type { RequestKind } from "../../config/requestkind.js";
+import type { ResponseMode } from "../../config/responsemode.js";
 
 /** Describes the request and the usual response time of its service. */
 type HedgeInput = {
     readonly isEnabled: boolean;
-    readonly kind: Kind;
-    readonly answer: AnswerMode;
+    readonly kind: RequestKind;
+    readonly answer: ResponseMode;
     readonly bodyKept: boolean;
     /** The number of attempts so far, without redirects. */
     readonly attempts: number;
--- a/src/policy/retry/decidekind.ts
+++ b/src/policy/retry/decidekind.ts
@@ -5,14 +5,14 @@
  * treats every unsafe method as `once`, since a newer rule may say so. Running a request less often than allowed does
  * no harm.
  */
-import type { Kind } from "../../config/kind.js";
+import type { RequestKind } from "../../config/requestkind.js";
 import type { Rule } from "../../config/rule.js";
 
 /** The methods defined as safe by RFC 9110, section 9.2.1, without TRACE. */
 const SAFE_METHODS: ReadonlySet<string> = new Set(["GET", "HEAD", "OPTIONS"]);
 
 /** Returns the kind of a request. `isConfigFresh` is true if the store has confirmed the configuration recently. */
-export function decideKind(rule: Pick<Rule, "kind">, method: string, isConfigFresh: boolean): Kind {
+export function decideKind(rule: Pick<Rule, "kind">, method: string, isConfigFresh: boolean): RequestKind {
     const isSafe = SAFE_METHODS.has(method);
     if (!isSafe && !isConfigFresh) {
         return "once";
--- a/src/policy/retry/decideretry.ts
+++ b/src/policy/retry/decideretry.ts
@@ -16,7 +16,7 @@
  *
  * The table in reasons.ts states which refusals are for load; daemonallowance.ts limits the budget.
  */
-import type { Kind } from "../../config/kind.js";
+import type { RequestKind } from "../../config/requestkind.js";
 import type { QuarantineStatus } from "../quarantine/quarantinestatus.js";
 import type { AttemptResult } from "./attemptresult.js";
 import { maxRedirects } from "./maxredirects.js";
@@ -27,7 +27,7 @@
 /** Describes the request after its last attempt. */
 type RetryInput = {
     readonly result: Exclude<AttemptResult<unknown>, { readonly outcome: "served"; }>;
-    readonly kind: Kind;
+    readonly kind: RequestKind;
     /** The number of attempts so far, without redirects. */
     readonly attempts: number;
     /** The number of attempts that the rule allows, without redirects. */
--- a/src/policy/routing/matchedrule.ts
+++ b/src/policy/routing/matchedrule.ts
@@ -1,5 +1,5 @@
 /** The result of matching a request against the rules. */
-import type { Kind } from "../../config/kind.js";
+import type { RequestKind } from "../../config/requestkind.js";
 import type { Rule } from "../../config/rule.js";
 import type { Service } from "../../config/service.js";
 
@@ -7,5 +7,5 @@
 export type MatchedRule = {
     readonly rule: Rule;
     readonly service: Service;
-    readonly kind: Kind;
+    readonly kind: RequestKind;
 };
--- a/src/store/countstoreevents.ts
+++ b/src/store/countstoreevents.ts
@@ -5,8 +5,8 @@
 /** Returns callbacks that count calls by kind, the bytes of control traffic, and unresponsive connections. */
 export function countStoreEvents(metrics: Metrics): StoreEvents {
     return {
-        onCall: kind => metrics.storeCalled(kind),
-        onBytes: bytes => metrics.spent("store", bytes),
+        onCall: kind => metrics.countStoreCall(kind),
+        onBytes: bytes => metrics.countControlTraffic("store", bytes),
         onUnresponsive: () => metrics.countUnresponsiveConnection("store"),
     };
 }
--- a/src/wire/requestmetadata.ts
+++ b/src/wire/requestmetadata.ts
@@ -1,8 +1,8 @@
 /** Defines the metadata that an ingress sends to a gate with a request. */
 import { z } from "zod";
-import { AnswerMode } from "../config/answermode.js";
-import { Kind } from "../config/kind.js";
 import { Priority } from "../config/priority.js";
+import { RequestKind } from "../config/requestkind.js";
+import { ResponseMode } from "../config/responsemode.js";
 import { Incarnation } from "../ids/incarnation.js";
 import { RequestId } from "../ids/requestid.js";
 import { TeamName } from "../ids/teamname.js";
@@ -15,10 +15,10 @@
     /** Identifies the attempt. */
     id: RequestId,
     upstream: UpstreamName,
-    kind: Kind,
+    kind: RequestKind,
     priority: Priority,
     team: TeamName.default(NO_TEAM),
-    answer: AnswerMode.default("whole"),
+    answer: ResponseMode.default("whole"),
     /** Time to the request's deadline when the request was sent. */
     remainingMs: z.number().min(0),
     /** Maximum time in the gate's queue. */
--- a/src/wire/requestmetadatacodec.ts
+++ b/src/wire/requestmetadatacodec.ts
@@ -1,7 +1,7 @@
 /** Encodes the metadata of a request for the wire. */
-import { AnswerMode } from "../config/answermode.js";
-import { Kind } from "../config/kind.js";
 import { Priority } from "../config/priority.js";
+import { RequestKind } from "../config/requestkind.js";
+import { ResponseMode } from "../config/responsemode.js";
 import { arrivalSchema } from "./arrivalschema.js";
 import { RecordCodec } from "./recordcodec.js";
 
@@ -9,7 +9,7 @@
 export const requestMetadataCodec = new RecordCodec([
     { name: "id" },
     { name: "upstream" },
-    { name: "kind", encoding: Kind.options },
+    { name: "kind", encoding: RequestKind.options },
     { name: "priority", encoding: Priority.options },
     { name: "remainingMs", encoding: "time" },
     { name: "maxWaitMs", encoding: "time" },
@@ -21,7 +21,7 @@
     { name: "gateTime", encoding: "time" },
     { name: "depth", defaultValue: 0 },
     { name: "team", defaultValue: "none" },
-    { name: "answer", encoding: AnswerMode.options, defaultValue: "whole" },
+    { name: "answer", encoding: ResponseMode.options, defaultValue: "whole" },
     { name: "offer" },
     { name: "arrival", encoding: arrivalSchema.options, defaultValue: "first" },
     { name: "limitPerSecond" },
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -10,8 +10,8 @@
 import type { Mesh } from "../demo/mesh.js";
 import { FrameReader } from "../src/link/framereader.js";
 import { frameType } from "../src/link/frametype.js";
-import { unpackAnswer } from "../src/link/unpackanswer.js";
-import type { WireAnswer } from "../src/link/wireanswer.js";
+import { unpackResponse } from "../src/link/unpackresponse.js";
+import type { WireResponse } from "../src/link/wireresponse.js";
 import { writeFrame } from "../src/link/writeframe.js";
 import { requestMetadataCodec } from "../src/wire/requestmetadatacodec.js";
 import { seededRandom } from "../standin/seededrandom.js";
@@ -40,11 +40,11 @@
 };
 
 /** What the peer listener answers to a call with this payload; undefined when it ends the connection instead. */
-const peerCall = async (mesh: Mesh, key: string, payload: Buffer): Promise<WireAnswer | undefined> => {
+const peerCall = async (mesh: Mesh, key: string, payload: Buffer): Promise<WireResponse | undefined> => {
     const socket = connect(...place(mesh.hosts[0]!.peer));
     const reader = new FrameReader();
-    const answer = new Promise<WireAnswer | undefined>(resolve => {
-        socket.on("data", chunk => reader.read(chunk).forEach(frame => resolve(unpackAnswer(frame.payload))));
+    const answer = new Promise<WireResponse | undefined>(resolve => {
+        socket.on("data", chunk => reader.read(chunk).forEach(frame => resolve(unpackResponse(frame.payload))));
         socket.on("error", () => {}).on("close", () => resolve(undefined));
     });
     socket.write(writeFrame(frameType.greeting, Buffer.from(key)));
--- a/test/linkends.ts
+++ b/test/linkends.ts
@@ -6,24 +6,24 @@
 import type { Address } from "../src/ids/address.js";
 import { LinkPool } from "../src/link/linkpool.js";
 import { LinkSession } from "../src/link/linksession.js";
-import type { ServedAnswer } from "../src/link/servedanswer.js";
 import type { ServedCall } from "../src/link/servedcall.js";
+import type { ServedResponse } from "../src/link/servedresponse.js";
 
-type Serve = (call: ServedCall, cancel: Cancellation) => Promise<ServedAnswer>;
+type Serve = (call: ServedCall, cancel: Cancellation) => Promise<ServedResponse>;
 
 const KEY = "a-key-for-tests-only";
 
 /** `found` are the connections that the pool found silent; `isClosing` has the listener wind up. */
 export class LinkEnds {
-    static readonly note = { incarnation: "abcdefghijkl", gateTime: 1, revision: 2 } as ServedAnswer["note"];
+    static readonly note = { incarnation: "abcdefghijkl", gateTime: 1, revision: 2 } as ServedResponse["note"];
     readonly sockets: Socket[] = [];
-    readonly found: Address[] = [];
+    readonly unresponsive: Address[] = [];
     readonly pool: LinkPool;
     isClosing = false;
 
     private constructor(private readonly server: Server, private readonly serve: Serve) {
         const { port } = server.address() as AddressInfo;
-        const onSilent = (at: Address): void => void this.found.push(at);
+        const onSilent = (at: Address): void => void this.unresponsive.push(at);
         this.pool = LinkEnds.makePool(`127.0.0.1:${port}` as Address, { onSilent });
     }
 
@@ -33,7 +33,7 @@
         server.listen(0, "127.0.0.1");
         await once(server, "listening");
         const ends = new LinkEnds(server, serve);
-        ends.readAgain();
+        ends.resumeReading();
         try {
             await body(ends);
         }
@@ -80,13 +80,13 @@
     }
 
     /** Serves what comes on connections that are taken from now on. */
-    readAgain(): void {
+    resumeReading(): void {
         this.server.removeAllListeners("connection");
         this.server.on("connection", socket => this.#accept(socket));
     }
 
     /** Has a connection carry nothing more, either way, without an end. */
-    silence(socket: Socket): void {
+    makeUnresponsive(socket: Socket): void {
         socket.removeAllListeners("data");
         socket.write = () => true;
     }
@@ -96,7 +96,7 @@
         new LinkSession(socket, {
             key: Buffer.from(KEY),
             serve: this.serve,
-            refuseBad: () => ({ note: LinkEnds.note, status: 0, headers: {}, body: undefined }),
+            refuseInvalid: () => ({ note: LinkEnds.note, status: 0, headers: {}, body: undefined }),
             identity: () => LinkEnds.note,
             isClosing: () => this.isClosing,
         });
