--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -74,7 +74,7 @@
             sendRate,
         );
         this.#refusals = new GateRefusals(
-            fields => this.note(fields),
+            fields => this.createMetadata(fields),
             reason => deps.onHeldBack(upstream.service, reason),
         );
         this.#queue = new SlotQueue({
@@ -94,7 +94,7 @@
             refusals: this.#refusals,
             log: this.#log,
             report: () => this.report(),
-            createNote: fields => this.note(fields),
+            createMetadata: fields => this.createMetadata(fields),
         });
     }
 
@@ -224,8 +224,8 @@
         return this.#queue.handBack(goTo, offers);
     }
 
-    /** Creates the note that accompanies a response or a refusal. */
-    note(fields: Partial<ResponseMetadata> = {}): ResponseMetadata {
+    /** Creates the metadata that accompanies a response or a refusal. */
+    createMetadata(fields: Partial<ResponseMetadata> = {}): ResponseMetadata {
         return {
             ...this.deps.identity.responseMetadata(this.deps.clock()),
             report: fields.report ?? this.report(),
--- a/src/gate/gatelog.ts
+++ b/src/gate/gatelog.ts
@@ -23,16 +23,16 @@
     }
 
     logFailure(request: GateRequest, err: unknown, report: LoadReport): void {
-        const { outcome, reason, note } = err instanceof HopError
+        const { outcome, reason, metadata } = err instanceof HopError
             ? err
-            : { outcome: "unknown", reason: String(err), note: undefined };
+            : { outcome: "unknown", reason: String(err), metadata: undefined };
         logger.failure(this.#requestId(request), "The gate did not serve the request.", {
             try: request.call.head.id,
             outcome,
             reason,
             choices: request.choices,
             arrival: request.call.head.arrival,
-            arrived: note?.arrived ?? false,
+            arrived: metadata?.arrived ?? false,
             request: request.key,
             ...this.#loadFields(report),
         });
--- a/src/gate/gaterefusals.ts
+++ b/src/gate/gaterefusals.ts
@@ -12,11 +12,11 @@
     #count = 0;
 
     /**
-     * `createNote` creates a note with the gate's current load. `onHeldBack` is called for each request that is refused
-     * because of the rate at which the upstream may be sent requests.
+     * `createMetadata` creates response metadata with the gate's current load. `onHeldBack` is called for each request
+     * that is refused because of the rate at which the upstream may be sent requests.
      */
     constructor(
-        private readonly createNote: (fields: Partial<ResponseMetadata>) => ResponseMetadata,
+        private readonly createMetadata: (fields: Partial<ResponseMetadata>) => ResponseMetadata,
         private readonly onHeldBack: (reason: "cold" | "limited") => void = () => {},
     ) {}
 
@@ -30,6 +30,6 @@
             this.onHeldBack(reason);
         }
         const outcome = reasons[reason].proves === "unknown" ? "unknown" : "not-run";
-        return new HopError(outcome, reason, this.createNote({ outcome, reason, ...fields }));
+        return new HopError(outcome, reason, this.createMetadata({ outcome, reason, ...fields }));
     }
 }
--- a/src/gate/gaterequest.ts
+++ b/src/gate/gaterequest.ts
@@ -43,8 +43,8 @@
         this.once = head.kind === "once";
         const isOtherIncarnation = head.incarnation !== undefined && head.incarnation !== identity.incarnation;
         if (isOtherIncarnation || (this.once && (head.incarnation === undefined || head.gateTime === undefined))) {
-            const note = { ...identity.responseMetadata(now), outcome: "not-run" as const, reason: "incarnation" };
-            throw new HopError("not-run", "incarnation", note);
+            const metadata = { ...identity.responseMetadata(now), outcome: "not-run" as const, reason: "incarnation" };
+            throw new HopError("not-run", "incarnation", metadata);
         }
         const { gateTime = now, remainingMs } = head;
         this.deadline = Math.min(now, gateTime) + remainingMs;
--- a/src/gate/requestrunner.ts
+++ b/src/gate/requestrunner.ts
@@ -46,7 +46,7 @@
     readonly refusals: GateRefusals;
     readonly log: GateLog;
     readonly report: () => LoadReport;
-    readonly createNote: (fields: Partial<ResponseMetadata>) => ResponseMetadata;
+    readonly createMetadata: (fields: Partial<ResponseMetadata>) => ResponseMetadata;
 };
 
 /** Runs the requests of one gate. */
@@ -120,7 +120,10 @@
             const tookMs = clock() - request.arrivedAt;
             const report = this.deps.report();
             this.deps.log.logResponse(request, response.status, startedAt - request.arrivedAt, tookMs, report);
-            return { ...response, note: this.deps.createNote({ tookMs, calls, retriedBelow, unframed, report }) };
+            return {
+                ...response,
+                metadata: this.deps.createMetadata({ tookMs, calls, retriedBelow, unframed, report }),
+            };
         }
         catch (err) {
             const arrived = !(err instanceof UpstreamError && err.reason === "unreachable");
--- a/src/gate/upstreamrun.ts
+++ b/src/gate/upstreamrun.ts
@@ -45,8 +45,8 @@
 /** Time past the deadline after which an unresponsive upstream is cut off, so that its slot is not held for ever. */
 const DEADLINE_GRACE_MS = 250;
 
-/** A response without its note, and the values that the note takes from it. */
-type RunResponse = Omit<GateResponse, "note"> & {
+/** A response without its metadata, and the values that the metadata takes from it. */
+type RunResponse = Omit<GateResponse, "metadata"> & {
     readonly calls: boolean;
     readonly retriedBelow: boolean;
     readonly unframed: boolean;
--- a/src/hop/gateresponse.ts
+++ b/src/hop/gateresponse.ts
@@ -8,5 +8,5 @@
     readonly status: number;
     readonly headers: HttpHeaders;
     readonly body: Buffer | Readable;
-    readonly note: ResponseMetadata | undefined;
+    readonly metadata: ResponseMetadata | undefined;
 };
--- a/src/hop/hoperror.ts
+++ b/src/hop/hoperror.ts
@@ -9,12 +9,12 @@
  */
 type HopOutcome = "not-run" | "unknown" | "broken";
 
-/** Thrown by a hop or a gate; `note` is the gate's note, if the gate sent one. */
+/** Thrown by a hop or a gate; `metadata` is that of the gate's response, if the gate sent one. */
 export class HopError extends Error {
     constructor(
         readonly outcome: HopOutcome,
         readonly reason: Reason,
-        readonly note?: ResponseMetadata,
+        readonly metadata?: ResponseMetadata,
         options?: ErrorOptions,
     ) {
         super(`attempt failed (${outcome}): ${reason}`, options);
--- a/src/ingress/attempt.ts
+++ b/src/ingress/attempt.ts
@@ -119,13 +119,13 @@
             cancel: this.#cancel,
         });
         const now = ingress.clock();
-        target.recordResponse(response.note, now - sentAt, now);
+        target.recordResponse(response.metadata, now - sentAt, now);
         if (response.status >= httpStatus.internalServerError) {
             target.recordFailure(now);
-            const { status, note } = response;
-            return { outcome: "failed", response, status, retriedBelow: note?.retriedBelow === true };
+            const { status, metadata } = response;
+            return { outcome: "failed", response, status, retriedBelow: metadata?.retriedBelow === true };
         }
-        ingress.retries(plan.service).hedging.observe(now - sentAt, response.note?.calls === true);
+        ingress.retries(plan.service).hedging.observe(now - sentAt, response.metadata?.calls === true);
         return await this.#deliver(response);
     }
 
@@ -149,15 +149,15 @@
             target.recordFailure(now);
             return { outcome: "unknown", reason: this.#deadlineOr("broken-answer") };
         }
-        const { note, reason, outcome } = err;
-        if (note !== undefined) {
-            target.recordRefusalNote(note, now);
+        const { metadata, reason, outcome } = err;
+        if (metadata !== undefined) {
+            target.recordRefusalMetadata(metadata, now);
         }
         if (outcome === "broken") {
             return await this.#resultWithoutResponse();
         }
         target.recordRefusal(reasons[reason].upstreamEffect, now);
-        const { retryAfterMs, goTo, offer, revision, arrived } = note ?? {};
+        const { retryAfterMs, goTo, offer, revision, arrived } = metadata ?? {};
         return { outcome, reason, arrived, retryAfterMs, goTo, offer, revision };
     }
 
--- a/src/ingress/deliver.test.ts
+++ b/src/ingress/deliver.test.ts
@@ -11,7 +11,7 @@
 test("deliver: a response that exceeds the buffer but ends while it is read is sent whole", async () => {
     const server = createServer((_req, res) => {
         const body = Readable.from([Buffer.from("0123456789")], { objectMode: false });
-        void deliver(res, { status: 200, headers: {}, body, note: undefined }, true, false, BUFFER_BYTES);
+        void deliver(res, { status: 200, headers: {}, body, metadata: undefined }, true, false, BUFFER_BYTES);
     });
     server.listen(0, "127.0.0.1");
     await once(server, "listening");
--- a/src/ingress/deliver.ts
+++ b/src/ingress/deliver.ts
@@ -71,7 +71,7 @@
         chunks.forEach(chunk => res.write(chunk));
         return streamBody(res, response.body);
     }
-    if (!isBodiless && response.note?.unframed) {
+    if (!isBodiless && response.metadata?.unframed) {
         endByClosing(res);
     }
     else if (!isBodiless) {
--- a/src/ingress/upstreamstatements.test.ts
+++ b/src/ingress/upstreamstatements.test.ts
@@ -8,7 +8,7 @@
 const FIRST_INCARNATION = "one" as Incarnation;
 const NEXT_INCARNATION = "next" as Incarnation;
 
-const note = (
+const createMetadata = (
     gateTime: number,
     fields: object = {},
     incarnation = FIRST_INCARNATION,
@@ -20,31 +20,31 @@
 
 test("statements: a stated limit holds until a response omits it, and a late older response changes nothing", () => {
     const statements = new UpstreamStatements();
-    statements.recordResponse(UPSTREAM, note(10, { limitPerSecond: 7.8 }));
-    statements.recordResponse(UPSTREAM, note(5));
+    statements.recordResponse(UPSTREAM, createMetadata(10, { limitPerSecond: 7.8 }));
+    statements.recordResponse(UPSTREAM, createMetadata(5));
     assert.equal(statements.limitPerSecond(UPSTREAM), 7.8);
-    statements.recordResponse(UPSTREAM, note(20));
+    statements.recordResponse(UPSTREAM, createMetadata(20));
     assert.equal(statements.limitPerSecond(UPSTREAM), undefined);
 });
 
 // Guards against a restarted daemon that does not know the limit yet and revokes it by its refusals.
 test("statements: a refusal by a restarted gate does not revoke a limit, a response of the upstream does", () => {
     const statements = new UpstreamStatements();
-    statements.recordResponse(UPSTREAM, note(10_000, { limitPerSecond: 7.8 }));
-    statements.recordRefusal(UPSTREAM, note(1, {}, NEXT_INCARNATION));
+    statements.recordResponse(UPSTREAM, createMetadata(10_000, { limitPerSecond: 7.8 }));
+    statements.recordRefusal(UPSTREAM, createMetadata(1, {}, NEXT_INCARNATION));
     assert.equal(statements.limitPerSecond(UPSTREAM), 7.8);
-    statements.recordResponse(UPSTREAM, note(2, {}, NEXT_INCARNATION));
+    statements.recordResponse(UPSTREAM, createMetadata(2, {}, NEXT_INCARNATION));
     assert.equal(statements.limitPerSecond(UPSTREAM), undefined);
 });
 
 test("statements: leaving permanently is never revoked, and the number of remembered upstreams is bounded", () => {
     const statements = new UpstreamStatements();
-    statements.recordResponse(UPSTREAM, note(10, { ending: true }));
-    statements.recordResponse(UPSTREAM, note(20));
-    statements.recordResponse(UPSTREAM, note(30, { limitPerSecond: 3 }));
+    statements.recordResponse(UPSTREAM, createMetadata(10, { ending: true }));
+    statements.recordResponse(UPSTREAM, createMetadata(20));
+    statements.recordResponse(UPSTREAM, createMetadata(30, { limitPerSecond: 3 }));
     assert.equal(statements.isLeavingPermanently(UPSTREAM), true);
     for (let at = 0; at < 1024; at++) {
-        statements.recordResponse(`other-${at}` as UpstreamName, note(40, { ending: true }));
+        statements.recordResponse(`other-${at}` as UpstreamName, createMetadata(40, { ending: true }));
     }
     assert.equal(statements.isLeavingPermanently(UPSTREAM), false);
 });
--- a/src/ingress/upstreamstatements.ts
+++ b/src/ingress/upstreamstatements.ts
@@ -13,7 +13,7 @@
 /** Bounds memory. The upstreams with the latest statements are kept; upstreams without a statement have no entry. */
 const MAX_UPSTREAMS = 1024;
 
-/** `incarnation` is the gate's; `writtenAt` is when the gate wrote the note. */
+/** `incarnation` is the gate's; `writtenAt` is when the gate wrote the metadata. */
 type Statement = {
     readonly limitPerSecond: number | undefined;
     readonly isLeavingPermanently: boolean;
@@ -21,7 +21,7 @@
     readonly writtenAt: number;
 };
 
-type StatementNote = Pick<ResponseMetadata, "limitPerSecond" | "ending" | "incarnation" | "gateTime">;
+type StatementMetadata = Pick<ResponseMetadata, "limitPerSecond" | "ending" | "incarnation" | "gateTime">;
 
 /** Holds the statements of all upstreams that one daemon sends to. */
 export class UpstreamStatements {
@@ -39,39 +39,39 @@
         return this.#byName.get(upstream)?.isLeavingPermanently === true;
     }
 
-    /** Records the note of an upstream's response; a note without a statement revokes a stated rate limit. */
-    recordResponse(upstream: UpstreamName, note: StatementNote): void {
+    /** Records the metadata of an upstream's response; metadata without a statement revokes a stated rate limit. */
+    recordResponse(upstream: UpstreamName, metadata: StatementMetadata): void {
         const known = this.#byName.get(upstream);
-        if (this.#hasStatement(note)) {
-            this.#record(upstream, note);
+        if (this.#hasStatement(metadata)) {
+            this.#record(upstream, metadata);
         }
-        else if (known !== undefined && !known.isLeavingPermanently && !this.#isOlder(note, known)) {
+        else if (known !== undefined && !known.isLeavingPermanently && !this.#isOlder(metadata, known)) {
             this.#byName.delete(upstream);
         }
     }
 
     /**
-     * Records the note of a gate's own refusal. A note without a statement revokes nothing, since a gate that has just
-     * started does not know the upstream's statements.
+     * Records the metadata of a gate's own refusal. Metadata without a statement revokes nothing, since a gate that has
+     * just started does not know the upstream's statements.
      */
-    recordRefusal(upstream: UpstreamName, note: StatementNote): void {
-        if (this.#hasStatement(note)) {
-            this.#record(upstream, note);
+    recordRefusal(upstream: UpstreamName, metadata: StatementMetadata): void {
+        if (this.#hasStatement(metadata)) {
+            this.#record(upstream, metadata);
         }
     }
 
-    #hasStatement({ limitPerSecond, ending }: StatementNote): boolean {
+    #hasStatement({ limitPerSecond, ending }: StatementMetadata): boolean {
         return limitPerSecond !== undefined || ending === true;
     }
 
-    #isOlder({ incarnation, gateTime }: StatementNote, known: Statement): boolean {
+    #isOlder({ incarnation, gateTime }: StatementMetadata, known: Statement): boolean {
         return incarnation === known.incarnation && gateTime < known.writtenAt;
     }
 
-    #record(upstream: UpstreamName, note: StatementNote): void {
+    #record(upstream: UpstreamName, metadata: StatementMetadata): void {
         const known = this.#byName.get(upstream);
-        const { limitPerSecond, incarnation, gateTime: writtenAt } = note;
-        const isLeavingPermanently = note.ending === true || known?.isLeavingPermanently === true;
+        const { limitPerSecond, incarnation, gateTime: writtenAt } = metadata;
+        const isLeavingPermanently = metadata.ending === true || known?.isLeavingPermanently === true;
         this.#byName.delete(upstream);
         this.#byName.set(upstream, { limitPerSecond, isLeavingPermanently, incarnation, writtenAt });
         if (this.#byName.size > MAX_UPSTREAMS) {
--- a/src/ingress/upstreamview.ts
+++ b/src/ingress/upstreamview.ts
@@ -166,25 +166,25 @@
         }
     }
 
-    /** Records the note of a gate's own refusal. */
-    recordRefusalNote(note: ResponseMetadata, now: number): void {
+    /** Records the metadata of a gate's own refusal. */
+    recordRefusalMetadata(metadata: ResponseMetadata, now: number): void {
         this.recordAlive(now);
-        this.recordReport(note.report, now);
-        this.deps.statements.recordRefusal(this.upstream, note);
+        this.recordReport(metadata.report, now);
+        this.deps.statements.recordRefusal(this.upstream, metadata);
         this.#rateShare.setLimit(this.limitPerSecond, now);
     }
 
-    /** Records the note of an upstream's response; `elapsedMs` is the time from sending to the response's head. */
-    recordResponse(note: ResponseMetadata | undefined, elapsedMs: number, now: number): void {
+    /** Records the metadata of an upstream's response; `elapsedMs` is the time from sending to the response's head. */
+    recordResponse(metadata: ResponseMetadata | undefined, elapsedMs: number, now: number): void {
         this.recordAlive(now);
-        this.recordReport(note?.report, now);
-        if (note !== undefined) {
-            this.deps.statements.recordResponse(this.upstream, note);
+        this.recordReport(metadata?.report, now);
+        if (metadata !== undefined) {
+            this.deps.statements.recordResponse(this.upstream, metadata);
         }
         this.#rateShare.setLimit(this.limitPerSecond, now);
         this.#rateShare.recordResponse();
-        if (note?.tookMs !== undefined) {
-            this.#roundTrip.observe(elapsedMs, note.tookMs);
+        if (metadata?.tookMs !== undefined) {
+            this.#roundTrip.observe(elapsedMs, metadata.tookMs);
         }
     }
 
--- a/src/link/link.test.ts
+++ b/src/link/link.test.ts
@@ -11,7 +11,7 @@
 import type { LinkPool } from "./linkpool.js";
 import { writeFrame } from "./writeframe.js";
 
-const { note } = LinkEnds;
+const { metadata } = LinkEnds;
 
 type Serve = Parameters<typeof LinkEnds.between>[0];
 
@@ -19,7 +19,7 @@
     Buffer.concat((await bufferBody(body ?? Buffer.alloc(0), Infinity)).chunks).toString();
 
 const echo: Serve = async ({ method, path, headers, body }) => ({
-    note,
+    metadata,
     status: 200,
     headers,
     body: Buffer.from(`${method} ${path} ${await textOf(body)}`),
@@ -36,7 +36,7 @@
             assert.equal(await textOf(response.body), `POST /a/b?c=d ${body?.toString() ?? ""}`);
             assert.deepEqual(response.headers, { "host": "h", "set-cookie": ["one", "two"] });
             assert.equal(response.status, 200);
-            assert.deepEqual(response.note, note);
+            assert.deepEqual(response.metadata, metadata);
         }
         assert.equal(sockets.length, 1);
     });
@@ -46,7 +46,7 @@
     const chunks = Array.from({ length: 40 }, (_, index) => Buffer.alloc(20_000, 65 + index % 26));
     const whole = Buffer.concat(chunks).toString();
     const serve: Serve = async ({ body }) => ({
-        note,
+        metadata,
         status: 200,
         headers: {},
         body: Readable.from([await textOf(body)], { objectMode: false }),
@@ -58,7 +58,7 @@
 });
 
 test("link: streamed bodies leave no listeners on the connection that they shared", async () => {
-    const serve: Serve = async () => ({ note, status: 200, headers: {}, body: Readable.from([Buffer.from("x")]) });
+    const serve: Serve = async () => ({ metadata, status: 200, headers: {}, body: Readable.from([Buffer.from("x")]) });
     await LinkEnds.between(serve, async ({ pool, sockets }) => {
         const streamed = { ...LinkEnds.call().head, answer: "streamed" as const };
         const listeners: number[] = [];
@@ -74,7 +74,7 @@
 test("link: concurrent requests use separate connections and get their own responses", async () => {
     const serve: Serve = async ({ path }) => {
         await new Promise(resolve => setTimeout(resolve, path.length % 7 * 3));
-        return { note, status: 200, headers: {}, body: Buffer.from(path) };
+        return { metadata, status: 200, headers: {}, body: Buffer.from(path) };
     };
     await LinkEnds.between(serve, async ({ pool }) => {
         const paths = Array.from({ length: 50 }, (_, index) => `/${"p".repeat(index)}`);
@@ -87,7 +87,7 @@
 
 test("link: a body that breaks off fails at the other end, and the connection stays in use", async () => {
     const serve: Serve = async ({ path }) => ({
-        note,
+        metadata,
         status: 200,
         headers: {},
         body: path === "/ok"
@@ -112,7 +112,7 @@
         const body = new Readable({ read() {} }).on("error", () => {});
         body.destroy(new Error("broke"));
         await new Promise(resolve => body.on("close", resolve));
-        await LinkEnds.between(async () => ({ note, status: 200, headers: {}, body }), async ({ pool }) => {
+        await LinkEnds.between(async () => ({ metadata, status: 200, headers: {}, body }), async ({ pool }) => {
             const { head } = LinkEnds.call();
             const response = await send(pool, LinkEnds.call({ head: { ...head, answer: mode } }));
             await assert.rejects(textOf(response.body), mode);
--- a/src/link/linkconnection.ts
+++ b/src/link/linkconnection.ts
@@ -54,7 +54,7 @@
     #removeAbortListener: () => void = () => {};
     #receivedAt = -Infinity;
     #onReceived: () => void = () => {};
-    #onProbeResponse: (note: ResponseMetadata | undefined) => void = () => {};
+    #onProbeResponse: (metadata: ResponseMetadata | undefined) => void = () => {};
     #overdueTimer: NodeJS.Timeout | undefined;
 
     constructor(private readonly socket: Socket, private readonly events: LinkEvents) {
@@ -111,11 +111,11 @@
                 resolve(undefined);
             };
             this.socket.once("close", onClose);
-            this.#onProbeResponse = note => {
+            this.#onProbeResponse = metadata => {
                 clearTimeout(timer);
                 this.socket.removeListener("close", onClose);
                 this.#onProbeResponse = () => {};
-                resolve(note);
+                resolve(metadata);
             };
         });
     }
@@ -205,8 +205,8 @@
         }
     }
 
-    #receiveResponse({ note: { probes, ...note }, ...rest }: WireResponse): void {
-        const response = { ...rest, note };
+    #receiveResponse({ metadata: { probes, ...metadata }, ...rest }: WireResponse): void {
+        const response = { ...rest, metadata };
         if (probes === true) {
             this.events.onProbeSupport();
         }
--- a/src/link/linkpool.ts
+++ b/src/link/linkpool.ts
@@ -60,11 +60,11 @@
     /** Requests the peer's incarnation and clock; see `LinkConnection.requestIdentity` for the results. */
     async requestIdentity(): Promise<ResponseMetadata | undefined> {
         const connection = await this.acquire();
-        const note = await connection.requestIdentity(IDENTITY_TIMEOUT_MS);
+        const metadata = await connection.requestIdentity(IDENTITY_TIMEOUT_MS);
         if (connection.open) {
             this.#release(connection);
         }
-        return note;
+        return metadata;
     }
 
     /** Closes idle connections now, and each of the others after its request. */
--- a/src/link/linksession.ts
+++ b/src/link/linksession.ts
@@ -186,10 +186,10 @@
         this.#finish(last);
     }
 
-    #write({ note, ...response }: WireResponse): void {
-        const sentNote = this.#isFirst ? { ...note, probes: true } : note;
+    #write({ metadata, ...response }: WireResponse): void {
+        const sentMetadata = this.#isFirst ? { ...metadata, probes: true } : metadata;
         this.#isFirst = false;
-        this.socket.write(writeFrame(frameType.response, packResponse({ ...response, note: sentNote })));
+        this.socket.write(writeFrame(frameType.response, packResponse({ ...response, metadata: sentMetadata })));
     }
 
     /**
--- a/src/link/silentlink.test.ts
+++ b/src/link/silentlink.test.ts
@@ -15,8 +15,8 @@
 
 type Serve = Parameters<typeof LinkEnds.between>[0];
 
-const { note, call, between } = LinkEnds;
-const response = { note, status: 200, headers: {}, body: undefined };
+const { metadata, call, between } = LinkEnds;
+const response = { metadata, status: 200, headers: {}, body: undefined };
 const serve: Serve = () => Promise.resolve(response);
 
 const send = async (pool: LinkPool, body?: Readable): Promise<number> =>
@@ -143,9 +143,9 @@
 
 test("link: a peer states its identity; one that does not support it is not treated as gone", async () => {
     await between(() => Promise.resolve(response), async ({ pool }) => {
-        const note = await pool.requestIdentity();
-        assert.equal(note?.incarnation, LinkEnds.note.incarnation);
-        assert.equal(note?.gateTime, LinkEnds.note.gateTime);
+        const responseMetadata = await pool.requestIdentity();
+        assert.equal(responseMetadata?.incarnation, LinkEnds.metadata.incarnation);
+        assert.equal(responseMetadata?.gateTime, LinkEnds.metadata.gateTime);
         assert.equal(await send(pool), 200);
     });
     const server = createServer(serveWithoutProbes);
--- a/src/link/unpackresponse.ts
+++ b/src/link/unpackresponse.ts
@@ -9,10 +9,10 @@
 /** Returns the response; throws a LinkError if the payload is not one. */
 export function unpackResponse(payload: Buffer): WireResponse {
     const [metadataFields, status, headerFields, last, follows, body] = unpackList(payload);
-    const note = readResponseMetadata(metadataFields);
+    const metadata = readResponseMetadata(metadataFields);
     const headers = readHeaders(headerFields);
-    if (note === undefined || headers === undefined || typeof status !== "number") {
+    if (metadata === undefined || headers === undefined || typeof status !== "number") {
         throw new LinkError("not-a-frame");
     }
-    return { note, status, headers, last: last === true, body: readWireBody(follows, body) };
+    return { metadata, status, headers, last: last === true, body: readWireBody(follows, body) };
 }
--- a/src/link/wireresponse.ts
+++ b/src/link/wireresponse.ts
@@ -5,7 +5,7 @@
 
 /** `last` is true if the connection takes no more requests after this response. */
 export type WireResponse = {
-    readonly note: ResponseMetadata;
+    readonly metadata: ResponseMetadata;
     readonly status: number;
     readonly headers: HttpHeaders;
     readonly last: boolean;
--- a/src/peer/peerserver.test.ts
+++ b/src/peer/peerserver.test.ts
@@ -42,12 +42,12 @@
     const served: GateCall[] = [];
     const serve = async (call: GateCall): Promise<object> => {
         served.push(call);
-        return { status: 200, headers: {}, body: undefined, note: LinkEnds.note };
+        return { status: 200, headers: {}, body: undefined, metadata: LinkEnds.metadata };
     };
     const server = new PeerServer({
         key: KEY,
         clock: () => performance.now(),
-        identity: { note: () => LinkEnds.note } as never,
+        identity: { responseMetadata: () => LinkEnds.metadata } as never,
         service: undefined as never,
         gate: () => ({ serve }) as never,
         pullConfiguration: async () => {},
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -113,7 +113,7 @@
             key: this.#key,
             serve: (call, cancel) => this.#serve(call, cancel),
             refuseInvalid: err => this.#refuseInvalid(socket, err),
-            identity: () => this.#note({}),
+            identity: () => this.#createMetadata({}),
             isClosing: () => this.#isClosing,
         });
         socket.setTimeout(KEEP_ALIVE_MS, () => session.closeIfStalled());
@@ -144,11 +144,11 @@
             this.deps.onSender(head.from);
             await this.#waitForPendingClose(head);
             await this.deps.pullConfiguration(head.revision, head.from);
-            const { note, ...response } = await this.#sendToGate(call, cancel);
-            return { ...response, note: note ?? this.#note({}) };
+            const { metadata, ...response } = await this.#sendToGate(call, cancel);
+            return { ...response, metadata: metadata ?? this.#createMetadata({}) };
         }
         catch (err) {
-            return { note: this.#errorNote(err, head.upstream), ...REFUSAL };
+            return { metadata: this.#errorMetadata(err, head.upstream), ...REFUSAL };
         }
     }
 
@@ -164,18 +164,18 @@
         }
     }
 
-    #errorNote(err: unknown, upstream: UpstreamName): ResponseMetadata {
+    #errorMetadata(err: unknown, upstream: UpstreamName): ResponseMetadata {
         if (!(err instanceof HopError)) {
             logger.warn(
                 "A peer's request failed in its gate with an unexpected error; whether it has run is unknown.",
                 err,
                 { upstream },
             );
-            return this.#note({ outcome: "unknown", reason: "gate-error" });
+            return this.#createMetadata({ outcome: "unknown", reason: "gate-error" });
         }
-        const { reason, note } = err;
+        const { reason, metadata } = err;
         const outcome = err.outcome === "not-run" ? "not-run" : "unknown";
-        return this.#note({ outcome, reason, ...note });
+        return this.#createMetadata({ outcome, reason, ...metadata });
     }
 
     async #sendToGate({ head, method, path, headers, body }: ServedCall, cancel: Cancellation): Promise<GateResponse> {
@@ -193,10 +193,10 @@
 
     #refuseInvalid({ remoteAddress }: Socket, err: unknown): ServedResponse {
         logger.warn("Could not decode a request from a peer; it is refused.", err, { peer: remoteAddress });
-        return { note: this.#note({ outcome: "not-run", reason: INVALID_CALL }), ...REFUSAL };
+        return { metadata: this.#createMetadata({ outcome: "not-run", reason: INVALID_CALL }), ...REFUSAL };
     }
 
-    #note(more: Partial<ResponseMetadata>): ResponseMetadata {
+    #createMetadata(more: Partial<ResponseMetadata>): ResponseMetadata {
         return { ...this.deps.identity.responseMetadata(this.deps.clock()), ...more };
     }
 }
--- a/src/peer/remotehop.test.ts
+++ b/src/peer/remotehop.test.ts
@@ -16,14 +16,14 @@
 /** Sends a request of this kind to a gate that is slow to read new connections; returns the metadata received there. */
 const headAtSlowGate = async (kind: RequestMetadata["kind"]): Promise<RequestMetadata> => {
     let receivedHead: RequestMetadata | undefined;
-    const identity = (): typeof LinkEnds.note => ({ ...LinkEnds.note, gateTime: performance.now() });
+    const identity = (): typeof LinkEnds.metadata => ({ ...LinkEnds.metadata, gateTime: performance.now() });
     const server = createServer({ pauseOnConnect: true }, socket => {
         setTimeout(() => {
             const session = new LinkSession(socket, {
                 key: Buffer.from(KEY),
                 serve: async ({ head }) => {
                     receivedHead = head;
-                    return { note: identity(), status: 200, headers: {}, body: undefined };
+                    return { metadata: identity(), status: 200, headers: {}, body: undefined };
                 },
                 refuseInvalid: () => assert.fail(),
                 identity,
--- a/src/peer/remotehop.ts
+++ b/src/peer/remotehop.ts
@@ -39,11 +39,11 @@
         if (call.head.kind === "once" && this.clock.incarnation === undefined) {
             await this.handshake();
         }
-        const { status, headers, body = emptyBuffer, note } = await this.#request(call, preparedAt);
-        if (note.outcome !== undefined) {
-            throw new HopError(note.outcome, this.#reasonOf(note), note);
+        const { status, headers, body = emptyBuffer, metadata } = await this.#request(call, preparedAt);
+        if (metadata.outcome !== undefined) {
+            throw new HopError(metadata.outcome, this.#reasonOf(metadata), metadata);
         }
-        return { status, headers, body: Buffer.isBuffer(body) ? body : ignoreBodyErrors(body), note };
+        return { status, headers, body: Buffer.isBuffer(body) ? body : ignoreBodyErrors(body), metadata };
     }
 
     async revoke(head: RequestMetadata): Promise<RevokeResult> {
@@ -116,7 +116,7 @@
             const sentAt = this.options.clock();
             this.#completeHead(call.head, preparedAt, sentAt);
             const response = await connection.send(call);
-            this.#observeClock(response.note, sentAt);
+            this.#observeClock(response.metadata, sentAt);
             return response;
         }
         catch (err) {
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -86,8 +86,8 @@
         for (const call of calls) {
             const payload = typeof call === "string" ? Buffer.from(call) : pack(call);
             const answer = await peerCall(mesh, KEY, payload);
-            assert.equal(answer?.note.reason, "bad-call", JSON.stringify(call));
-            assert.equal(answer.note.outcome, "not-run");
+            assert.equal(answer?.metadata.reason, "bad-call", JSON.stringify(call));
+            assert.equal(answer.metadata.outcome, "not-run");
         }
         assert.equal(await peerCall(mesh, "demo-key-of-no-secrecz", pack([])), undefined, "a wrong key");
         const table: [string[], RegExp][] = [
--- a/test/linkends.ts
+++ b/test/linkends.ts
@@ -15,7 +15,7 @@
 
 /** `found` are the connections that the pool found silent; `isClosing` has the listener wind up. */
 export class LinkEnds {
-    static readonly note = { incarnation: "abcdefghijkl", gateTime: 1, revision: 2 } as ServedResponse["note"];
+    static readonly metadata = { incarnation: "abcdefghijkl", gateTime: 1, revision: 2 } as ServedResponse["metadata"];
     readonly sockets: Socket[] = [];
     readonly unresponsive: Address[] = [];
     readonly pool: LinkPool;
@@ -96,8 +96,8 @@
         new LinkSession(socket, {
             key: Buffer.from(KEY),
             serve: this.serve,
-            refuseInvalid: () => ({ note: LinkEnds.note, status: 0, headers: {}, body: undefined }),
-            identity: () => LinkEnds.note,
+            refuseInvalid: () => ({ metadata: LinkEnds.metadata, status: 0, headers: {}, body: undefined }),
+            identity: () => LinkEnds.metadata,
             isClosing: () => this.isClosing,
         });
     }
