--- a/bench/makeviews.ts
+++ b/bench/makeviews.ts
@@ -10,9 +10,9 @@
 /** Returns `count` views, each with a load report; `hall` is the data hall of the ingress. */
 export function makeViews(count: number, hall: HallName): UpstreamView[] {
     return makeDocument(count).upstreams.map(upstream => {
-        const options = { localIp: "127.0.0.1", key: "k", clock: () => performance.now(), onSilent: () => {} };
+        const options = { localIp: "127.0.0.1", key: "k", clock: () => performance.now(), onUnresponsive: () => {} };
         const hop = new RemoteHop(upstream.gate, undefined as never, options);
-        const view = new UpstreamView(upstream, { ...idle, hop, near: upstream.hall === hall });
+        const view = new UpstreamView(upstream, { ...idle, hop, sameHall: upstream.hall === hall });
         view.recordReport({ running: 3, waiting: 0, limit: 12, serviceMs: 10, baseMs: 10 }, 0);
         return view;
     });
--- a/src/daemon/bootstrap.ts
+++ b/src/daemon/bootstrap.ts
@@ -23,14 +23,14 @@
 ): Promise<void> => {
     const requestedAt = clock();
     try {
-        const { document, halls, isNewest } = await store.readCached();
+        const { document, halls, isLatest } = await store.readCached();
         if (halls !== undefined) {
             evacuations.recordStoreChange(halls);
         }
         if (document !== undefined) {
             configuration.apply(decodeDocument(document.value));
         }
-        if (isNewest) {
+        if (isLatest) {
             configuration.confirm(configuration.revision, requestedAt);
         }
     }
--- a/src/daemon/configurationgroup.ts
+++ b/src/daemon/configurationgroup.ts
@@ -16,7 +16,7 @@
 
 /** Returns the evacuated halls that the document contains; used if the store does not keep them separately. */
 const evacuatedHallsOf = ({ revision, evacuated = [] }: Document): HallsChange => ({
-    mark: { era: 0, revision },
+    position: { era: 0, revision },
     complete: true,
     evacuated,
     ended: [],
--- a/src/daemon/daemoncontext.ts
+++ b/src/daemon/daemoncontext.ts
@@ -39,7 +39,7 @@
         this.unresponsiveConnections = new UnresponsiveConnections(clock, metrics);
         const onUnresponsive = (address: Address): void =>
             this.unresponsiveConnections.recordAndNotify("peer", address);
-        this.peerOptions = { localIp: this.localIp, key, clock, onSilent: onUnresponsive };
+        this.peerOptions = { localIp: this.localIp, key, clock, onUnresponsive };
         this.peer = new PeerClient(this.peerOptions);
         this.unresponsiveConnections.onDetected(() => this.peer.renewConnections());
         this.datagrams = new DatagramSocket({ key, clock, bytesPerSecond: control.bytesPerSecond, metrics });
--- a/src/daemon/gategroup.ts
+++ b/src/daemon/gategroup.ts
@@ -64,7 +64,7 @@
             limit: policy.limit,
             medianLimitShare: (service: ServiceName) => this.#medianLimitShare(service),
             onChange: () => this.#onChange(),
-            mayAsk: () => this.probeBudget.mayProbePace(),
+            mayProbePace: () => this.probeBudget.mayProbePace(),
             mayProbeCrash: () => this.probeBudget.mayProbeCrash(),
             onArrival: (service: ServiceName, arrival: Arrival) => metrics.countArrival(service, arrival),
             onCrash: (service: ServiceName, crash: CrashId, requests: readonly RequestKey[]) => {
--- a/src/daemon/hops.ts
+++ b/src/daemon/hops.ts
@@ -30,17 +30,17 @@
 
     /**
      * Returns the hop to an upstream's gate. `local` is true if the gate is in this daemon, which needs no network;
-     * `near` if it is in this daemon's hall.
+     * `sameHall` if it is in this daemon's hall.
      */
-    open(upstream: Upstream): { readonly hop: Hop; readonly near: boolean; readonly local: boolean; } {
+    open(upstream: Upstream): { readonly hop: Hop; readonly sameHall: boolean; readonly local: boolean; } {
         const { self, hall, gateSet, identity, ledger, peerOptions, peer } = this.deps;
         if (upstream.gate === self) {
             const gate = (): Gate | undefined => gateSet.find(upstream.name);
-            return { hop: new LocalHop(gate, identity, ledger, peerOptions.clock), near: true, local: true };
+            return { hop: new LocalHop(gate, identity, ledger, peerOptions.clock), sameHall: true, local: true };
         }
         const hop = this.#remoteHops.get(upstream.gate) ?? new RemoteHop(upstream.gate, peer, peerOptions);
         this.#remoteHops.set(upstream.gate, hop);
-        return { hop, near: upstream.hall === hall, local: false };
+        return { hop, sameHall: upstream.hall === hall, local: false };
     }
 
     /** Closes the idle connections to all gates, because they may be unresponsive. */
--- a/src/evacuation/evacuations.test.ts
+++ b/src/evacuation/evacuations.test.ts
@@ -8,7 +8,7 @@
 const KEEP_AFTER_RESTORE_MS = 10_000;
 
 const createChange = (era: number, revision: number, evacuated: readonly HallName[] = []): HallsChange => ({
-    mark: { era, revision },
+    position: { era, revision },
     complete: true,
     evacuated,
     ended: [],
--- a/src/failuredetection/failuredetector.test.ts
+++ b/src/failuredetection/failuredetector.test.ts
@@ -24,7 +24,7 @@
     t.mock.timers.enable();
     let now = 0;
     const upstreams = new UpstreamTable(
-        () => ({ hop: undefined as never, near: true, local: false }),
+        () => ({ hop: undefined as never, sameHall: true, local: false }),
         new Evacuations(),
     );
     upstreams.apply([upstream("a", 1), upstream("b", 2)]);
--- a/src/gate/callcontexts.ts
+++ b/src/gate/callcontexts.ts
@@ -16,7 +16,7 @@
     /** Number of calls in the chain that led to the request. */
     readonly depth: number;
     /** True if the run is a repeat; the calls that it makes are repeats too. */
-    readonly repeated: boolean;
+    readonly isRepeat: boolean;
     /** Number of calls that the run has made so far, by service. */
     readonly calls: Map<ServiceName, number>;
     /** Notified of the start and end of each call. */
@@ -25,7 +25,7 @@
     retriedBelow: boolean;
 };
 
-type RunDetails = Pick<CallContext, "deadline" | "depth" | "repeated" | "work">;
+type RunDetails = Pick<CallContext, "deadline" | "depth" | "isRepeat" | "work">;
 
 /**
  * The contexts of the running requests, by token. A caller cannot guess a token, so it cannot set its own depth or
@@ -36,9 +36,9 @@
     readonly #byRequest = new Map<string, CallContext>();
 
     /** Opens the context of a run; `requestId` is the id by which the upstream knows the request. */
-    open(requestId: string, { deadline, depth, repeated, work }: RunDetails): CallContext {
+    open(requestId: string, { deadline, depth, isRepeat, work }: RunDetails): CallContext {
         const token = randomBytes(TOKEN_BYTES).toString("base64url");
-        const context = { token, requestId, deadline, depth, repeated, work, calls: new Map(), retriedBelow: false };
+        const context = { token, requestId, deadline, depth, isRepeat, work, calls: new Map(), retriedBelow: false };
         this.#byToken.set(token, context);
         this.#byRequest.set(requestId, context);
         return context;
--- a/src/gate/gate.ts
+++ b/src/gate/gate.ts
@@ -62,7 +62,7 @@
             pace,
             workMs: rule => ruleTimes.meanMs(rule),
             upstream: upstream.name,
-            mayAsk: () => healthProbe.mayProbeLoad && deps.mayAsk(),
+            mayProbePace: () => healthProbe.mayProbeLoad && deps.mayProbePace(),
             probe: () => healthProbe.probe(PACE_PROBE_TIMEOUT_MS),
             repeatsInFlight: () => this.#runner.repeatCount,
         });
--- a/src/gate/gatechecks.ts
+++ b/src/gate/gatechecks.ts
@@ -20,7 +20,7 @@
 const logger = log("gate");
 
 /** Dependencies that the gate provides. */
-type CheckDependencies = Pick<GateDependencies, "clock" | "ledger" | "mayAsk" | "repeatsLeft"> & {
+type CheckDependencies = Pick<GateDependencies, "clock" | "ledger" | "mayProbePace" | "repeatsLeft"> & {
     readonly upstream: string;
     readonly pace: Pace;
     /** Returns how long requests of a rule take at the upstream's usual pace, in milliseconds. */
--- a/src/gate/gatedependencies.ts
+++ b/src/gate/gatedependencies.ts
@@ -31,7 +31,7 @@
     /** Called when a request arrives at the gate, and when one ends. */
     readonly onChange: () => void;
     /** Takes one pace probe from the budget; returns false if the budget is used up. */
-    readonly mayAsk: () => boolean;
+    readonly mayProbePace: () => boolean;
     /** Takes one crash probe from the budget; returns false if the budget is used up. */
     readonly mayProbeCrash: () => boolean;
     /** Called when a connection to the upstream was found to be unresponsive. */
--- a/src/gate/paceprobe.test.ts
+++ b/src/gate/paceprobe.test.ts
@@ -14,7 +14,7 @@
     const probe: PaceProbe = new PaceProbe({
         clock: () => now,
         pace: new Pace(),
-        mayAsk: () => true,
+        mayProbePace: () => true,
         probe: async () => {
             if (reported === undefined) {
                 throw new Error("no response");
--- a/src/gate/paceprobe.ts
+++ b/src/gate/paceprobe.ts
@@ -11,7 +11,7 @@
     readonly clock: Clock;
     readonly pace: Pace;
     /** Takes one probe from the budget; returns false if the budget is used up. */
-    readonly mayAsk: () => boolean;
+    readonly mayProbePace: () => boolean;
     /** Asks the upstream for its pace; rejects if it does not respond in time. */
     readonly probe: () => Promise<void>;
 };
@@ -50,7 +50,7 @@
 
     /** Resolves with whether the upstream reports to be slow; with false if the probe budget is used up. */
     async #probeIfAllowed(): Promise<boolean> {
-        if (this.#pending === undefined && !this.deps.mayAsk()) {
+        if (this.#pending === undefined && !this.deps.mayProbePace()) {
             return false;
         }
         this.#pending ??= this.#probe();
--- a/src/gate/upstreamrun.ts
+++ b/src/gate/upstreamrun.ts
@@ -73,7 +73,7 @@
         const { deadline } = request;
         this.#workTime = new WorkTime(deps.levels, this.#startedAt);
         this.#requestId = deps.dialect.idOf(headers, head.id);
-        const runDetails = { deadline, depth: head.depth, repeated: head.arrival !== "first", work: this.#workTime };
+        const runDetails = { deadline, depth: head.depth, isRepeat: head.arrival !== "first", work: this.#workTime };
         this.#context = deps.contexts.open(this.#requestId, runDetails);
         this.#deadlineTimer = setTimeout(() => {
             this.#abortUnanswered();
--- a/src/ingress/attempt.test.ts
+++ b/src/ingress/attempt.test.ts
@@ -14,7 +14,7 @@
     const settings = { name: "u", service: "s", gate: "127.0.0.1:1", slots: 4, draining: false };
     const target = new UpstreamView(settings as never, {
         hop: hop as never,
-        near: true,
+        sameHall: true,
         local: false,
         isEvacuated: () => false,
         statements: new UpstreamStatements(),
--- a/src/ingress/attempt.ts
+++ b/src/ingress/attempt.ts
@@ -125,7 +125,7 @@
             const { status, metadata } = response;
             return { outcome: "failed", response, status, retriedBelow: metadata?.retriedBelow === true };
         }
-        ingress.retries(plan.service).hedging.observe(now - sentAt, response.metadata?.calls === true);
+        ingress.retries(plan.service).hedgeDelay.observe(now - sentAt, response.metadata?.calls === true);
         return await this.#deliver(response);
     }
 
--- a/src/ingress/planner.ts
+++ b/src/ingress/planner.ts
@@ -62,7 +62,7 @@
             startedAt,
             deadline: this.#deadline(req, matched, parent, startedAt),
             depth,
-            arrival: parent?.repeated === true ? "call" : "first",
+            arrival: parent?.isRepeat === true ? "call" : "first",
         };
     }
 
--- a/src/ingress/requestretries.ts
+++ b/src/ingress/requestretries.ts
@@ -97,7 +97,7 @@
             bodyKept,
             attempts: this.history.countedAttempts,
             maxAttempts: this.#maxAttempts(),
-            afterMs: this.#retries().hedging.afterMs,
+            afterMs: this.#retries().hedgeDelay.afterMs,
         });
     }
 
--- a/src/ingress/upstreamtable.ts
+++ b/src/ingress/upstreamtable.ts
@@ -13,7 +13,7 @@
 import { UpstreamView } from "./upstreamview.js";
 
 /** Opens a hop to an upstream's gate. */
-type OpenHop = (upstream: Upstream) => { readonly hop: Hop; readonly near: boolean; readonly local: boolean; };
+type OpenHop = (upstream: Upstream) => { readonly hop: Hop; readonly sameHall: boolean; readonly local: boolean; };
 
 /** Holds one view per upstream. */
 export class UpstreamTable {
@@ -77,10 +77,10 @@
         if (known !== undefined) {
             return known;
         }
-        const { hop, near, local } = this.openHop(upstream);
+        const { hop, sameHall, local } = this.openHop(upstream);
         const view = new UpstreamView(upstream, {
             hop,
-            near,
+            sameHall,
             local,
             statements: this.#statements,
             isEvacuated: () => this.evacuations.isEvacuated(upstream.hall),
--- a/src/ingress/upstreamview.ts
+++ b/src/ingress/upstreamview.ts
@@ -29,7 +29,7 @@
 type ViewDependencies = {
     readonly hop: Hop;
     /** True if the upstream is in this daemon's data hall. */
-    readonly near: boolean;
+    readonly sameHall: boolean;
     /** True if the upstream is on this daemon's host. */
     readonly local: boolean;
     /** Returns true while operators have evacuated the upstream's data hall. */
@@ -66,7 +66,7 @@
     }
 
     get sameHall(): boolean {
-        return this.deps.near;
+        return this.deps.sameHall;
     }
 
     get local(): boolean {
--- a/src/link/linkpool.ts
+++ b/src/link/linkpool.ts
@@ -25,7 +25,7 @@
     readonly key: string;
     readonly clock: Clock;
     /** Called after an unresponsive connection to the address has been closed. */
-    readonly onSilent: (address: Address) => void;
+    readonly onUnresponsive: (address: Address) => void;
 };
 
 /** Reuses the most recently used idle connection first, so that surplus connections reach their idle timeout. */
@@ -81,7 +81,7 @@
     async #closeIfUnresponsive(connection: LinkConnection): Promise<void> {
         if (this.#peerSupportsProbes && await this.#check.isUnresponsive(connection) && connection.busy) {
             connection.destroy();
-            this.options.onSilent(this.address);
+            this.options.onUnresponsive(this.address);
         }
     }
 
--- a/src/membership/registrywatcher.ts
+++ b/src/membership/registrywatcher.ts
@@ -130,7 +130,7 @@
     }
 
     /** Applies a list of all records; a member that the newest list lacks is no longer registered. */
-    #applyList({ members, crashes }: RegistryList, isNewest: boolean): void {
+    #applyList({ members, crashes }: RegistryList, isLatest: boolean): void {
         const { memberList, clock, self, onOwnRecord, onCrashRecords } = this.deps;
         onCrashRecords(crashes);
         const now = clock();
@@ -140,7 +140,7 @@
         }
         memberList.batch(() => {
             members.forEach(member => memberList.record(member, "store", now));
-            if (isNewest) {
+            if (isLatest) {
                 const listedGates = new Set(members.map(member => member.gate));
                 memberList.members.filter(({ gate }) => !listedGates.has(gate)).forEach(({ gate }) =>
                     memberList.recordUnregistered(gate, now)
--- a/src/peer/peeroptions.ts
+++ b/src/peer/peeroptions.ts
@@ -8,5 +8,5 @@
     readonly key: string;
     readonly clock: Clock;
     /** Called after an unresponsive connection to the address has been closed. */
-    readonly onSilent: (address: Address) => void;
+    readonly onUnresponsive: (address: Address) => void;
 };
--- a/src/peer/remotehop.test.ts
+++ b/src/peer/remotehop.test.ts
@@ -41,7 +41,7 @@
         localIp: "127.0.0.1",
         key: KEY,
         clock,
-        onSilent: () => {},
+        onUnresponsive: () => {},
     });
     const call = LinkEnds.call();
     await hop.send({ ...call, head: { ...call.head, kind, remainingMs: REMAINING_MS, maxWaitMs: 100 } });
--- a/src/policy/admission/learnedlimit.test.ts
+++ b/src/policy/admission/learnedlimit.test.ts
@@ -61,7 +61,12 @@
     assert.equal(new LearnedLimit(SLOTS).current(), 6);
 });
 
-const BASE_SHAPE = { kneeTimes: 1.7, coldMs: 3000, coldTimes: 2, noise: { share: 0.25, times: 5, everyMs: 150 } };
+const BASE_SHAPE = {
+    kneeSlowdown: 1.7,
+    coldMs: 3000,
+    coldSlowdown: 2,
+    noise: { share: 0.25, slowdown: 5, intervalMs: 150 },
+};
 const SHAPES = [{ slots: 18, workMs: 220 }, { slots: 18, workMs: 290 }, { slots: 12, workMs: 120 }, {
     slots: 13,
     workMs: 330,
@@ -77,7 +82,7 @@
     let total = 0;
     for (const { slots, workMs } of SHAPES) {
         for (const seed of SEEDS) {
-            const shape = { ...BASE_SHAPE, isSetAtStart: seed % 2 === 0, knee, slots, workMs };
+            const shape = { ...BASE_SHAPE, isDurationFixedAtStart: seed % 2 === 0, knee, slots, workMs };
             const upstream = new SaturatedUpstream(shape, createLimit(slots), seededRandom(seed));
             upstream.run(fromMs);
             total += upstream.run(toMs - fromMs) / slots;
@@ -113,7 +118,7 @@
     const outliers: string[] = [];
     for (const seed of [...SEEDS, 7, 8, 9, 10]) {
         const limit = new LearnedLimit(18);
-        const shape = { ...BASE_SHAPE, isSetAtStart: true, knee: 0.8, slots: 18, workMs: 220 };
+        const shape = { ...BASE_SHAPE, isDurationFixedAtStart: true, knee: 0.8, slots: 18, workMs: 220 };
         const upstream = new SaturatedUpstream(shape, limit, seededRandom(seed));
         while (upstream.finishedCount < 200) {
             upstream.run(1);
--- a/src/policy/halls/applyhallschange.test.ts
+++ b/src/policy/halls/applyhallschange.test.ts
@@ -11,7 +11,7 @@
 const hall = (name: string): HallName => name as HallName;
 
 const createChange = (revision: number, overrides: Partial<HallsChange> = {}): HallsChange => ({
-    mark: { era: 0, revision },
+    position: { era: 0, revision },
     complete: true,
     evacuated: [],
     ended: [],
@@ -29,9 +29,9 @@
 
 test("halls: a change of a later era supersedes one of a higher revision", () => {
     const known = applyHallsChange(EMPTY, createChange(50, { evacuated: [hall("a")] }))!;
-    const later = { ...createChange(3, { evacuated: [hall("b")] }), mark: { era: 1, revision: 3 } };
+    const later = { ...createChange(3, { evacuated: [hall("b")] }), position: { era: 1, revision: 3 } };
     assert.deepEqual(applyHallsChange(known, later)!.halls, ["b"]);
-    assert.equal(isLaterPosition(known.mark, later.mark), false);
+    assert.equal(isLaterPosition(known.mark, later.position), false);
 });
 
 test("halls: an unreadable entry leaves the state of its hall unchanged", () => {
@@ -66,7 +66,7 @@
     { minLength: 1, maxLength: 8 },
 );
 
-test("halls: the known state matches the store's at its mark, whatever changes arrive in whatever order", () => {
+test("halls: the known state matches the store's at its position, whatever changes arrive in whatever order", () => {
     fc.assert(fc.property(storeChanges, fc.array(fc.nat(), { maxLength: 12 }), (history, draws) => {
         const states = hallsByRevision(history);
         let known = EMPTY;
--- a/src/policy/halls/applyhallschange.ts
+++ b/src/policy/halls/applyhallschange.ts
@@ -9,12 +9,12 @@
  * changed.
  */
 export function applyHallsChange(known: EvacuatedHalls, change: HallsChange): EvacuatedHalls | undefined {
-    const { mark, complete, evacuated, ended, unreadable } = change;
-    if (!isLaterPosition(mark, known.mark)) {
+    const { position, complete, evacuated, ended, unreadable } = change;
+    if (!isLaterPosition(position, known.mark)) {
         return undefined;
     }
     const kept = complete
         ? known.halls.filter(hall => unreadable.includes(hall))
         : known.halls.filter(hall => !ended.includes(hall));
-    return { mark, halls: [...new Set([...kept, ...evacuated])].sort() };
+    return { mark: position, halls: [...new Set([...kept, ...evacuated])].sort() };
 }
--- a/src/policy/halls/hallschange.ts
+++ b/src/policy/halls/hallschange.ts
@@ -4,7 +4,7 @@
 
 /** With `complete` the store has no other entries; otherwise the report holds the changes since the last response. */
 export type HallsChange = {
-    readonly mark: StorePosition;
+    readonly position: StorePosition;
     readonly complete: boolean;
     readonly evacuated: readonly HallName[];
     /** Halls whose entries were deleted. */
--- a/src/policy/model/saturatedupstream.ts
+++ b/src/policy/model/saturatedupstream.ts
@@ -11,20 +11,20 @@
 /** Describes how the upstream works. Times are milliseconds. */
 type UpstreamShape = {
     readonly slots: number;
-    /** The share of the slots above which work takes `kneeTimes` as long; 1 for no knee. */
+    /** The share of the slots above which work takes `kneeSlowdown` times as long; 1 for no knee. */
     readonly knee: number;
-    readonly kneeTimes: number;
+    readonly kneeSlowdown: number;
     readonly workMs: number;
-    /** Every `everyMs` the upstream becomes `times` as slow with the probability `share`, else as fast as usual. */
-    readonly noise: { readonly share: number; readonly times: number; readonly everyMs: number; };
-    /** For `coldMs` from the start on, work takes `coldTimes` as long. */
+    /** Every `intervalMs` the upstream becomes `slowdown` times as slow with the probability `share`, else as usual. */
+    readonly noise: { readonly share: number; readonly slowdown: number; readonly intervalMs: number; };
+    /** For `coldMs` from the start on, work takes `coldSlowdown` times as long. */
     readonly coldMs: number;
-    readonly coldTimes: number;
+    readonly coldSlowdown: number;
     /**
      * True if the duration of a job is fixed at its start; false if it follows noise, cold and the knee while it
      * runs.
      */
-    readonly isSetAtStart: boolean;
+    readonly isDurationFixedAtStart: boolean;
 };
 
 type Job = {
@@ -66,14 +66,14 @@
      * Returns the pace that the upstream reports, which includes noise and cold but not the slowdown above the knee.
      */
     #reportedPace(): number {
-        const { coldMs, coldTimes } = this.shape;
-        return this.#pace * (this.#now < coldMs ? coldTimes : 1);
+        const { coldMs, coldSlowdown } = this.shape;
+        return this.#pace * (this.#now < coldMs ? coldSlowdown : 1);
     }
 
     #updateNoise(): void {
         const { noise } = this.shape;
-        if (this.#now % noise.everyMs === 0) {
-            this.#pace = this.random() < noise.share ? noise.times : 1;
+        if (this.#now % noise.intervalMs === 0) {
+            this.#pace = this.random() < noise.share ? noise.slowdown : 1;
         }
     }
 
@@ -94,17 +94,17 @@
     }
 
     #kneeSlowdown(running: number): number {
-        const { slots, knee, kneeTimes } = this.shape;
-        return running > knee * slots ? kneeTimes : 1;
+        const { slots, knee, kneeSlowdown } = this.shape;
+        return running > knee * slots ? kneeSlowdown : 1;
     }
 
     /** Simulates a millisecond of all jobs and returns the work of those that finished. */
     #advanceJobs(): number {
-        const { workMs, isSetAtStart } = this.shape;
+        const { workMs, isDurationFixedAtStart } = this.shape;
         const slowdown = this.#reportedPace() * this.#kneeSlowdown(this.#jobs.length);
         const finishedJobs: Job[] = [];
         for (const job of this.#jobs) {
-            job.remainingMs -= 1 / (isSetAtStart ? job.slowdown : slowdown);
+            job.remainingMs -= 1 / (isDurationFixedAtStart ? job.slowdown : slowdown);
             if (job.remainingMs <= 0) {
                 finishedJobs.push(job);
             }
--- a/src/policy/retry/retries.ts
+++ b/src/policy/retry/retries.ts
@@ -4,4 +4,4 @@
 import type { RetryBudget } from "./retrybudget.js";
 
 /** Retries and hedges share `budget`; `allowance` limits it at present. */
-export type Retries = { readonly budget: RetryBudget; readonly allowance: Allowance; readonly hedging: HedgeDelay; };
+export type Retries = { readonly budget: RetryBudget; readonly allowance: Allowance; readonly hedgeDelay: HedgeDelay; };
--- a/src/policy/retry/retriesbyservice.ts
+++ b/src/policy/retry/retriesbyservice.ts
@@ -10,7 +10,7 @@
 /** The operators' bounds, and the start of the daemon in milliseconds on its clock. */
 type RetryBounds = { readonly bound: RepeatBound; readonly burst: number; readonly startedAt: number; };
 
-type ServiceState = Pick<Retries, "budget" | "hedging">;
+type ServiceState = Pick<Retries, "budget" | "hedgeDelay">;
 
 /** Creates the state of a service when it is first requested. */
 export class RetriesByService {
@@ -41,7 +41,7 @@
         if (existing !== undefined) {
             return existing;
         }
-        const created = { budget: new RetryBudget(this.bounds.bound.windowMs), hedging: new HedgeDelay() };
+        const created = { budget: new RetryBudget(this.bounds.bound.windowMs), hedgeDelay: new HedgeDelay() };
         this.#stateByService.set(service, created);
         return created;
     }
--- a/src/store/store.ts
+++ b/src/store/store.ts
@@ -8,11 +8,11 @@
     /** Returns the latest version of the configuration. */
     abstract read(): Promise<VersionedValue>;
     /**
-     * Returns the state of the store. It may be seconds old if such a read costs the store less; `isNewest` is true if
+     * Returns the state of the store. It may be seconds old if such a read costs the store less; `isLatest` is true if
      * it is the latest one.
      */
-    async readCached(): Promise<StoreUpdate & { readonly isNewest: boolean; }> {
-        return { document: await this.read(), isNewest: true };
+    async readCached(): Promise<StoreUpdate & { readonly isLatest: boolean; }> {
+        return { document: await this.read(), isLatest: true };
     }
     /** Writes the value if the stored version is still `version`; returns false if it is not. */
     abstract write(value: string, version: number): Promise<boolean>;
--- a/test/linkends.ts
+++ b/test/linkends.ts
@@ -23,8 +23,8 @@
 
     private constructor(private readonly server: Server, private readonly serve: Serve) {
         const { port } = server.address() as AddressInfo;
-        const onSilent = (at: Address): void => void this.unresponsive.push(at);
-        this.pool = LinkEnds.makePool(`127.0.0.1:${port}` as Address, { onSilent });
+        const onUnresponsive = (at: Address): void => void this.unresponsive.push(at);
+        this.pool = LinkEnds.makePool(`127.0.0.1:${port}` as Address, { onUnresponsive });
     }
 
     /** Runs a body between a pool and a listener of its own. */
@@ -70,7 +70,7 @@
 
     static makePool(address: Address, more: Partial<ConstructorParameters<typeof LinkPool>[1]> = {}): LinkPool {
         const clock = (): number => performance.now();
-        return new LinkPool(address, { localIp: "127.0.0.1", key: KEY, clock, onSilent: () => {}, ...more });
+        return new LinkPool(address, { localIp: "127.0.0.1", key: KEY, clock, onUnresponsive: () => {}, ...more });
     }
 
     /** Takes connections from now on and reads nothing from them. */
