--- a/src/crashes/crashguard.test.ts
+++ b/src/crashes/crashguard.test.ts
@@ -38,8 +38,8 @@
     [1, 2, 3].forEach(number => recordCrash(daemons[number]!, number));
     assert.equal(daemons[4]!.guard.statusOf(crashing), "free");
     for (let round = 0; round < 2; round++) {
-        daemons.forEach(({ propagation: spread }) =>
-            spread.compareDigests("10.0.0.0:1" as Address, daemons[0]!.guard.digest)
+        daemons.forEach(({ propagation }) =>
+            propagation.compareDigests("10.0.0.0:1" as Address, daemons[0]!.guard.digest)
         );
         await sleep(5);
     }
@@ -53,7 +53,7 @@
     const incarnation = "incarnation" as Incarnation;
     const { guard } = createDaemons(1, () => true)[0]!;
     const peer = "10.0.0.9:1" as Address;
-    const spread = new CrashPropagation({
+    const propagation = new CrashPropagation({
         self: "10.0.0.0:1" as Address,
         guard,
         random: () => 0,
@@ -70,8 +70,8 @@
     });
     const compare = async (digest: number): Promise<number> => {
         peerDigest = digest;
-        spread.compareDigests(peer, digest);
-        spread.compareDigests(peer, digest);
+        propagation.compareDigests(peer, digest);
+        propagation.compareDigests(peer, digest);
         await sleep(20);
         return exchangeCount;
     };
@@ -81,8 +81,8 @@
     recordCrash({ guard } as Daemon, 1);
     assert.equal(await compare(8), 3);
     peerDigest = 9;
-    spread.compareDigests(peer, 9);
-    spread.compareDigests(peer, 10);
+    propagation.compareDigests(peer, 9);
+    propagation.compareDigests(peer, 10);
     await sleep(20);
     assert.equal(await compare(10), 5, "a digest that was received during an exchange leads to another one");
 });
--- a/src/crashes/crashguard.ts
+++ b/src/crashes/crashguard.ts
@@ -147,7 +147,7 @@
      * If the request is newly quarantined, logs that and aborts its runs.
      */
     #updateStatus(request: RequestKey): void {
-        const { hasServed, cancel: giveUp } = this.deps;
+        const { hasServed, cancel } = this.deps;
         if (hasServed(request)) {
             this.#clear(request);
         }
@@ -166,7 +166,7 @@
             crashes,
             quarantinedForMs,
         });
-        giveUp(request);
+        cancel(request);
     }
 
     /** Clears the request of its crashes; returns false if it is neither suspect nor quarantined. */
--- a/src/crashes/crashpropagation.test.ts
+++ b/src/crashes/crashpropagation.test.ts
@@ -9,7 +9,7 @@
 
 const crashing = "crashing" as RequestKey;
 const harmless = "harmless" as RequestKey;
-const { address, recordCrash: crashAt } = CrashFleet;
+const { address, recordCrash } = CrashFleet;
 
 type Daemon = CrashFleet["daemons"][number];
 
@@ -21,9 +21,9 @@
     const { daemons } = fleet;
     for (let crash = 0; crash < crashes; crash++) {
         const inProgress = Array.from({ length: requests }, (_, index) => `${crash}-${index}` as RequestKey);
-        crashAt(daemons[crash]!, crash, inProgress);
+        recordCrash(daemons[crash]!, crash, inProgress);
         for (let round = 0; round < 2; round++) {
-            daemons.forEach(({ propagation: spread }) => spread.compareDigests(address(0), daemons[0]!.guard.digest));
+            daemons.forEach(({ propagation }) => propagation.compareDigests(address(0), daemons[0]!.guard.digest));
             await sleep(1);
         }
         assert.equal(new Set(daemons.map(({ guard }) => guard.digest)).size, 1);
@@ -34,7 +34,7 @@
 test("crash propagation: a request that the receiver of a record clears is cleared at the sender, too", async () => {
     const [one, two] = new CrashFleet(2, () => false).daemons as [Daemon, Daemon];
     one.served.add(harmless);
-    [1, 2, 3].forEach(number => crashAt(two, number, [harmless]));
+    [1, 2, 3].forEach(number => recordCrash(two, number, [harmless]));
     for (let round = 0; round < 2; round++) {
         one.propagation.compareDigests(address(1), two.guard.digest);
         await sleep(1);
@@ -45,7 +45,7 @@
 test("crash propagation: a peer that has restarted receives all records again", async () => {
     const [one, two, restarted] = new CrashFleet(3, () => false).daemons as [Daemon, Daemon, Daemon];
     let peer = two;
-    const spread = new CrashPropagation({
+    const propagation = new CrashPropagation({
         self: address(0),
         incarnation: "incarnation" as Incarnation,
         guard: one.guard,
@@ -57,10 +57,10 @@
         exchange: async (_peer, changes) => peer.propagation.handleExchange(changes),
     });
     const compare = async (): Promise<void> => {
-        spread.compareDigests(address(1), peer.guard.digest);
+        propagation.compareDigests(address(1), peer.guard.digest);
         await sleep(1);
     };
-    [1, 2, 3].forEach(number => crashAt(one, number, [crashing]));
+    [1, 2, 3].forEach(number => recordCrash(one, number, [crashing]));
     await compare();
     assert.equal(two.guard.statusOf(crashing), "quarantined");
     peer = restarted;
@@ -95,7 +95,7 @@
                 for (const [crash, event] of events.entries()) {
                     const { guard, served } = daemons[event.daemon]!;
                     if (event.type === "crash") {
-                        crashAt(daemons[event.daemon]!, crash, [event.request]);
+                        recordCrash(daemons[event.daemon]!, crash, [event.request]);
                     }
                     else if (event.type === "serve") {
                         served.add(event.request);
--- a/src/crashes/crashpropagation.ts
+++ b/src/crashes/crashpropagation.ts
@@ -99,8 +99,8 @@
      * when there are other members for the first time.
      */
     onMembersChanged(): void {
-        const { members: peers, self, relays } = this.deps;
-        const others = peers().filter(address => address !== self);
+        const { members, self, relays } = this.deps;
+        const others = members().filter(address => address !== self);
         const known = new Set(others);
         [...this.#lastExchanges.keys()].filter(peer => !known.has(peer)).forEach(peer =>
             this.#lastExchanges.delete(peer)
--- a/src/distribution/hallheartbeats.ts
+++ b/src/distribution/hallheartbeats.ts
@@ -116,8 +116,8 @@
 
     /** Updates the members of the hall; the owner calls it when the location of a daemon has changed. */
     updateMembers(): void {
-        const { election, hall, locations: places } = this.deps;
-        election.setMembers(rank(hallMembers(places(), hall), hall));
+        const { election, hall, locations } = this.deps;
+        election.setMembers(rank(hallMembers(locations(), hall), hall));
     }
 
     /** Applies a received heartbeat. */
@@ -183,9 +183,9 @@
 
     /** Sends heartbeats at once to this daemon's followers; the rest of the hall gets the change in the next round. */
     #notifyRecordChange(now: number): void {
-        const { hall, locations: places, watch } = this.deps;
+        const { hall, locations, watch } = this.deps;
         if (this.#recordsThrottle.pass(watch.records?.at ?? 0, now)) {
-            this.#sender.sendSoon(this.#partitionHall(hallMembers(places(), hall), now).followers);
+            this.#sender.sendSoon(this.#partitionHall(hallMembers(locations(), hall), now).followers);
         }
     }
 
@@ -211,8 +211,8 @@
 
     /** Returns the recipients, followers first: if the send budget runs out, the other watcher reaches the rest. */
     #recipients(): Address[] {
-        const { hall, random, locations: places, clock } = this.deps;
-        const daemons = places();
+        const { hall, random, locations, clock } = this.deps;
+        const daemons = locations();
         const remote = otherHallCandidates(daemons, hall, MAX_CANDIDATES).flatMap(gates => sample(gates, 1, random));
         const { followers, rest } = this.#partitionHall(hallMembers(daemons, hall), clock());
         return [...followers, ...remote, ...rest];
@@ -230,9 +230,9 @@
     }
 
     #createHeartbeat(): Message {
-        const { self, configuration, clock, watch, leavingHosts, crashDigest: crashMark, evacuations } = this.deps;
+        const { self, configuration, clock, watch, leavingHosts, crashDigest, evacuations } = this.deps;
         const now = clock();
-        const crashes = crashMark();
+        const crashes = crashDigest();
         const evacuated = evacuations.stateForPeers;
         return {
             type: "beat",
--- a/src/gate/requestrunner.ts
+++ b/src/gate/requestrunner.ts
@@ -163,12 +163,12 @@
 
     /** The end of an upstream that has announced that it is leaving is not a crash. */
     #createCrashDetector(): CrashDetector {
-        const { clock, onCrash, endpoint, checks, mayProbeCrash: mayProbe } = this.deps;
+        const { clock, onCrash, endpoint, checks, mayProbeCrash } = this.deps;
         const { name: upstream, service } = this.upstream;
         return new CrashDetector({
             upstream,
             clock,
-            mayProbe,
+            mayProbe: mayProbeCrash,
             probe: () => endpoint.healthProbe.probe(CRASH_PROBE_TIMEOUT_MS),
             onCrash: (crash, requests) => {
                 if (!checks.isUpstreamLeaving) {
--- a/src/gate/slotqueue.ts
+++ b/src/gate/slotqueue.ts
@@ -99,8 +99,8 @@
     /** Starts the queued requests that may run now, and refuses those whose deadline has passed. */
     startNext(): void {
         const { admission, clock, refusals } = this.deps;
-        const { run, expired: late } = admission.dequeue(clock());
-        for (const request of late) {
+        const { run, expired } = admission.dequeue(clock());
+        for (const request of expired) {
             this.revoke(request);
             request.refuse(refusals.create("deadline"));
         }
--- a/src/gate/upstreamendpoint.ts
+++ b/src/gate/upstreamendpoint.ts
@@ -38,14 +38,14 @@
 
     constructor(upstream: Upstream, deps: GateDependencies, events: EndpointEvents) {
         const { name, service } = upstream;
-        const { leavingIsPermanent: leavesForGood } = deps.dialect;
+        const { leavingIsPermanent } = deps.dialect;
         this.signals = new UpstreamSignals({
             ...deps,
             ...events,
             upstream: name,
             onLeaving: () => {
-                events.onLeaving(leavesForGood ? "ending" : "upstream");
-                if (leavesForGood) {
+                events.onLeaving(leavingIsPermanent ? "ending" : "upstream");
+                if (leavingIsPermanent) {
                     deps.onEnding(name);
                 }
             },
--- a/src/http/bufferbody.ts
+++ b/src/http/bufferbody.ts
@@ -3,12 +3,12 @@
 import { ignoreBodyErrors } from "./ignorebodyerrors.js";
 
 /** The whole body, or the first chunks of a body that exceeds the limit; its stream is paused after them. */
-type Collected = { readonly whole: boolean; readonly chunks: Buffer[]; readonly size: number; };
+type Collected = { readonly isComplete: boolean; readonly chunks: Buffer[]; readonly size: number; };
 
 /** Reads the body to its end, or until it exceeds `maxBytes`; rejects if it breaks off before that. */
 export function bufferBody(body: Buffer | Readable, maxBytes: number): Promise<Collected> {
     if (!(body instanceof Readable)) {
-        return Promise.resolve({ whole: true, chunks: [body], size: body.length });
+        return Promise.resolve({ isComplete: true, chunks: [body], size: body.length });
     }
     if (body.destroyed) {
         return Promise.reject(body.errored ?? new Error("the body's stream closed before it was read"));
@@ -28,12 +28,12 @@
             if (size > maxBytes) {
                 removeListeners();
                 body.pause();
-                resolve({ whole: false, chunks, size });
+                resolve({ isComplete: false, chunks, size });
             }
         };
         const onEnd = (): void => {
             removeListeners();
-            resolve({ whole: true, chunks, size });
+            resolve({ isComplete: true, chunks, size });
         };
         const onError = (err: Error): void => {
             removeListeners();
--- a/src/ingress/deliver.ts
+++ b/src/ingress/deliver.ts
@@ -61,7 +61,7 @@
         res.flushHeaders();
         return streamBody(res, response.body);
     }
-    const { whole: isComplete, chunks, size } = await bufferBody(response.body, isBodiless ? Infinity : bufferBytes);
+    const { isComplete, chunks, size } = await bufferBody(response.body, isBodiless ? Infinity : bufferBytes);
     if (res.destroyed) {
         destroyBody(response.body);
         return;
--- a/src/ingress/readbody.ts
+++ b/src/ingress/readbody.ts
@@ -51,8 +51,8 @@
     if (Number(req.headers["content-length"] ?? 0) > limits.maxBytes) {
         throw new BodyError(true);
     }
-    const { whole, chunks } = await collectBody(req, limits.keepBytes);
-    return whole ? { content: Buffer.concat(chunks), kept: true } : streamBody(req, chunks, limits.maxBytes);
+    const { isComplete, chunks } = await collectBody(req, limits.keepBytes);
+    return isComplete ? { content: Buffer.concat(chunks), kept: true } : streamBody(req, chunks, limits.maxBytes);
 }
 
 const collectBody = async (req: IncomingMessage, keepBytes: number): ReturnType<typeof bufferBody> => {
--- a/src/ingress/requestlog.ts
+++ b/src/ingress/requestlog.ts
@@ -40,14 +40,14 @@
     constructor(private readonly id: string) {}
 
     attemptSent(target: UpstreamView, { id, choices, remainingMs, arrival }: SentAttempt, now: number): void {
-        const { upstream, sameHall, outstanding, report, reportedAt: reportAt } = target;
+        const { upstream, sameHall, outstanding, report, reportedAt } = target;
         logger.decision(this.id, "The request is sent to an upstream.", {
             try: id,
             upstream,
             near: sameHall,
             own: outstanding,
             report,
-            reportAgeMs: report === undefined ? undefined : Math.round(now - reportAt),
+            reportAgeMs: report === undefined ? undefined : Math.round(now - reportedAt),
             choices,
             arrival,
             remainingMs: Math.round(remainingMs),
--- a/src/ingress/requestretries.ts
+++ b/src/ingress/requestretries.ts
@@ -75,12 +75,12 @@
 
     logDecision(result: UnservedResult, decision: RetryDecision): void {
         const { ingress: { clock }, plan, log } = this.deps;
-        const { attempts, redirects: moves } = this.history;
+        const { attempts, redirects } = this.history;
         const now = clock();
         const budgetLeft = this.#budgetLeft(now);
         log.retryDecided(result, decision, {
             attempts,
-            redirects: moves,
+            redirects,
             remainingMs: plan().deadline - now,
             budgetLeft,
         });
@@ -88,10 +88,10 @@
 
     /** Returns the time after which a response is overdue, or undefined if the request must not be hedged. */
     hedgeAfterMs(): number | undefined {
-        const { ingress: { isHedgingEnabled: isEnabled }, plan, bodyKept, standing } = this.deps;
+        const { ingress: { isHedgingEnabled }, plan, bodyKept, standing } = this.deps;
         const { kind, rule } = plan();
         return decideHedge({
-            isEnabled: isEnabled && standing() === "free",
+            isEnabled: isHedgingEnabled && standing() === "free",
             kind,
             answer: rule.answer,
             bodyKept,
--- a/src/link/buffershortbody.ts
+++ b/src/link/buffershortbody.ts
@@ -28,8 +28,8 @@
 /** Resolves with the whole body if it is short, with a stream of it if it is long, or with `broken` if it broke off. */
 export async function bufferShortBody(body: Readable): Promise<Buffer | Readable | "broken"> {
     try {
-        const { whole, chunks } = await bufferBody(body, MAX_BUFFERED_BYTES);
-        if (!whole) {
+        const { isComplete, chunks } = await bufferBody(body, MAX_BUFFERED_BYTES);
+        if (!isComplete) {
             return streamWithBuffered(body, chunks);
         }
         return chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
--- a/src/link/linksession.ts
+++ b/src/link/linksession.ts
@@ -165,8 +165,8 @@
         return this.#body.stream;
     }
 
-    async #respond({ body, ...response }: ServedResponse, whole: boolean): Promise<void> {
-        const buffered = whole && body instanceof Readable ? await bufferShortBody(body) : body;
+    async #respond({ body, ...response }: ServedResponse, shouldBuffer: boolean): Promise<void> {
+        const buffered = shouldBuffer && body instanceof Readable ? await bufferShortBody(body) : body;
         const last = this.deps.isClosing();
         if (this.socket.destroyed) {
             return;
--- a/src/link/silentlink.test.ts
+++ b/src/link/silentlink.test.ts
@@ -24,13 +24,13 @@
 
 test("silent link: an unresponsive connection fails its request, and idle connections can be closed", async () => {
     await between(serve, async ends => {
-        const { pool, sockets, unresponsive: found } = ends;
+        const { pool, sockets, unresponsive } = ends;
         await Promise.all([send(pool), send(pool), send(pool)]);
         sockets.forEach(socket => ends.makeUnresponsive(socket));
         const sentAt = performance.now();
         await assert.rejects(send(pool), { reason: "peer-broke", unsent: false });
         assert.ok(performance.now() - sentAt < 1000, "detected within a second");
-        assert.deepEqual(found, [pool.address]);
+        assert.deepEqual(unresponsive, [pool.address]);
         pool.closeIdle();
         assert.equal(await send(pool), 200);
     });
@@ -38,12 +38,12 @@
 
 test("silent link: connections that are unresponsive together are detected with one new connection", async () => {
     await between(serve, async ends => {
-        const { pool, sockets, unresponsive: found } = ends;
+        const { pool, sockets, unresponsive } = ends;
         await Promise.all(Array.from({ length: 10 }, () => send(pool)));
         sockets.forEach(socket => ends.makeUnresponsive(socket));
         const results = await Promise.allSettled(Array.from({ length: 10 }, () => send(pool)));
         assert.ok(results.every(({ status }) => status === "rejected"));
-        assert.equal(found.length, 10);
+        assert.equal(unresponsive.length, 10);
         assert.equal(sockets.length, 11);
     });
 });
@@ -53,10 +53,10 @@
         await wait(1200);
         return response;
     };
-    await between(slow, async ({ pool, sockets, unresponsive: found }) => {
+    await between(slow, async ({ pool, sockets, unresponsive }) => {
         assert.equal(await send(pool), 200);
         assert.equal(await send(pool), 200);
-        assert.deepEqual([sockets.length, found.length], [1, 0]);
+        assert.deepEqual([sockets.length, unresponsive.length], [1, 0]);
     });
 });
 
@@ -85,31 +85,31 @@
 
 test("silent link: an unread response or a body being sent does not make a connection unresponsive", async () => {
     const large: Serve = () => Promise.resolve({ ...response, body: Readable.from([Buffer.alloc(4_000_000)]) });
-    await between(large, async ({ pool, unresponsive: found }) => {
+    await between(large, async ({ pool, unresponsive }) => {
         const { body } = await (await pool.acquire()).send(call({ head: { ...call().head, answer: "streamed" } }));
         await wait(1500);
-        assert.deepEqual(found, []);
+        assert.deepEqual(unresponsive, []);
         assert.equal((await bufferBody(body as Readable, Infinity)).size, 4_000_000);
     });
     const unread: Serve = async ({ body }) => {
         await wait(1500);
         return { ...response, body: Buffer.from(String((await bufferBody(body as Readable, Infinity)).size)) };
     };
-    await between(unread, async ({ pool, unresponsive: found }) => {
+    await between(unread, async ({ pool, unresponsive }) => {
         assert.equal(await send(pool, Readable.from([Buffer.from("x")])), 200);
         assert.equal(await send(pool, Readable.from(Array.from({ length: 80 }, () => Buffer.alloc(50_000)))), 200);
-        assert.deepEqual(found, []);
+        assert.deepEqual(unresponsive, []);
     });
 });
 
 test("silent link: a streamed response may pause for longer than a check takes", async () => {
     const pausedBody = new PassThrough();
-    await between(() => Promise.resolve({ ...response, body: pausedBody }), async ({ pool, unresponsive: found }) => {
+    await between(() => Promise.resolve({ ...response, body: pausedBody }), async ({ pool, unresponsive }) => {
         pausedBody.write("one");
         const { body } = await (await pool.acquire()).send(call({ head: { ...call().head, answer: "streamed" } }));
         setTimeout(() => pausedBody.end("two"), 1500);
         assert.equal(String(Buffer.concat((await bufferBody(body as Readable, Infinity)).chunks)), "onetwo");
-        assert.deepEqual(found, []);
+        assert.deepEqual(unresponsive, []);
     });
 });
 
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -194,13 +194,13 @@
     }
 
     #createStoreWatch(): MembershipWatch {
-        const { incarnation, documentWatcher: watcher, clock, peer } = this.deps;
+        const { incarnation, documentWatcher, clock, peer } = this.deps;
         const memberList = this.#memberList;
         return new MembershipWatch({
             incarnation,
             memberList,
             registryWatcher: this.#registryWatcher,
-            documentWatcher: watcher,
+            documentWatcher,
             follower: new RecordFollower({ memberList, clock, fetch: (gate, after) => peer.records(gate, after) }),
         });
     }
--- a/src/membership/selectrelays.ts
+++ b/src/membership/selectrelays.ts
@@ -15,7 +15,7 @@
  * Returns the highest-ranked daemons of each hall except `self`, those of the own hall first. They watch the store
  * while they can reach it, and notify their halls.
  */
-export function selectRelays(places: readonly DaemonLocation[], hall: HallName, self: Address): Address[] {
-    const own = rank(hallMembers(places, hall).filter(gate => gate !== self), hall).slice(0, OWN_HALL_RELAYS);
-    return [...own, ...otherHallCandidates(places, hall, RELAYS_PER_OTHER_HALL).flat()];
+export function selectRelays(locations: readonly DaemonLocation[], hall: HallName, self: Address): Address[] {
+    const own = rank(hallMembers(locations, hall).filter(gate => gate !== self), hall).slice(0, OWN_HALL_RELAYS);
+    return [...own, ...otherHallCandidates(locations, hall, RELAYS_PER_OTHER_HALL).flat()];
 }
--- a/src/operator/operatorserver.ts
+++ b/src/operator/operatorserver.ts
@@ -65,7 +65,7 @@
     }
 
     #sendReadiness(res: ServerResponse): void {
-        const { isReady: ready } = this;
-        res.writeHead(ready ? 200 : 503).end(ready ? "ready\n" : "not ready\n");
+        const { isReady } = this;
+        res.writeHead(isReady ? 200 : 503).end(isReady ? "ready\n" : "not ready\n");
     }
 }
--- a/src/policy/retry/decideretry.ts
+++ b/src/policy/retry/decideretry.ts
@@ -58,10 +58,10 @@
         kind,
         attempts,
         maxAttempts,
-        redirects: moves,
+        redirects,
         remainingMs,
         bodyKept,
-        needsBudget: owes,
+        needsBudget,
         standing,
     } = input;
     const decideByBudget = (): RetryDecision =>
@@ -82,8 +82,8 @@
     if (result.outcome === "failed" && result.retriedBelow) {
         return { again: false, why: "retried-below" };
     }
-    if (facts?.causesRedirect === true && moves <= maxRedirects) {
-        return owes ? decideByBudget() : { again: true, why: "moves" };
+    if (facts?.causesRedirect === true && redirects <= maxRedirects) {
+        return needsBudget ? decideByBudget() : { again: true, why: "moves" };
     }
     if (attempts >= maxAttempts) {
         return { again: false, why: "attempts-spent" };
@@ -91,7 +91,7 @@
     if (result.outcome !== "not-run" && kind !== "repeatable") {
         return { again: false, why: "may-have-run" };
     }
-    if (result.outcome === "not-run" && facts?.costsBudget === false && !owes) {
+    if (result.outcome === "not-run" && facts?.costsBudget === false && !needsBudget) {
         return { again: true, why: "free" };
     }
     return decideByBudget();
