--- a/src/link/unresponsivelink.test.ts
+++ b/src/link/unresponsivelink.test.ts
@@ -22,7 +22,7 @@
 const send = async (pool: LinkPool, body?: Readable): Promise<number> =>
     (await (await pool.acquire()).send(call({ body }))).status;
 
-test("silent link: an unresponsive connection fails its request, and idle connections can be closed", async () => {
+test("unresponsive link: an unresponsive connection fails its request, and idle connections can be closed", async () => {
     await between(serve, async ends => {
         const { pool, sockets, unresponsive } = ends;
         await Promise.all([send(pool), send(pool), send(pool)]);
@@ -36,7 +36,7 @@
     });
 });
 
-test("silent link: connections that are unresponsive together are detected with one new connection", async () => {
+test("unresponsive link: connections that are unresponsive together are detected with one new connection", async () => {
     await between(serve, async ends => {
         const { pool, sockets, unresponsive } = ends;
         await Promise.all(Array.from({ length: 10 }, () => send(pool)));
@@ -48,7 +48,7 @@
     });
 });
 
-test("silent link: a slow response on a working connection is awaited", async () => {
+test("unresponsive link: a slow response on a working connection is awaited", async () => {
     const slow: Serve = async () => {
         await wait(1200);
         return response;
@@ -60,7 +60,7 @@
     });
 });
 
-test("silent link: a connection to a host that does not respond at all is not closed as unresponsive", async () => {
+test("unresponsive link: a connection to a host that does not respond at all is not closed as unresponsive", async () => {
     await between(serve, async ends => {
         await send(ends.pool);
         ends.makeUnresponsive(ends.sockets[0]!);
@@ -71,7 +71,7 @@
     });
 });
 
-test("silent link: a new connection that does not respond to its probe is not used for requests", async () => {
+test("unresponsive link: a new connection that does not respond to its probe is not used for requests", async () => {
     await between(serve, async ends => {
         await send(ends.pool);
         ends.makeUnresponsive(ends.sockets[0]!);
@@ -83,7 +83,7 @@
     });
 });
 
-test("silent link: an unread response or a body being sent does not make a connection unresponsive", async () => {
+test("unresponsive link: an unread response or a body being sent does not make a connection unresponsive", async () => {
     const large: Serve = () => Promise.resolve({ ...response, body: Readable.from([Buffer.alloc(4_000_000)]) });
     await between(large, async ({ pool, unresponsive }) => {
         const { body } = await (await pool.acquire()).send(call({ head: { ...call().head, answer: "streamed" } }));
@@ -102,7 +102,7 @@
     });
 });
 
-test("silent link: a streamed response may pause for longer than a check takes", async () => {
+test("unresponsive link: a streamed response may pause for longer than a check takes", async () => {
     const pausedBody = new PassThrough();
     await between(() => Promise.resolve({ ...response, body: pausedBody }), async ({ pool, unresponsive }) => {
         pausedBody.write("one");
@@ -130,7 +130,7 @@
         }));
 };
 
-test("silent link: a peer that does not support probes receives none", async () => {
+test("unresponsive link: a peer that does not support probes receives none", async () => {
     const server = createServer(serveWithoutProbes);
     server.listen(0, "127.0.0.1");
     await once(server, "listening");
