--- a/src/daemon/bootstrap.ts
+++ b/src/daemon/bootstrap.ts
@@ -36,7 +36,7 @@
     }
     catch (err) {
         logger.warn(
-            "The configuration could not be read from the store at the start; only peers can supply it until it is.",
+            "Could not read the configuration from the store at the start; until the store responds, only peers supply it.",
             err,
         );
     }
