--- a/src/cli/statustable.test.ts
+++ b/src/cli/statustable.test.ts
@@ -44,7 +44,7 @@
     assert.equal(lines.at(-5), "hall hall-0: the store is watched by h0, h5");
 });
 
-test("status table: upstreams that are silent or behind are listed, and hosts that know fewer daemons", () => {
+test("status table: upstreams that do not respond or are behind are listed, and hosts that know fewer daemons", () => {
     const text = statusTable(responseOf(195, lines => {
         lines[20]!.state = "silent";
         lines[21]!.revision = 6n;
--- a/src/config/callerlimits.ts
+++ b/src/config/callerlimits.ts
@@ -6,7 +6,7 @@
 const MAX_HEADER_BYTES = 1024 * KIB;
 /** Equals the largest value that the daemon's settings allow. */
 const MAX_BODY_BYTES = 1024 * KIB * KIB;
-/** One hour; equals the largest value that the daemon's settings allow. */
+/** An hour in milliseconds; equals the largest value that the daemon's settings allow. */
 const MAX_TIMEOUT_MS = 3_600_000;
 
 const CallerLimits = z.strictObject({
--- a/src/config/service.ts
+++ b/src/config/service.ts
@@ -16,7 +16,7 @@
 
 /** More than any upstream can serve. */
 const MAX_REQUESTS_PER_SECOND = 1_000_000;
-/** One hour. */
+/** An hour in milliseconds. */
 const MAX_COLD_START_MS = 3_600_000;
 
 const Service = z.strictObject({
--- a/src/crashes/crashpropagation.ts
+++ b/src/crashes/crashpropagation.ts
@@ -10,7 +10,7 @@
  * - A daemon that has just started begins exchanges with relays itself.
  *
  * With 40 daemons and twenty crashes at eight requests each, the exchanges transfer 6,392 records. They would transfer
- * 124,952 if each exchange contained all records (crashspread.test.ts).
+ * 124,952 if each exchange contained all records (crashpropagation.test.ts).
  */
 import type { Message } from "../datagram/message.js";
 import type { Address } from "../ids/address.js";
@@ -56,7 +56,7 @@
     readonly peerDigest: number | undefined;
     /** The peer's incarnation, and how many of its changes have been received. */
     readonly receivedUpTo: RecordsPosition;
-    /** How many of this daemon's changes have been sent to the peer. */
+    /** Number of this daemon's changes that have been sent to the peer. */
     readonly sentChangeCount: number;
 };
 
--- a/src/crashes/crashpublisher.ts
+++ b/src/crashes/crashpublisher.ts
@@ -26,7 +26,7 @@
 type CrashPublisherDependencies = {
     readonly guard: CrashGuard;
     readonly clock: Clock;
-    /** Writes a record that the store keeps for `keepMs`; rejects with a StoreError. */
+    /** Writes a record that the store keeps for `leaseMs`; rejects with a StoreError. */
     readonly write: (record: CrashRecord, keepMs: number) => Promise<void>;
 };
 
--- a/src/daemon/gategroup.ts
+++ b/src/daemon/gategroup.ts
@@ -111,7 +111,7 @@
         this.#medianLimitShare = medianLimitShare;
     }
 
-    /** Sets the listener that is called when an upstream has announced that it is leaving and does not come back. */
+    /** Sets the listener that is called when an upstream has announced that it is leaving permanently. */
     onEnding(listener: (upstream: UpstreamName) => void): void {
         this.#onEnding = listener;
     }
--- a/src/daemon/membershipgroup.ts
+++ b/src/daemon/membershipgroup.ts
@@ -2,7 +2,7 @@
  * Keeps track of the other daemons and of the upstreams.
  *
  * If the environment has a registry, upstreams announce themselves and daemons find each other by their records.
- * Otherwise the configuration names the upstreams. docs/DESIGN.md says why both exist. Heartbeats serve both.
+ * Otherwise the configuration names the upstreams. docs/DESIGN.md explains why both exist. Heartbeats serve both.
  */
 import type { Upstream } from "../config/upstream.js";
 import { CrashPropagation } from "../crashes/crashpropagation.js";
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -7,9 +7,9 @@
 import { ServiceName } from "../ids/servicename.js";
 import { LogLevel } from "../log/loglevel.js";
 
-/** In bytes. */
+/** Bytes in a kibibyte. */
 const KIB = 1024;
-/** In bytes. */
+/** Bytes in a mebibyte. */
 const MIB = 1024 * KIB;
 /** Minimum length of `peerKey` in characters; a shorter key could be guessed within seconds. */
 const MIN_KEY_LENGTH = 16;
@@ -89,7 +89,7 @@
     /** The address at which peers reach `peer`, if it differs. */
     advertise: Address.optional(),
     operator: Address,
-    /** Where upstreams on this host announce themselves, if they do. */
+    /** Address at which upstreams on this host announce themselves, if they do. */
     announce: Address.optional(),
     /** The address of the local upstream. The daemon probes it at the start, before the upstream announces itself. */
     upstream: Address.optional(),
--- a/src/dialect/dialect.ts
+++ b/src/dialect/dialect.ts
@@ -73,7 +73,7 @@
     abstract parentOf(headers: HttpHeaders): string | undefined;
     /** Returns true if the upstream reports that it is about to stop. */
     abstract isLeaving(headers: HttpHeaders): boolean;
-    /** True if an upstream that leaves never comes back under its name. */
+    /** True if an upstream that leaves never returns under its name. */
     abstract readonly leavingIsPermanent: boolean;
     /** Returns the value of `retry-after` for a time in milliseconds. */
     abstract retryAfter(ms: number): string;
--- a/src/distribution/hallheartbeats.ts
+++ b/src/distribution/hallheartbeats.ts
@@ -44,7 +44,8 @@
 const RECORDS_NOTICE_INTERVAL_MS = 500;
 /**
  * Minimum time between two notices of changes in the records of requests under which several upstreams have crashed.
- * Shorter than a round of heartbeats, because a crashed upstream is back, and can be crashed again, after one second.
+ * Shorter than a round of heartbeats, because a crashed upstream has restarted, and can be crashed again, after one
+ * second.
  */
 const SUSPECTS_NOTICE_INTERVAL_MS = 250;
 /** Number of likely watchers of another hall, the first in rank; one of them gets a heartbeat in each round. */
--- a/src/distribution/leavinghosts.ts
+++ b/src/distribution/leavinghosts.ts
@@ -5,7 +5,7 @@
 
 const logger = log("config");
 
-/** Keeps the last list that was read. A stale list is better than none, because a leaving host does not come back. */
+/** Keeps the last list that was read. A stale list is better than none, because a leaving host does not return. */
 export class LeavingHosts {
     #names: HostName[] = [];
     #isRefreshing = false;
--- a/src/distribution/watcherelection.ts
+++ b/src/distribution/watcherelection.ts
@@ -37,7 +37,7 @@
     readonly #lastHeartbeatAt = new Map<Address, number>();
     #rankedMembers: readonly Address[] = [];
     #ownRank = -1;
-    /** When enough watchers ahead in rank were last known; at first, the end of the grace period. */
+    /** Time at which enough watchers ahead in rank were last known; at first, the end of the grace period. */
     #lastSufficientAt: number;
     /** Undefined until the store has responded. */
     #discoveryEndsAt: number | undefined;
@@ -56,7 +56,7 @@
         );
     }
 
-    /** Records a heartbeat, which says whether its sender is an active watcher. */
+    /** Records a heartbeat, which states whether its sender is an active watcher. */
     recordHeartbeat(from: Address, watching: boolean, now: number): void {
         if (watching) {
             this.#lastHeartbeatAt.set(from, now);
--- a/src/evacuation/evacuations.ts
+++ b/src/evacuation/evacuations.ts
@@ -17,9 +17,9 @@
 const logger = log("halls");
 
 /**
- * Time for which evacuated halls stay evacuated after a restore of the store from a backup, whatever the backup says.
- * The backup lacks the operators' latest changes until they write them again. A hall without requests for some more
- * seconds costs less than requests in a hall that must not get any.
+ * Time for which evacuated halls stay evacuated after a restore of the store from a backup, regardless of what
+ * the backup contains. The backup lacks the operators' latest changes until they write them again. A hall without
+ * requests for some more seconds costs less than requests in a hall that must not get any.
  */
 const KEEP_AFTER_RESTORE_MS = 10_000;
 
--- a/src/failuredetection/failuredetector.test.ts
+++ b/src/failuredetection/failuredetector.test.ts
@@ -14,8 +14,8 @@
 type Attempt = { readonly name: string; readonly cancel: Cancellation; };
 
 /**
- * Starts an attempt at each of two gates that have answered a ping, and returns the upstreams whose attempts are
- * cancelled within a second. Only the gates of `responsive` answer further pings.
+ * Starts an attempt at each of two gates that have responded to a ping, and returns the upstreams whose attempts are
+ * cancelled within a second. Only the gates of `responsive` respond to further pings.
  */
 const cancelledAttempts = async (
     t: { mock: { timers: { enable(): void; tick(ms: number): void; }; }; },
--- a/src/failuredetection/failuredetector.ts
+++ b/src/failuredetection/failuredetector.ts
@@ -1,5 +1,5 @@
 /**
- * Pings gates that do not respond to outstanding requests, and suspects those that do not answer the pings either.
+ * Pings gates that do not respond to outstanding requests, and suspects those that do not respond to the pings either.
  *
  * Owns the timer and the pings. policy/failure/livenesscheck.ts decides when to ping and when to suspect a gate.
  */
@@ -13,7 +13,7 @@
 
 /** A third of the ping timeout in policy/failure/livenesscheck.ts. */
 const CHECK_INTERVAL_MS = 50;
-/** Minimum interval between first pings, which go to gates that have never answered one: ten a second. */
+/** Minimum interval between first pings, which go to gates that have never responded to one: ten a second. */
 const FIRST_PING_INTERVAL_MS = 100;
 
 type FailureDetectorDependencies = {
@@ -65,7 +65,7 @@
         const input = {
             outstanding: view.outstanding,
             serviceMs: view.report?.serviceMs ?? 0,
-            answersPings: this.#pingResponders.has(view.settings.gate),
+            respondsToPings: this.#pingResponders.has(view.settings.gate),
             isSuspected: view.suspicion.isSuspected,
         };
         if (view.local || view.livenessCheck.isIdle(input)) {
--- a/src/gate/callcontexts.ts
+++ b/src/gate/callcontexts.ts
@@ -11,7 +11,7 @@
     readonly token: string;
     /** The id by which the upstream knows the request. */
     readonly requestId: string;
-    /** When the request's time limit ends, in milliseconds on the daemon's clock. */
+    /** Time at which the request's time limit ends, in milliseconds on the daemon's clock. */
     readonly deadline: number;
     /** Number of calls in the chain that led to the request. */
     readonly depth: number;
--- a/src/gate/closereason.ts
+++ b/src/gate/closereason.ts
@@ -2,7 +2,7 @@
 
 /**
  * `upstream`: the upstream has announced that it is leaving, and may revoke that;
- * `ending`: it has announced that it is leaving, and its name does not come back;
+ * `ending`: it has announced that it is leaving permanently, so its name is not used again;
  * `draining`: operators or an announcement drain it;
  * `removed`: the upstream no longer exists;
  * `host-leaving`: its host is leaving by the platform's list of hosts;
--- a/src/gate/gatedependencies.ts
+++ b/src/gate/gatedependencies.ts
@@ -44,7 +44,7 @@
     readonly onCrash: (service: ServiceName, crash: CrashId, requests: readonly RequestKey[]) => void;
     /** Called for each request that is refused because of the rate at which the upstream may be sent requests. */
     readonly onHeldBack: (service: ServiceName, reason: "cold" | "limited") => void;
-    /** Called when an upstream has announced that it is leaving and that its name does not come back. */
+    /** Called when an upstream has announced that it is leaving permanently. */
     readonly onEnding: (upstream: UpstreamName) => void;
     /** Called for each request that the upstream has served successfully. */
     readonly onServed: (request: RequestKey) => void;
--- a/src/gate/gateidentity.ts
+++ b/src/gate/gateidentity.ts
@@ -2,7 +2,7 @@
 import type { Incarnation } from "../ids/incarnation.js";
 import type { ResponseMetadata } from "../wire/responsemetadata.js";
 
-/** The id of this incarnation, and the fields of the response metadata that are the same for all gates of the daemon. */
+/** The id of this incarnation, and the response metadata that is the same for all gates of the daemon. */
 export class GateIdentity {
     constructor(readonly incarnation: Incarnation, private readonly revision: () => number) {}
 
--- a/src/gate/gaterequest.ts
+++ b/src/gate/gaterequest.ts
@@ -19,9 +19,9 @@
     readonly priority: Priority;
     readonly team: TeamName;
     readonly maxWaitMs: number;
-    /** When the caller's time limit ends. */
+    /** Time at which the caller's time limit ends. */
     readonly deadline: number;
-    /** Until when the ledger keeps the entry of a `once` request. */
+    /** Time until which the ledger keeps the entry of a `once` request. */
     readonly ledgerDeadline: number;
     readonly once: boolean;
     readonly arrivedAt: number;
--- a/src/gate/upstreamendpoint.ts
+++ b/src/gate/upstreamendpoint.ts
@@ -21,7 +21,7 @@
     /** Called when the upstream states a rate limit, or a lower one than before. */
     readonly onLimitLowered: () => void;
     /**
-     * Called for each response that announces that the upstream is leaving; `ending` if its name does not come back.
+     * Called for each response that announces that the upstream is leaving; `ending` if it leaves permanently.
      */
     readonly onLeaving: (reason: "upstream" | "ending") => void;
     /** Called for each response of the health endpoint that does not announce that the upstream is leaving. */
--- a/src/hop/gateclock.ts
+++ b/src/hop/gateclock.ts
@@ -4,7 +4,7 @@
 /** A reading of the gate's clock: it showed `gateTime` at or before `seenAt` on this daemon's clock. */
 type Reading = { readonly incarnation: Incarnation; readonly gateTime: number; readonly seenAt: number; };
 
-/** When a reading was requested and when it arrived, in milliseconds on this daemon's clock. */
+/** Times at which a reading was requested and arrived, in milliseconds on this daemon's clock. */
 type ReadingTimes = { readonly askedAt: number; readonly now: number; };
 
 /**
--- a/src/ingress/attempt.ts
+++ b/src/ingress/attempt.ts
@@ -22,7 +22,7 @@
 import type { RequestLog } from "./requestlog.js";
 import type { UpstreamView } from "./upstreamview.js";
 
-/** What the request handler provides to an attempt. */
+/** Dependencies that the request handler provides. */
 type AttemptDependencies = {
     readonly ingress: IngressDependencies;
     readonly plan: Plan;
--- a/src/ingress/ingress.ts
+++ b/src/ingress/ingress.ts
@@ -40,7 +40,7 @@
     readonly keepAliveMs: number;
 };
 
-/** What the listener uses besides the parts of the request handlers. */
+/** Dependencies of the listener besides those of the request handlers. */
 type ListenerDependencies = {
     readonly planner: Planner;
     /** The service on this host, sent to upstreams as the caller's service; undefined if there is none. */
--- a/src/ingress/ingressdependencies.ts
+++ b/src/ingress/ingressdependencies.ts
@@ -1,4 +1,4 @@
-/** The parts of the daemon that request handling uses. */
+/** Components of the daemon that request handling uses. */
 import type { Service } from "../config/service.js";
 import type { CrashGuard } from "../crashes/crashguard.js";
 import type { Dialect } from "../dialect/dialect.js";
--- a/src/ingress/planner.ts
+++ b/src/ingress/planner.ts
@@ -14,7 +14,7 @@
 import type { RequestRefusal } from "./requestrefusal.js";
 import { timeLimitOf } from "./timelimitof.js";
 
-/** The parts of the daemon that the planner uses. */
+/** Components of the daemon that the planner uses. */
 type PlannerDependencies = {
     readonly dialect: Dialect;
     readonly contexts: CallContexts;
--- a/src/ingress/requestretries.ts
+++ b/src/ingress/requestretries.ts
@@ -18,7 +18,7 @@
 
 const TENTHS_PER_REPEAT = 10;
 
-/** What the request handler provides; the plan may change between attempts. */
+/** Dependencies that the request handler provides; the plan may change between attempts. */
 type RetryDependencies = {
     readonly ingress: IngressDependencies;
     readonly plan: () => Plan;
--- a/src/ingress/upstreamview.ts
+++ b/src/ingress/upstreamview.ts
@@ -25,7 +25,7 @@
 import type { ResponseMetadata } from "../wire/responsemetadata.js";
 import type { UpstreamStatements } from "./upstreamstatements.js";
 
-/** What a view is made of. */
+/** Dependencies of a view, and the properties of its upstream that do not change. */
 type ViewDependencies = {
     readonly hop: Hop;
     /** True if the upstream is in this daemon's data hall. */
--- a/src/ledger/ledger.ts
+++ b/src/ledger/ledger.ts
@@ -15,7 +15,7 @@
 
 type Entry = { state: EntryState; readonly deadline: number; };
 
-/** A bounded ledger that refuses new requests when it is full. It does no I/O and has no clock of its own. */
+/** A bounded ledger that refuses new requests when it is full. It does no I/O and reads no clock. */
 export class Ledger {
     readonly #entries = new Map<RequestId, Entry>();
     #sweptAt = 0;
--- a/src/ledger/ledgerdeadline.ts
+++ b/src/ledger/ledgerdeadline.ts
@@ -1,7 +1,7 @@
 /** Determines until when the ledger admits a request and keeps its entry. */
 
 /**
- * When the request was sent, on the gate's clock as the ingress estimates it, and the time that it had left then, in
+ * Time at which the request was sent, on the gate's clock as the ingress estimates it, and the time that it had left then, in
  * milliseconds.
  */
 type SentTime = { readonly gateTime: number; readonly remainingMs: number; };
--- a/src/link/isbodyframe.ts
+++ b/src/link/isbodyframe.ts
@@ -1,4 +1,4 @@
-/** Tells the frames of streamed bodies from other frames. */
+/** Distinguishes the frames of streamed bodies from other frames. */
 import type { Frame } from "./frame.js";
 import { frameType } from "./frametype.js";
 
--- a/src/link/linkcheck.ts
+++ b/src/link/linkcheck.ts
@@ -19,7 +19,7 @@
 /** After a stall of this process the responses on both connections may be unread; they are read in any order. */
 const SETTLE_DELAY_MS = 50;
 
-/** What the check needs of its pool; `open` rejects if the peer does not accept a connection. */
+/** Dependencies that the pool provides; `open` rejects if the peer does not accept a connection. */
 type CheckDependencies = {
     readonly clock: Clock;
     readonly open: () => Promise<LinkConnection>;
--- a/src/link/linksession.ts
+++ b/src/link/linksession.ts
@@ -25,7 +25,7 @@
 
 const logger = log("peer");
 
-/** What a session needs of its listener; `serve` never rejects. */
+/** Dependencies that the listener provides; `serve` never rejects. */
 type SessionDependencies = {
     readonly key: Buffer;
     readonly serve: (call: ServedCall, cancel: Cancellation) => Promise<ServedResponse>;
--- a/src/log/linebudget.ts
+++ b/src/log/linebudget.ts
@@ -6,7 +6,7 @@
 const BUDGET_SHARES: Readonly<Record<LineKind, number>> = { belief: 0.3, failure: 0.4, decision: 0.3 };
 const KINDS = Object.keys(BUDGET_SHARES) as LineKind[];
 
-/** Counts the lines that exceed the budget. Has no clock of its own; `now` is in milliseconds. */
+/** Counts the lines that exceed the budget. Reads no clock: the caller passes `now`, in milliseconds. */
 export class LineBudget {
     readonly #buckets: ReadonlyMap<LineKind, TokenBucket>;
     readonly #droppedCounts = new Map<LineKind, number>();
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -21,7 +21,7 @@
 const logger = log("roster");
 
 /**
- * How often doubtful members are probed and unresponsive ones removed: six times within the probe timeout
+ * Interval at which doubtful members are probed and unresponsive ones removed: six times within the probe timeout
  * (policy/membership/memberpresence.ts).
  */
 const SWEEP_INTERVAL_MS = 500;
--- a/src/membership/learnedshares.ts
+++ b/src/membership/learnedshares.ts
@@ -32,7 +32,7 @@
 export class LearnedShares {
     /** The shares in the record, by upstream. */
     #published = new Map<UpstreamName, number>();
-    /** When a publication was last due, in milliseconds on the daemon's clock. */
+    /** Time at which a publication was last due, in milliseconds on the daemon's clock. */
     #lastPublishAt = -Infinity;
     /** The upstreams in the record of this daemon's previous incarnation. */
     #earlierUpstreams: readonly HostedUpstream[] = [];
--- a/src/membership/memberlist.ts
+++ b/src/membership/memberlist.ts
@@ -102,7 +102,7 @@
         return this.members.flatMap(member => member.upstreams);
     }
 
-    /** The upstreams of all members, with their places and gates. */
+    /** The upstreams of all members, with their locations and gates. */
     get upstreams(): Upstream[] {
         return this.members.flatMap(upstreamsOf);
     }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -109,7 +109,7 @@
         return [...upstreamsOf({ ...this.member, upstreams: this.#ownUpstreams.all }), ...this.#memberList.upstreams];
     }
 
-    /** Returns the changes after the mark `after`, or the whole list; both include this daemon's own record. */
+    /** Returns the changes after the position `after`, or the whole list; both include this daemon's own record. */
     changesSince(after: RecordsPosition | undefined): RecordChanges {
         const { incarnation: life } = this.deps;
         const { complete, members, gone } = this.#memberList.changesSince(after?.life === life ? after.at : undefined);
@@ -121,7 +121,7 @@
         return this.#learnedShares.medianShareOf(service, this.#memberList.hostedUpstreams);
     }
 
-    /** Records that an upstream beside this daemon states in its responses that it is leaving for good. */
+    /** Records that an upstream beside this daemon states in its responses that it is leaving permanently. */
     recordLeaving(name: UpstreamName): void {
         this.#ownUpstreams.recordLeaving(name);
     }
@@ -131,7 +131,7 @@
         this.#listener = listener;
     }
 
-    /** Starts the watches of the store again, since the present ones may be waiting on a dead connection. */
+    /** Starts the watches of the store again, since the present ones may be waiting on an unresponsive connection. */
     restartWatches(): void {
         this.#storeWatch.restart();
     }
--- a/src/membership/membershipsettings.ts
+++ b/src/membership/membershipsettings.ts
@@ -5,7 +5,7 @@
 import type { RegionName } from "../ids/regionname.js";
 import type { ServiceName } from "../ids/servicename.js";
 
-/** The place of this daemon, and the addresses for the upstream beside it. */
+/** The location of this daemon, and the addresses for the upstream beside it. */
 export type MembershipSettings = {
     readonly host: HostName;
     readonly hall: HallName;
--- a/src/membership/membershipwatch.ts
+++ b/src/membership/membershipwatch.ts
@@ -59,7 +59,7 @@
         void this.deps.follower.follow(watcher, target);
     }
 
-    /** Starts the watches again, since the present ones may be waiting on a dead connection. */
+    /** Starts the watches again, since the present ones may be waiting on an unresponsive connection. */
     restart(): void {
         this.deps.registryWatcher.restart();
         this.deps.documentWatcher.renew();
--- a/src/membership/recordfollower.ts
+++ b/src/membership/recordfollower.ts
@@ -2,8 +2,8 @@
  * Gets the changes of the daemons' records from a watcher of the hall instead of the store.
  *
  * The store charges for each watch that returns. If all daemons watched it, the cost would be the number of hosts times
- * the number of changes. A watcher's heartbeat carries the mark of its list; this module requests the changes up to
- * that mark with a call within the hall. Records in the response count as records of the store.
+ * the number of changes. A watcher's heartbeat carries the position of its list; this module requests the changes up to
+ * that position with a call within the hall. Records in the response count as records of the store.
  */
 import type { Address } from "../ids/address.js";
 import { log } from "../log/log.js";
@@ -16,28 +16,28 @@
 
 type FollowerDependencies = {
     readonly memberList: MemberList;
-    /** Requests the changes of a watcher's list after a mark, or the whole list if there is no mark. */
+    /** Requests the changes of a watcher's list after a position, or the whole list if there is none. */
     readonly fetch: (watcher: Address, after: RecordsPosition | undefined) => Promise<RecordChanges>;
     readonly clock: Clock;
 };
 
-/** Sends one request at a time; a mark that arrives in the meantime is caught up with afterwards. */
+/** Sends one request at a time; a position that arrives in the meantime is fetched afterwards. */
 export class RecordFollower {
     #watcher: Address | undefined;
-    #appliedMark: RecordsPosition | undefined;
-    #targetMark: RecordsPosition | undefined;
+    #appliedPosition: RecordsPosition | undefined;
+    #targetPosition: RecordsPosition | undefined;
     #isFetching = false;
 
     constructor(private readonly deps: FollowerDependencies) {}
 
-    /** Catches up with a watcher whose list is at the mark `target`. */
+    /** Catches up with a watcher whose list is at the position `target`. */
     async follow(watcher: Address, target: RecordsPosition): Promise<void> {
         if (watcher !== this.#watcher) {
             this.#watcher = watcher;
-            this.#appliedMark = undefined;
+            this.#appliedPosition = undefined;
             logger.change("This daemon gets the records from a watcher of its hall.", { watcher });
         }
-        this.#targetMark = target;
+        this.#targetPosition = target;
         if (this.#isFetching) {
             return;
         }
@@ -58,22 +58,22 @@
     }
 
     #isBehind(): boolean {
-        const [applied, target] = [this.#appliedMark, this.#targetMark];
+        const [applied, target] = [this.#appliedPosition, this.#targetPosition];
         return target !== undefined && (applied?.life !== target.life || applied.at < target.at);
     }
 
     /**
-     * Replaces a target of another incarnation by the mark in the response, since that incarnation of the watcher has
+     * Replaces a target of another incarnation by the position in the response, since that incarnation of the watcher has
      * ended.
      */
     async #fetchOnce(watcher: Address): Promise<void> {
-        const changes = await this.deps.fetch(watcher, this.#appliedMark);
+        const changes = await this.deps.fetch(watcher, this.#appliedPosition);
         if (watcher !== this.#watcher) {
             return;
         }
-        this.#appliedMark = changes.mark;
-        if (this.#targetMark?.life !== changes.mark.life) {
-            this.#targetMark = changes.mark;
+        this.#appliedPosition = changes.mark;
+        if (this.#targetPosition?.life !== changes.mark.life) {
+            this.#targetPosition = changes.mark;
         }
         this.#apply(changes);
     }
--- a/src/membership/registry.ts
+++ b/src/membership/registry.ts
@@ -1,4 +1,4 @@
-/** Declares the operations of the platform's store that membership uses; daemons find each other through its records. */
+/** Declares the store operations that membership uses; daemons find each other through the records in the store. */
 import type { CrashRecord } from "../policy/quarantine/crashrecord.js";
 import type { Member } from "../wire/member.js";
 import type { RegistryEvent } from "./registryevent.js";
@@ -12,14 +12,17 @@
     abstract renew(): Promise<boolean>;
     /** Deletes the daemon's record. */
     abstract withdraw(): Promise<void>;
-    /** Stores the crash record of a quarantined request for `keepMs` milliseconds, in place of an earlier one. */
+    /** Stores the crash record of a quarantined request for `leaseMs` milliseconds, in place of an earlier one. */
     abstract storeCrashRecord(record: CrashRecord, leaseMs: number): Promise<void>;
     /**
      * Returns all records. A stale list costs the store less, but may be seconds old; its position (`at`) must not be
      * used for a watch.
      */
     abstract list(age: "newest" | "stale"): Promise<RegistryList>;
-    /** Waits for changes after the position `after`; rejects with a HistoryUnavailableError if the store no longer has them. */
+    /**
+     * Waits for changes after the position `after`; rejects with a HistoryUnavailableError if the store no longer has
+     * them.
+     */
     abstract watch(
         after: number,
         signal: AbortSignal,
--- a/src/membership/registrywatcher.ts
+++ b/src/membership/registrywatcher.ts
@@ -18,8 +18,8 @@
 const BATCH_DELAY_MS = 250;
 
 /**
- * How often a daemon that knows no other member reads the stale list again before it watches the store. Each read costs
- * a tenth of a call.
+ * Number of times that a daemon which knows no other member reads the stale list again before it watches the store.
+ * Each read costs a tenth of a call.
  */
 const REREAD_COUNT = 3;
 /** All these reads end before a daemon that knows no other member starts to watch (daemon/membershipgroup.ts). */
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Starts the present watch again, since it may be waiting on a dead connection. */
+    /** Starts the present watch again, since it may be waiting on an unresponsive connection. */
     restart(): void {
         this.#loop.abortStep();
     }
--- a/src/operator/protoresponsemode.ts
+++ b/src/operator/protoresponsemode.ts
@@ -1,4 +1,4 @@
-/** Maps answer modes to the enum of the schema. */
+/** Maps response modes to the enum of the schema. */
 import type { ResponseMode } from "../config/responsemode.js";
 import { AnswerMode as ProtoResponseMode } from "../gen/winglock/operator/v1/operator_pb.js";
 
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -36,7 +36,7 @@
 
 const logger = log("peer");
 
-/** What the listener needs of its daemon. */
+/** Dependencies that the daemon provides. */
 type PeerServerDependencies = {
     readonly key: string;
     readonly clock: Clock;
--- a/src/policy/admission/finishedrequest.ts
+++ b/src/policy/admission/finishedrequest.ts
@@ -1,4 +1,4 @@
-/** What admission learns from a request that has finished at its upstream. */
+/** Describes what admission learns from a request that has finished at its upstream. */
 import type { RuleName } from "../../ids/rulename.js";
 
 /**
--- a/src/policy/cold/coldlimits.ts
+++ b/src/policy/cold/coldlimits.ts
@@ -7,6 +7,6 @@
     /** A cold upstream may be sent `perSecond` times this, plus `slack`, in any second. Far more make it fail. */
     readonly overage: number;
     readonly slack: number;
-    /** How long an upstream that reports no cold time is assumed to be cold after its start, in milliseconds. */
+    /** Time for which an upstream that reports no cold time is assumed to be cold after its start, in milliseconds. */
     readonly startMs: number;
 };
--- a/src/policy/failure/livenesscheck.test.ts
+++ b/src/policy/failure/livenesscheck.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { LivenessCheck } from "./livenesscheck.js";
 
-const known = { outstanding: 1, serviceMs: 10, answersPings: true, isSuspected: false };
+const known = { outstanding: 1, serviceMs: 10, respondsToPings: true, isSuspected: false };
 
 test("liveness: a gate without outstanding requests is not pinged", () => {
     const liveness = new LivenessCheck();
@@ -39,7 +39,7 @@
     liveness.recordAlive(0, 10);
     assert.equal(liveness.isIdle(idle), true);
     assert.equal(
-        liveness.isIdle({ ...idle, answersPings: false }),
+        liveness.isIdle({ ...idle, respondsToPings: false }),
         false,
         "the gate responded but never answered a ping",
     );
@@ -50,7 +50,7 @@
     liveness.recordSent(0);
     liveness.recordAlive(1, 100);
     assert.deepEqual(liveness.decide(known, 250), { type: "none" });
-    const neverAnswered = { ...known, answersPings: false };
+    const neverAnswered = { ...known, respondsToPings: false };
     assert.deepEqual(liveness.decide(neverAnswered, 250), { type: "ping", why: "never-asked" });
     liveness.recordPing(251);
     assert.deepEqual(liveness.decide(neverAnswered, 402), { type: "none" });
--- a/src/policy/failure/livenesscheck.ts
+++ b/src/policy/failure/livenesscheck.ts
@@ -2,13 +2,13 @@
  * Decides when a gate is pinged, and when an unresponsive gate becomes suspected.
  *
  * The inputs are the outstanding requests, the moments of responses and pings, and the upstream's service time; times
- * are milliseconds on the daemon's clock. Responses show that a gate is alive, so a gate is pinged in these cases only:
+ * are milliseconds on the daemon's clock. Responses show that a gate is alive, so a gate is pinged only in these cases:
  * - It has outstanding requests and has not responded for an unusually long time.
  * - It is suspected; it is then pinged until it responds.
  * - It has responded to requests but never to a ping; it is then pinged now and then, to find out whether datagrams
  *   reach it.
  *
- * Only a gate that has answered a ping before can become suspected; otherwise, the datagrams may be lost.
+ * Only a gate that has responded to a ping before can become suspected; otherwise, the datagrams may be lost.
  */
 
 /** Shorter delays occur now and then on the network and on busy hosts. */
@@ -24,17 +24,17 @@
 type LivenessInput = {
     readonly outstanding: number;
     readonly serviceMs: number;
-    /** True if the gate has answered a ping before. */
-    readonly answersPings: boolean;
+    /** True if the gate has responded to a ping before. */
+    readonly respondsToPings: boolean;
     readonly isSuspected: boolean;
 };
 
 /**
- * What to do about the gate. `why` is the reason of a ping:
- * - `unanswered`: the previous ping was not answered.
+ * The action to take at the gate. `why` is the reason of a ping:
+ * - `unanswered`: the gate did not respond to the previous ping.
  * - `suspected`: the gate is suspected.
  * - `silent`: the gate is unresponsive.
- * - `never-asked`: the gate has never answered a ping.
+ * - `never-asked`: the gate has never responded to a ping.
  */
 type LivenessAction =
     | { readonly type: "none"; }
@@ -74,8 +74,8 @@
     }
 
     /** Returns true if nothing is to be decided until the next request is sent. */
-    isIdle({ outstanding, answersPings, isSuspected }: LivenessInput): boolean {
-        const isKnown = answersPings || this.#lastAliveAt === undefined;
+    isIdle({ outstanding, respondsToPings, isSuspected }: LivenessInput): boolean {
+        const isKnown = respondsToPings || this.#lastAliveAt === undefined;
         return outstanding === 0 && isKnown && !isSuspected && this.#pingedAt === undefined;
     }
 
@@ -91,19 +91,19 @@
         if (this.#outstandingSince !== undefined && now - this.#outstandingSince > unresponsiveMs) {
             return { type: "ping", why: "silent" };
         }
-        return this.#lastAliveAt !== undefined && !input.answersPings
+        return this.#lastAliveAt !== undefined && !input.respondsToPings
             ? { type: "ping", why: "never-asked" }
             : NO_ACTION;
     }
 
-    #onPingTimeout({ outstanding, answersPings }: LivenessInput, now: number): LivenessAction {
+    #onPingTimeout({ outstanding, respondsToPings }: LivenessInput, now: number): LivenessAction {
         this.#pingedAt = undefined;
         this.#unansweredPings += 1;
-        if (this.#unansweredPings < MAX_UNANSWERED && answersPings) {
+        if (this.#unansweredPings < MAX_UNANSWERED && respondsToPings) {
             return { type: "ping", why: "unanswered" };
         }
         this.#unansweredPings = 0;
         this.#outstandingSince = outstanding > 0 ? now : undefined;
-        return answersPings ? { type: "suspect" } : NO_ACTION;
+        return respondsToPings ? { type: "suspect" } : NO_ACTION;
     }
 }
--- a/src/policy/failure/pace.ts
+++ b/src/policy/failure/pace.ts
@@ -25,7 +25,7 @@
     #bestPace = Infinity;
     #reportedAt = -Infinity;
     #hasReported = false;
-    /** When the current slow period began; undefined if the last report was not slow. */
+    /** Time at which the current slow period began; undefined if the last report was not slow. */
     #slowSince: number | undefined;
     /** True if reports came without a gap since before the current slow period began. */
     #isFullyObserved = false;
--- a/src/policy/membership/resolveclaim.ts
+++ b/src/policy/membership/resolveclaim.ts
@@ -12,7 +12,7 @@
  *
  * `there`: it is, or the upstream there does not report its name, so that the last announcement counts.
  * `late`: another upstream is there, and the announcement was delayed.
- * `unknown`: nobody responds, so nothing is decided until the next announcement.
+ * `unknown`: no upstream responds, so nothing is decided until the next announcement.
  */
 export function resolveClaim(claimant: UpstreamName, occupant: Occupant): "there" | "late" | "unknown" {
     switch (occupant.type) {
--- a/src/policy/model/modelclass.ts
+++ b/src/policy/model/modelclass.ts
@@ -13,7 +13,7 @@
     readonly workMs: number;
     readonly targetMs: number;
     readonly timeLimitMs: number;
-    /** How long a caller waits for a response, including its second attempt. */
+    /** Time for which a caller waits for a response, including its second attempt. */
     readonly callerTimeoutMs: number;
     readonly worth: number;
     readonly calls?: { readonly name: string; readonly share: number; };
--- a/src/policy/model/modelingress.ts
+++ b/src/policy/model/modelingress.ts
@@ -14,7 +14,7 @@
 import { ruleOf } from "./ruleof.js";
 import type { SentRequest } from "./sentrequest.js";
 
-/** One way between two hosts. */
+/** Latency of a message between two hosts, one way. */
 const HOP_LATENCY_MS = 0.5;
 /** The options of the placement in deploy/settings.json. */
 const PLACEMENT = { leaveHallCost: 1.5, ownWeight: 3, loadFadeMs: 50 };
--- a/src/policy/model/modelresult.ts
+++ b/src/policy/model/modelresult.ts
@@ -1,6 +1,6 @@
 /** Describes the result of an attempt or a request in a simulation. */
 
-/** A refusal says why, and when the caller should retry. */
+/** A refusal states the reason, and when the caller should retry. */
 export type ModelResult =
     | { readonly outcome: "served"; }
     | { readonly outcome: "failed"; }
--- a/src/policy/model/modeltrouble.ts
+++ b/src/policy/model/modeltrouble.ts
@@ -1,7 +1,7 @@
 /** Describes the disturbances in a simulation. */
 
 /**
- * `burst` multiplies the load by `loadFactor` for a while. `loss` stops `count` upstreams of a service for good.
+ * `burst` multiplies the load by `loadFactor` for a while. `loss` stops `count` upstreams of a service permanently.
  * `restart` restarts all hosts, and their upstreams are cold afterwards. `evacuate` sends no new requests to the
  * upstreams of a data hall for a while; they are cold at its end. Times are milliseconds.
  */
--- a/src/policy/model/runmodel.ts
+++ b/src/policy/model/runmodel.ts
@@ -29,7 +29,7 @@
 const MAX_RETRY_DELAY_SHARE = 1 / 3;
 const MAX_ATTEMPTS = 2;
 
-/** One run of a simulation. */
+/** Runs one simulation. */
 class Model {
     readonly #loop = new EventLoop();
     readonly #hosts: ModelHost[] = [];
--- a/src/policy/model/sentrequest.ts
+++ b/src/policy/model/sentrequest.ts
@@ -6,7 +6,7 @@
 export type SentRequest = {
     readonly kind: ModelCall & { readonly calls?: { readonly name: string; readonly share: number; }; };
     readonly priority: Priority;
-    /** When the caller made its first attempt. */
+    /** Time at which the caller made its first attempt. */
     readonly firstAttemptAt: number;
     readonly deadline: number;
     readonly depth: number;
--- a/src/policy/placement/candidate.ts
+++ b/src/policy/placement/candidate.ts
@@ -14,12 +14,12 @@
     /** Requests that this daemon has sent to the upstream and that have not ended. */
     readonly outstanding: number;
     readonly report: LoadReport | undefined;
-    /** When the report was received. */
+    /** Time at which the report was received. */
     readonly reportedAt: number;
     /** Value of `outstanding` when the report was received. */
     readonly outstandingAtReport: number;
     /** Added to the expected time, so that fast failures do not look like fast responses; decays with time. */
     readonly penaltyMs: number;
-    /** When the upstream last failed. */
+    /** Time at which the upstream last failed. */
     readonly lastFailureAt: number;
 };
--- a/src/policy/placement/expectedtime.ts
+++ b/src/policy/placement/expectedtime.ts
@@ -25,7 +25,8 @@
     /** Time constant with which reported service times and concurrency limits decay; not a setting. */
     readonly serviceFadeMs: number;
     /**
-     * Number of requests that each own outstanding request stands for when no fresh report shows the load of others.
+     * Number of requests that each of this daemon's outstanding requests counts as while no fresh report shows the load
+     * of other daemons.
      */
     readonly ownWeight: number;
     /** Time constant with which a reported pace decays. */
--- a/src/policy/quarantine/crashhistory.ts
+++ b/src/policy/quarantine/crashhistory.ts
@@ -21,7 +21,7 @@
 import type { QuarantineStatus } from "./quarantinestatus.js";
 
 /**
- * What is known of one request. `changeNumber` is the history's count of changes after the last change of this entry.
+ * The known state of one request. `changeNumber` is the history's count of changes after the last change of this entry.
  */
 type Entry = {
     readonly crashes: Set<CrashId>;
--- a/src/policy/quarantine/crashlimits.ts
+++ b/src/policy/quarantine/crashlimits.ts
@@ -11,12 +11,12 @@
      */
     suspectThreshold: 2,
     /**
-     * How long a request stays quarantined after its last crash. It may run again afterwards, because a release may
+     * Time for which a request stays quarantined after its last crash. It may run again afterwards, because a release may
      * have fixed the upstreams; one more crash quarantines it again. The time is longer than callers keep retrying, and
      * shorter than the wait for a release.
      */
     quarantineMs: 600_000,
-    /** How long a request is kept after its last crash: several times as long as a quarantine. */
+    /** Time for which a request is kept after its last crash: several times as long as a quarantine. */
     retentionMs: 3_600_000,
     /**
      * Maximum number of requests that are kept, enough for those in progress at twenty crashes. Requests with the
--- a/src/policy/rate/statedratelimiter.ts
+++ b/src/policy/rate/statedratelimiter.ts
@@ -19,7 +19,7 @@
 /** Time without a request after which the upstream's health endpoint may be probed. */
 const HEALTH_PROBE_IDLE_MS = 4000;
 
-/** When the request of a response was sent, and whether it was a probe of the health endpoint. */
+/** The time at which a response's request was sent, and whether it was a probe of the health endpoint. */
 type ResponseInfo = { readonly sentAt: number; readonly isHealth: boolean; };
 
 /** Holds the rate limit that one upstream states, as its gate knows it. */
--- a/src/policy/retry/isstalekind.ts
+++ b/src/policy/retry/isstalekind.ts
@@ -1,6 +1,6 @@
 /**
- * Decides whether the sender of a request treats it as repeatable by a stale rule, while a newer revision here says
- * `once`.
+ * Decides whether the sender of a request treats it as repeatable by a stale rule, while a newer revision here
+ * defines it as `once`.
  *
  * Such a request is refused, so that its sender looks up the rule again.
  */
--- a/src/policy/retry/outcome.ts
+++ b/src/policy/retry/outcome.ts
@@ -1,5 +1,5 @@
 /**
- * What is known of an attempt that did not serve its request.
+ * The outcome of an attempt that did not serve its request.
  *
  * `not-run`: the request is proven not to have run.
  * `unknown`: the request may have run.
--- a/src/policy/retry/reasonfacts.ts
+++ b/src/policy/retry/reasonfacts.ts
@@ -1,4 +1,4 @@
-/** Defines what a reason says of the request and of the upstream. */
+/** Defines what a refusal's reason implies for the request and for the upstream. */
 import type { ProblemType } from "./problemtype.js";
 
 /**
@@ -7,10 +7,10 @@
  */
 type UpstreamEffect = "none" | "full" | "cold" | "limited" | "leaving" | "absent" | "suspected";
 
-/** One row of the table in reasons.ts. */
+/** Describes one reason; the table of all reasons is in reasons.ts. */
 export type ReasonFacts = {
     /**
-     * Whether the request is proven not to have run; `either` if that depends on the outcome that comes with the
+     * States whether the request is proven not to have run; `either` if that depends on the outcome that comes with the
      * reason.
      */
     readonly proves: "not-run" | "unknown" | "either";
--- a/src/store/httpstore.ts
+++ b/src/store/httpstore.ts
@@ -15,7 +15,7 @@
 const CALL_TIMEOUT_MS = 1500;
 /** Maximum number of connections for calls and for watches each: one watch is pending while other calls are made. */
 const CONNECTION_LIMIT = 4;
-/** How long the store holds a watch open: a third of the time after which a configuration counts as unconfirmed. */
+/** Time for which the store holds a watch open: a third of that after which a configuration counts as unconfirmed. */
 const WATCH_WAIT_MS = 5000;
 
 const StoredValue = z.object({ value: z.string(), version: z.int().min(0) });
--- a/src/store/storeclient.ts
+++ b/src/store/storeclient.ts
@@ -16,7 +16,7 @@
 
 const logger = log("connections");
 
-/** How long after its waiting time the response to a watch may arrive. */
+/** Time after the end of a watch's waiting time within which the response may still arrive. */
 const WATCH_SLACK_MS = 1500;
 /** Name of the error of a call that timed out. */
 const TIMEOUT_ERROR = "TimeoutError";
@@ -49,7 +49,7 @@
     readonly body?: string;
     /** Statuses that mean that there is no value; the result does not show which of them was received. */
     readonly emptyStatuses?: readonly number[];
-    /** For a watch: how long the store may hold it open, in milliseconds. */
+    /** Time for which the store may hold a watch open, in milliseconds; undefined for other calls. */
     readonly waitMs?: number;
     /** Cancels the call. */
     readonly signal?: AbortSignal;
@@ -61,7 +61,7 @@
  */
 type Connections = { readonly calls: StoreConnections; readonly watches: StoreConnections; };
 
-/** A call without a response may have been executed; `StoreError.sent` is false if that is ruled out. */
+/** A call without a response may have been executed; `StoreError.mayHaveBeenSent` is false if that is ruled out. */
 export class StoreClient {
     #connections: Connections;
     /** True from the renewal of the connections after a timeout until the first response. */
@@ -88,9 +88,9 @@
     }
 
     /**
-     * Returns the value of the response, or undefined if its status is one of `empty`. Throws a HistoryUnavailableError for status
-     * 410. Throws a StoreError if there is no response, its status is not 200, it does not match the schema, or its era
-     * is older than that of an earlier response.
+     * Returns the value of the response, or undefined if its status is one of `emptyStatuses`. Throws a
+     * HistoryUnavailableError for status 410. Throws a StoreError if there is no response, its status is not 200, it
+     * does not match the schema, or its era is older than that of an earlier response.
      */
     async call<Schema extends z.ZodType>(schema: Schema, call: Call): Promise<z.infer<Schema> | undefined> {
         return (await this.callWithEra(schema, call))?.value;
@@ -105,7 +105,10 @@
         return response === undefined ? undefined : { value: this.#parse(schema, response.text), era: response.era };
     }
 
-    /** Makes a call without reading a value; returns false if its status is one of `empty`. Throws as `call` does. */
+    /**
+     * Makes a call without reading a value; returns false if its status is one of `emptyStatuses`. Throws as `call`
+     * does.
+     */
     async tryCall(call: Call): Promise<boolean> {
         return await this.#request(call) !== undefined;
     }
--- a/src/transfer/worktransfer.ts
+++ b/src/transfer/worktransfer.ts
@@ -24,7 +24,7 @@
 const NEED_INTERVAL_MS = 8;
 /** Number of random siblings that a need is sent to; docs/EXPERIMENTS.md, "relief asks a third of each sibling". */
 const MAX_SIBLINGS = 3;
-/** How long offered slots stay reserved: a round trip between data halls, but not so long that slots stay unused. */
+/** Time for which offered slots stay reserved: a round trip between data halls; a longer time leaves slots unused. */
 const OFFER_LIFETIME_MS = 10;
 
 type WorkTransferDependencies = {
--- a/test/linkends.ts
+++ b/test/linkends.ts
@@ -13,7 +13,7 @@
 
 const KEY = "a-key-for-tests-only";
 
-/** `found` are the connections that the pool found silent; `isClosing` has the listener wind up. */
+/** `unresponsive`: addresses of connections that the pool found unresponsive; `isClosing`: the listener is closing. */
 export class LinkEnds {
     static readonly metadata = { incarnation: "abcdefghijkl", gateTime: 1, revision: 2 } as ServedResponse["metadata"];
     readonly sockets: Socket[] = [];
