--- a/src/config/parse.ts
+++ b/src/config/parse.ts
@@ -7,7 +7,10 @@
 const MAX_VALUE_CHARS = 80;
 
 const valueAt = (input: unknown, path: readonly PropertyKey[]): unknown =>
-    path.reduce<unknown>((at, key) => at === undefined || at === null ? undefined : (at as never)[key], input);
+    path.reduce<unknown>(
+        (value, key) => value === undefined || value === null ? undefined : (value as never)[key],
+        input,
+    );
 
 const formatValue = (value: unknown): string => {
     const text = JSON.stringify(value);
--- a/src/distribution/hallheartbeats.ts
+++ b/src/distribution/hallheartbeats.ts
@@ -70,7 +70,7 @@
     /** Returns a digest of the records of requests that crashed several upstreams, or undefined if there are none. */
     readonly suspectDigest: () => number | undefined;
     /** Called with the digest of crash records that a received heartbeat carries. */
-    readonly onCrashDigest: (from: Address, mark: number | undefined) => void;
+    readonly onCrashDigest: (from: Address, digest: number | undefined) => void;
     readonly evacuations: Evacuations;
     readonly send: (to: Address, message: Message) => boolean;
     /** Called when the scope that this daemon watches in the store has changed. */
--- a/src/gate/upstreamclient.ts
+++ b/src/gate/upstreamclient.ts
@@ -37,7 +37,7 @@
     readonly #connections = new Set<UpstreamConnection>();
     #isClosed = false;
     /** Send time of the newest request to which the upstream has responded. */
-    #lastAnsweredSentAt = -Infinity;
+    #lastRespondedSentAt = -Infinity;
 
     constructor(readonly upstream: Upstream, private readonly options: ClientOptions) {}
 
@@ -105,7 +105,7 @@
      * too.
      */
     recordUnanswered(sentAt: number): void {
-        if (this.#lastAnsweredSentAt > sentAt) {
+        if (this.#lastRespondedSentAt > sentAt) {
             this.destroyIdle();
             this.options.onUnresponsive(this.upstream.address);
         }
@@ -156,7 +156,7 @@
                 body: call.body,
                 signal: cancel,
             });
-            this.#lastAnsweredSentAt = Math.max(this.#lastAnsweredSentAt, sentAt);
+            this.#lastRespondedSentAt = Math.max(this.#lastRespondedSentAt, sentAt);
             const body = ignoreBodyErrors(connection.checkedBody(response));
             body.once("close", () => this.#release(connection));
             return { status: response.statusCode, headers: response.headers, body };
--- a/src/ingress/closeserver.test.ts
+++ b/src/ingress/closeserver.test.ts
@@ -36,9 +36,9 @@
 
 test("close: a pending connection is served", async () => {
     const { server, port, socket } = await connectAndServe();
-    const late = connect(port, "127.0.0.1");
-    late.write(REQUEST);
-    const text = textOf(late);
+    const pending = connect(port, "127.0.0.1");
+    pending.write(REQUEST);
+    const text = textOf(pending);
     await closeServer(server);
     server.closeAllConnections();
     assert.match(await text, /200 OK/);
@@ -47,9 +47,9 @@
 
 test("close: many pending connections, as after a stall, are served", async () => {
     const { server, port, socket } = await connectAndServe();
-    const late = Array.from({ length: 20 }, () => connect(port, "127.0.0.1"));
-    late.forEach(each => each.write(REQUEST));
-    const texts = late.map(textOf);
+    const pending = Array.from({ length: 20 }, () => connect(port, "127.0.0.1"));
+    pending.forEach(each => each.write(REQUEST));
+    const texts = pending.map(textOf);
     await closeServer(server);
     server.closeAllConnections();
     const unserved = (await Promise.all(texts)).filter(text => !text.includes("200 OK"));
@@ -60,7 +60,7 @@
 test("close: connections are refused afterwards", async () => {
     const { server, port } = await connectAndServe();
     await closeServer(server);
-    const late = connect(port, "127.0.0.1");
-    const [err] = await once(late, "error") as [NodeJS.ErrnoException];
+    const socket = connect(port, "127.0.0.1");
+    const [err] = await once(socket, "error") as [NodeJS.ErrnoException];
     assert.equal(err.code, "ECONNREFUSED");
 });
--- a/src/ingress/upstreamstatements.test.ts
+++ b/src/ingress/upstreamstatements.test.ts
@@ -43,8 +43,8 @@
     statements.recordResponse(UPSTREAM, createMetadata(20));
     statements.recordResponse(UPSTREAM, createMetadata(30, { limitPerSecond: 3 }));
     assert.equal(statements.isLeavingPermanently(UPSTREAM), true);
-    for (let at = 0; at < 1024; at++) {
-        statements.recordResponse(`other-${at}` as UpstreamName, createMetadata(40, { ending: true }));
+    for (let index = 0; index < 1024; index++) {
+        statements.recordResponse(`other-${index}` as UpstreamName, createMetadata(40, { ending: true }));
     }
     assert.equal(statements.isLeavingPermanently(UPSTREAM), false);
 });
--- a/src/ledger/ledgerdeadline.ts
+++ b/src/ledger/ledgerdeadline.ts
@@ -1,8 +1,8 @@
 /** Determines until when the ledger admits a request and keeps its entry. */
 
 /**
- * Time at which the request was sent, on the gate's clock as the ingress estimates it, and the time that it had left then, in
- * milliseconds.
+ * Time at which the request was sent, on the gate's clock as the ingress estimates it, and the time that it had left
+ * then, in milliseconds.
  */
 type SentTime = { readonly gateTime: number; readonly remainingMs: number; };
 
--- a/src/ledger/ledgermodel.test.ts
+++ b/src/ledger/ledgermodel.test.ts
@@ -137,8 +137,8 @@
         this.inTransit.push(message);
     }
 
-    #deliver(at: number, keep: boolean): void {
-        const message = this.inTransit[at % Math.max(1, this.inTransit.length)];
+    #deliver(index: number, keep: boolean): void {
+        const message = this.inTransit[index % Math.max(1, this.inTransit.length)];
         if (message === undefined) {
             return;
         }
@@ -154,8 +154,8 @@
         }
     }
 
-    #start(at: number): void {
-        const message = this.queued[at % Math.max(1, this.queued.length)];
+    #start(index: number): void {
+        const message = this.queued[index % Math.max(1, this.queued.length)];
         if (message === undefined) {
             return;
         }
--- a/src/membership/announcementrecorder.test.ts
+++ b/src/membership/announcementrecorder.test.ts
@@ -24,8 +24,8 @@
 const permutationsOf = <Item>(items: readonly Item[]): Item[][] =>
     items.length === 0
         ? [[]]
-        : items.flatMap((item, at) =>
-            permutationsOf([...items.slice(0, at), ...items.slice(at + 1)]).map(rest => [item, ...rest])
+        : items.flatMap((item, index) =>
+            permutationsOf([...items.slice(0, index), ...items.slice(index + 1)]).map(rest => [item, ...rest])
         );
 
 /** Events that may reach the daemon in any order after the old upstream has crashed and the new one serves. */
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -196,7 +196,7 @@
         return { metadata: this.#createMetadata({ outcome: "not-run", reason: INVALID_CALL }), ...REFUSAL };
     }
 
-    #createMetadata(more: Partial<ResponseMetadata>): ResponseMetadata {
-        return { ...this.deps.identity.responseMetadata(this.deps.clock()), ...more };
+    #createMetadata(fields: Partial<ResponseMetadata>): ResponseMetadata {
+        return { ...this.deps.identity.responseMetadata(this.deps.clock()), ...fields };
     }
 }
--- a/src/policy/cold/coldguard.test.ts
+++ b/src/policy/cold/coldguard.test.ts
@@ -75,7 +75,9 @@
         fc.integer({ min: 1, max: 40 }),
         (load, perSecond) => {
             const bound = createLimits(perSecond);
-            const times = simulateSends(load, bound).filter(at => at >= load.coldAt && at < load.coldAt + load.coldMs);
+            const times = simulateSends(load, bound).filter(sentAt =>
+                sentAt >= load.coldAt && sentAt < load.coldAt + load.coldMs
+            );
             assert.ok(
                 maxInOneSecond(times) <= maxPerSecond(bound),
                 `${maxInOneSecond(times)} of ${maxPerSecond(bound)}`,
@@ -93,7 +95,7 @@
 test("cold: a cold upstream gets at least the rate that it can serve, evenly, and all requests once warm", () => {
     const load = { arrivalIntervalMs: 8, probeMs: [5], coldAt: 2000, coldMs: 3000 };
     const sent = simulateSends(load, createLimits(11.2));
-    const between = (from: number, to: number): number => sent.filter(at => at >= from && at < to).length;
+    const between = (from: number, to: number): number => sent.filter(sentAt => sentAt >= from && sentAt < to).length;
     const quarters = [3000, 3250, 3500, 3750, 4000, 4250, 4500, 4750].map(from => between(from, from + 250));
     assert.ok(Math.max(...quarters) - Math.min(...quarters) <= 1, quarters.join());
     assert.ok(between(3000, 5000) >= 2 * 11.2, quarters.join());
--- a/src/policy/failure/interruptedruns.ts
+++ b/src/policy/failure/interruptedruns.ts
@@ -19,7 +19,7 @@
 const MAX_RUNS = 256;
 
 /** A run that ended without a response: interrupted by its connection, or cancelled. */
-type InterruptedRun = { readonly request: RequestKey; readonly at: number; readonly cancelled: boolean; };
+type InterruptedRun = { readonly request: RequestKey; readonly endedAt: number; readonly cancelled: boolean; };
 
 /** Holds the recently interrupted runs of one upstream; times are milliseconds on the daemon's clock. */
 export class InterruptedRuns {
@@ -27,15 +27,15 @@
 
     /** Records a run that was interrupted, or cancelled. */
     record(request: RequestKey, cancelled: boolean, now: number): void {
-        this.#runs = [...this.#recent(now).slice(1 - MAX_RUNS), { request, at: now, cancelled }];
+        this.#runs = [...this.#recent(now).slice(1 - MAX_RUNS), { request, endedAt: now, cancelled }];
     }
 
     /** Records a response to a request sent at `sentAt`; runs that ended earlier were not ended by a crash. */
     recordResponse(sentAt: number): void {
-        this.#runs = this.#runs.filter(({ at }) => at > sentAt);
+        this.#runs = this.#runs.filter(({ endedAt }) => endedAt > sentAt);
     }
 
-    /** Returns the requests that were in progress at a crash found at `now`, and forgets them. */
+    /** Returns the requests that were in progress at a crash found at `now`, and removes them. */
     takeInProgress(now: number): RequestKey[] {
         const requests = this.#recent(now).map(({ request }) => request);
         this.#runs = [];
@@ -43,8 +43,8 @@
     }
 
     #recent(now: number): InterruptedRun[] {
-        return this.#runs.filter(({ at, cancelled }) =>
-            now - at <= (cancelled ? CANCELLED_WINDOW_MS : INTERRUPTED_WINDOW_MS)
+        return this.#runs.filter(({ endedAt, cancelled }) =>
+            now - endedAt <= (cancelled ? CANCELLED_WINDOW_MS : INTERRUPTED_WINDOW_MS)
         );
     }
 }
--- a/src/policy/failure/livenesscheck.test.ts
+++ b/src/policy/failure/livenesscheck.test.ts
@@ -45,13 +45,13 @@
     );
 });
 
-test("liveness: a response restarts the timeout, and a gate that never answered a ping is not suspected", () => {
+test("liveness: a response restarts the timeout, and a gate that never responded to a ping is not suspected", () => {
     const liveness = new LivenessCheck();
     liveness.recordSent(0);
     liveness.recordAlive(1, 100);
     assert.deepEqual(liveness.decide(known, 250), { type: "none" });
-    const neverAnswered = { ...known, respondsToPings: false };
-    assert.deepEqual(liveness.decide(neverAnswered, 250), { type: "ping", why: "never-asked" });
+    const neverResponded = { ...known, respondsToPings: false };
+    assert.deepEqual(liveness.decide(neverResponded, 250), { type: "ping", why: "never-asked" });
     liveness.recordPing(251);
-    assert.deepEqual(liveness.decide(neverAnswered, 402), { type: "none" });
+    assert.deepEqual(liveness.decide(neverResponded, 402), { type: "none" });
 });
--- a/src/policy/failure/pace.ts
+++ b/src/policy/failure/pace.ts
@@ -72,9 +72,9 @@
         return this.#hasReported && now - this.#reportedAt > MAX_REPORT_AGE_MS;
     }
 
-    /** Returns true if the upstream is slow by a report received at `at` or later. */
-    isSlowSince(at: number): boolean {
-        return this.#reportedAt >= at && this.#pace >= SLOW_RATIO * this.#bestPace;
+    /** Returns true if the upstream is slow by a report received at `since` or later. */
+    isSlowSince(since: number): boolean {
+        return this.#reportedAt >= since && this.#pace >= SLOW_RATIO * this.#bestPace;
     }
 
     #observeSlowPeriod(now: number): void {
--- a/src/policy/model/model.test.ts
+++ b/src/policy/model/model.test.ts
@@ -91,10 +91,10 @@
 
 test("model: evacuating a hall that returns cold costs at most a tenth of the worth under light load", () => {
     for (const seed of SEEDS) {
-        const calm = worthShare(runModel(layered({ ...LIGHT, troubles: [] }), seededRandom(seed)).classes);
+        const undisturbed = worthShare(runModel(layered({ ...LIGHT, troubles: [] }), seededRandom(seed)).classes);
         const troubled = layered({ ...LIGHT, troubles: EVACUATE, coldLimits: COLD });
         const worth = worthShare(runModel(troubled, seededRandom(seed)).classes);
-        assert.ok(worth >= 0.9 * calm, `seed ${seed}: ${worth} of ${calm}`);
+        assert.ok(worth >= 0.9 * undisturbed, `seed ${seed}: ${worth} of ${undisturbed}`);
     }
 });
 
--- a/src/policy/placement/expectedtime.test.ts
+++ b/src/policy/placement/expectedtime.test.ts
@@ -52,9 +52,9 @@
     const report = { running: 1, waiting: 0, limit: 6, serviceMs: 400, baseMs: 400 };
     const unknown = Array.from(
         { length: 95 },
-        (_, at) => candidate(`u${at}`, { report: undefined, sameHall: at % 5 === 0 }),
+        (_, index) => candidate(`u${index}`, { report: undefined, sameHall: index % 5 === 0 }),
     );
-    const known = unknown.map((item, at) => at === 0 || at === 5 ? { ...item, report } : item);
+    const known = unknown.map((item, index) => index === 0 || index === 5 ? { ...item, report } : item);
     const placement = new ExpectedTime({ leaveHallCost: 1.5, ownWeight: 3, loadFadeMs: 50 });
     const random = seededRandom(1);
     const chosen = Array.from({ length: 200 }, () => placement.choose(known, 10_000, random)!);
--- a/src/policy/quarantine/crashhistory.test.ts
+++ b/src/policy/quarantine/crashhistory.test.ts
@@ -63,12 +63,12 @@
 test("crash history: the size is bounded, and requests with the fewest crashes are evicted first", () => {
     const history = new CrashHistory();
     history.merge(["1", "2"].map(id => crashRecord(id)), 0);
-    for (let at = 0; at < crashLimits.maxRequests * 2; at++) {
-        history.merge([crashRecord("x", `r${at}` as RequestKey)], 1 + at);
+    for (let index = 0; index < crashLimits.maxRequests * 2; index++) {
+        history.merge([crashRecord("x", `r${index}` as RequestKey)], 1 + index);
     }
     assert.equal(history.recordsChangedAfter(0, 0).length, crashLimits.maxRequests);
     assert.equal(history.statusOf(crashing, 1000), "suspect");
-    const many = Array.from({ length: crashLimits.maxCrashesPerRequest * 2 }, (_, at) => crashRecord(`c${at}`));
+    const many = Array.from({ length: crashLimits.maxCrashesPerRequest * 2 }, (_, index) => crashRecord(`c${index}`));
     history.merge(many, 2000);
     assert.equal(history.recordOf(crashing, 2000)!.crashes.length, crashLimits.maxCrashesPerRequest);
 });
--- a/src/policy/rate/statedratelimiter.test.ts
+++ b/src/policy/rate/statedratelimiter.test.ts
@@ -85,8 +85,8 @@
 const WINDOW_MS = 4000;
 const maxInWindow = (times: readonly number[]): number => {
     let first = 0;
-    return times.reduce((max, at, index) => {
-        while (at - times[first]! > WINDOW_MS) {
+    return times.reduce((max, sentAt, index) => {
+        while (sentAt - times[first]! > WINDOW_MS) {
             first += 1;
         }
         return Math.max(max, index - first + 1);
@@ -144,7 +144,7 @@
             gateStarts: fc.array(fc.integer({ min: 4500, max: 15_000 }), { maxLength: 4 }),
         }),
         scenario => {
-            const counted = simulateSends(scenario).filter(at => at > scenario.statedAt + 500);
+            const counted = simulateSends(scenario).filter(sentAt => sentAt > scenario.statedAt + 500);
             const allowed = 1.5 * 4 * scenario.perSecond + 5;
             assert.ok(maxInWindow(counted) <= allowed, `${maxInWindow(counted)} of ${allowed}`);
         },
--- a/test/linkends.ts
+++ b/test/linkends.ts
@@ -23,7 +23,7 @@
 
     private constructor(private readonly server: Server, private readonly serve: Serve) {
         const { port } = server.address() as AddressInfo;
-        const onUnresponsive = (at: Address): void => void this.unresponsive.push(at);
+        const onUnresponsive = (address: Address): void => void this.unresponsive.push(address);
         this.pool = LinkEnds.makePool(`127.0.0.1:${port}` as Address, { onUnresponsive });
     }
 
@@ -42,7 +42,7 @@
         }
     }
 
-    static call(more: Partial<GateCall> = {}): GateCall {
+    static call(overrides: Partial<GateCall> = {}): GateCall {
         return {
             head: {
                 id: "abcdefghijkl.1",
@@ -64,13 +64,13 @@
             headers: { "host": "h", "set-cookie": ["one", "two"] },
             body: undefined,
             cancel: new Cancellation(),
-            ...more,
+            ...overrides,
         };
     }
 
-    static makePool(address: Address, more: Partial<ConstructorParameters<typeof LinkPool>[1]> = {}): LinkPool {
+    static makePool(address: Address, overrides: Partial<ConstructorParameters<typeof LinkPool>[1]> = {}): LinkPool {
         const clock = (): number => performance.now();
-        return new LinkPool(address, { localIp: "127.0.0.1", key: KEY, clock, onUnresponsive: () => {}, ...more });
+        return new LinkPool(address, { localIp: "127.0.0.1", key: KEY, clock, onUnresponsive: () => {}, ...overrides });
     }
 
     /** Takes connections from now on and reads nothing from them. */
