--- a/src/crashes/crashpublisher.ts
+++ b/src/crashes/crashpublisher.ts
@@ -27,7 +27,7 @@
     readonly guard: CrashGuard;
     readonly clock: Clock;
     /** Writes a record that the store keeps for `leaseMs`; rejects with a StoreError. */
-    readonly write: (record: CrashRecord, keepMs: number) => Promise<void>;
+    readonly write: (record: CrashRecord, leaseMs: number) => Promise<void>;
 };
 
 /** Writes changed records as soon as possible, and renews the others regularly. */
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -120,8 +120,8 @@
     }
 
     /**
-     * Closes the gates to new requests and notifies peers. Follows the linger time, in which callers go elsewhere and
-     * the gates still serve, since their upstreams work. Requests in flight at the upstreams can make calls through
+     * Closes the gates to new requests and notifies peers. Called after the linger time, in which callers go elsewhere
+     * and the gates still serve, since their upstreams work. Requests in flight at the upstreams can make calls through
      * this ingress until they have ended.
      */
     #startLeaving(): void {
--- a/src/daemon/membershipgroup.ts
+++ b/src/daemon/membershipgroup.ts
@@ -154,7 +154,7 @@
         return registry && new CrashPublisher({
             guard: this.gates.crashGuard,
             clock: this.context.clock,
-            write: (record, keepMs) => registry.storeCrashRecord(record, keepMs),
+            write: (record, leaseMs) => registry.storeCrashRecord(record, leaseMs),
         });
     }
 
--- a/src/ledger/ledgermodel.test.ts
+++ b/src/ledger/ledgermodel.test.ts
@@ -20,13 +20,13 @@
 const TIME_LIMIT_MS = 600;
 const MAX_PAUSE_MS = 1200;
 
-/** One step. Messages may be late, duplicated or lost; after `lose-word` the outcome of an attempt is unknown. */
+/** One step. Messages may be late, duplicated or lost; after `lose-response` the outcome of an attempt is unknown. */
 type Step =
     | { readonly type: "send"; readonly id: number; }
-    | { readonly type: "deliver"; readonly at: number; readonly keep: boolean; }
-    | { readonly type: "start"; readonly at: number; }
+    | { readonly type: "deliver"; readonly index: number; readonly keep: boolean; }
+    | { readonly type: "start"; readonly index: number; }
     | { readonly type: "revoke"; readonly id: number; }
-    | { readonly type: "lose-word"; readonly id: number; }
+    | { readonly type: "lose-response"; readonly id: number; }
     | { readonly type: "pause"; readonly ms: number; }
     | { readonly type: "suspend"; readonly ms: number; }
     | { readonly type: "read-clock"; }
@@ -46,10 +46,10 @@
 
 const anyStep = fc.oneof<fc.Arbitrary<Step>[]>(
     fc.record({ type: fc.constant("send" as const), id: fc.nat(REQUEST_COUNT - 1) }),
-    fc.record({ type: fc.constant("deliver" as const), at: fc.nat(5), keep: fc.boolean() }),
-    fc.record({ type: fc.constant("start" as const), at: fc.nat(5) }),
+    fc.record({ type: fc.constant("deliver" as const), index: fc.nat(5), keep: fc.boolean() }),
+    fc.record({ type: fc.constant("start" as const), index: fc.nat(5) }),
     fc.record({ type: fc.constant("revoke" as const), id: fc.nat(REQUEST_COUNT - 1) }),
-    fc.record({ type: fc.constant("lose-word" as const), id: fc.nat(REQUEST_COUNT - 1) }),
+    fc.record({ type: fc.constant("lose-response" as const), id: fc.nat(REQUEST_COUNT - 1) }),
     fc.record({ type: fc.constant("pause" as const), ms: fc.nat(MAX_PAUSE_MS) }),
     fc.record({ type: fc.constant("suspend" as const), ms: fc.nat(MAX_PAUSE_MS * 4) }),
     fc.record({ type: fc.constant("read-clock" as const) }),
@@ -77,12 +77,12 @@
             case "send":
                 return this.#send(step.id);
             case "deliver":
-                return this.#deliver(step.at, step.keep);
+                return this.#deliver(step.index, step.keep);
             case "start":
-                return this.#start(step.at);
+                return this.#start(step.index);
             case "revoke":
                 return this.#revoke(step.id);
-            case "lose-word":
+            case "lose-response":
                 return this.#recordOutcome(step.id, "unknown");
             case "pause":
                 this.gateNow += step.ms;
@@ -201,13 +201,13 @@
     { type: "pause", ms: 162 },
     { type: "suspend", ms: 239 },
     { type: "send", id: 2 },
-    { type: "deliver", at: 0, keep: true },
+    { type: "deliver", index: 0, keep: true },
     { type: "pause", ms: 259 },
     { type: "revoke", id: 2 },
     { type: "pause", ms: 247 },
     { type: "pause", ms: 332 },
-    { type: "deliver", at: 0, keep: false },
-    { type: "start", at: 0 },
+    { type: "deliver", index: 0, keep: false },
+    { type: "start", index: 0 },
 ];
 
 const search = (fault: Fault): fc.RunDetails<[Step[]]> =>
--- a/src/policy/admission/admission.ts
+++ b/src/policy/admission/admission.ts
@@ -139,7 +139,7 @@
         return item !== undefined && this.#canStart(now) && this.#awaitsPace(item, now);
     }
 
-    /** Returns when the first queued request may be sent if only the request rate holds it back, else undefined. */
+    /** Returns the time at which the first queued request may be sent; undefined unless only the rate delays it. */
     nextSendAt(now: number): number | undefined {
         const isRateLimited = this.#queue.length > 0 && this.#hasFreeSlot && !this.sendRate.canSend(now);
         return isRateLimited ? this.sendRate.sendableAt(1, now) : undefined;
--- a/src/policy/admission/refusal.ts
+++ b/src/policy/admission/refusal.ts
@@ -1,4 +1,4 @@
-/** Why a gate refuses a request. */
+/** Defines why a gate refuses a request. */
 
 /** The reason, and in how many milliseconds the caller should retry. */
 export type Refusal = {
--- a/src/policy/model/modelservice.ts
+++ b/src/policy/model/modelservice.ts
@@ -1,8 +1,8 @@
 /** Describes a service in a simulation. */
 
 /**
- * A number of equal upstreams. Work takes `kneeSlowdown` as long while more than the share `knee` of the slots is in
- * use.
+ * A number of equal upstreams. Work takes `kneeSlowdown` times as long while more than the share `knee` of the slots is
+ * in use.
  */
 export type ModelService = {
     readonly name: string;
--- a/src/policy/model/runmodel.ts
+++ b/src/policy/model/runmodel.ts
@@ -214,7 +214,7 @@
     }
 }
 
-/** Runs the scenario and returns what became of its requests. */
+/** Runs the scenario and returns the results of its requests. */
 export function runModel(scenario: Scenario, random: RandomSource): ModelTally {
     return new Model(scenario, random).run();
 }
--- a/src/policy/model/scenario.ts
+++ b/src/policy/model/scenario.ts
@@ -12,9 +12,9 @@
     readonly services: readonly ModelService[];
     readonly classes: readonly ModelClass[];
     readonly calls: readonly ModelCall[];
-    /** In each interval an upstream is slow with the probability `share`; its work then takes `slowdown` as long. */
+    /** In each interval an upstream is slow with the probability `share`: work takes `slowdown` times as long. */
     readonly noise: { readonly share: number; readonly slowdown: number; readonly intervalMs: number; };
-    /** After a start, work takes `slowdown` as long for `durationMs`, and gates apply `limits` if they are given. */
+    /** After a start, work takes `slowdown` times as long for `durationMs`; gates apply `limits` if given. */
     readonly cold: {
         readonly durationMs: number;
         readonly slowdown: number;
