--- a/src/daemon/bootstrap.ts
+++ b/src/daemon/bootstrap.ts
@@ -23,20 +23,20 @@
 ): Promise<void> => {
     const requestedAt = clock();
     try {
-        const { document, halls, isNewest } = await store.readCached();
+        const { document, halls, isLatest } = await store.readCached();
         if (halls !== undefined) {
             evacuations.recordStoreChange(halls);
         }
         if (document !== undefined) {
             configuration.apply(decodeDocument(document.value));
         }
-        if (isNewest) {
+        if (isLatest) {
             configuration.confirm(configuration.revision, requestedAt);
         }
     }
     catch (err) {
         logger.warn(
-            "The configuration could not be read from the store at the start; only peers can supply it until it is.",
+            "Could not read the configuration from the store at the start; until the store responds, only peers supply it.",
             err,
         );
     }
--- a/src/daemon/gategroup.ts
+++ b/src/daemon/gategroup.ts
@@ -64,7 +64,7 @@
             limit: policy.limit,
             medianLimitShare: (service: ServiceName) => this.#medianLimitShare(service),
             onChange: () => this.#onChange(),
-            mayAsk: () => this.probeBudget.mayProbePace(),
+            mayProbePace: () => this.probeBudget.mayProbePace(),
             mayProbeCrash: () => this.probeBudget.mayProbeCrash(),
             onArrival: (service: ServiceName, arrival: Arrival) => metrics.countArrival(service, arrival),
             onCrash: (service: ServiceName, crash: CrashId, requests: readonly RequestKey[]) => {
@@ -111,7 +111,7 @@
         this.#medianLimitShare = medianLimitShare;
     }
 
-    /** Sets the listener that is called when an upstream has announced that it is leaving and does not come back. */
+    /** Sets the listener that is called when an upstream has announced that it is leaving permanently. */
     onEnding(listener: (upstream: UpstreamName) => void): void {
         this.#onEnding = listener;
     }
--- a/src/daemon/membershipgroup.ts
+++ b/src/daemon/membershipgroup.ts
@@ -2,7 +2,7 @@
  * Keeps track of the other daemons and of the upstreams.
  *
  * If the environment has a registry, upstreams announce themselves and daemons find each other by their records.
- * Otherwise the configuration names the upstreams. docs/DESIGN.md says why both exist. Heartbeats serve both.
+ * Otherwise the configuration names the upstreams. docs/DESIGN.md explains why both exist. Heartbeats serve both.
  */
 import type { Upstream } from "../config/upstream.js";
 import { CrashPropagation } from "../crashes/crashpropagation.js";
@@ -154,7 +154,7 @@
         return registry && new CrashPublisher({
             guard: this.gates.crashGuard,
             clock: this.context.clock,
-            write: (record, keepMs) => registry.storeCrashRecord(record, keepMs),
+            write: (record, leaseMs) => registry.storeCrashRecord(record, leaseMs),
         });
     }
 
--- a/src/distribution/hallheartbeats.ts
+++ b/src/distribution/hallheartbeats.ts
@@ -44,7 +44,8 @@
 const RECORDS_NOTICE_INTERVAL_MS = 500;
 /**
  * Minimum time between two notices of changes in the records of requests under which several upstreams have crashed.
- * Shorter than a round of heartbeats, because a crashed upstream is back, and can be crashed again, after one second.
+ * Shorter than a round of heartbeats, because a crashed upstream has restarted, and can be crashed again, after one
+ * second.
  */
 const SUSPECTS_NOTICE_INTERVAL_MS = 250;
 /** Number of likely watchers of another hall, the first in rank; one of them gets a heartbeat in each round. */
@@ -69,7 +70,7 @@
     /** Returns a digest of the records of requests that crashed several upstreams, or undefined if there are none. */
     readonly suspectDigest: () => number | undefined;
     /** Called with the digest of crash records that a received heartbeat carries. */
-    readonly onCrashDigest: (from: Address, mark: number | undefined) => void;
+    readonly onCrashDigest: (from: Address, digest: number | undefined) => void;
     readonly evacuations: Evacuations;
     readonly send: (to: Address, message: Message) => boolean;
     /** Called when the scope that this daemon watches in the store has changed. */
@@ -116,8 +117,8 @@
 
     /** Updates the members of the hall; the owner calls it when the location of a daemon has changed. */
     updateMembers(): void {
-        const { election, hall, locations: places } = this.deps;
-        election.setMembers(rank(hallMembers(places(), hall), hall));
+        const { election, hall, locations } = this.deps;
+        election.setMembers(rank(hallMembers(locations(), hall), hall));
     }
 
     /** Applies a received heartbeat. */
@@ -183,9 +184,9 @@
 
     /** Sends heartbeats at once to this daemon's followers; the rest of the hall gets the change in the next round. */
     #notifyRecordChange(now: number): void {
-        const { hall, locations: places, watch } = this.deps;
+        const { hall, locations, watch } = this.deps;
         if (this.#recordsThrottle.pass(watch.records?.at ?? 0, now)) {
-            this.#sender.sendSoon(this.#partitionHall(hallMembers(places(), hall), now).followers);
+            this.#sender.sendSoon(this.#partitionHall(hallMembers(locations(), hall), now).followers);
         }
     }
 
@@ -211,8 +212,8 @@
 
     /** Returns the recipients, followers first: if the send budget runs out, the other watcher reaches the rest. */
     #recipients(): Address[] {
-        const { hall, random, locations: places, clock } = this.deps;
-        const daemons = places();
+        const { hall, random, locations, clock } = this.deps;
+        const daemons = locations();
         const remote = otherHallCandidates(daemons, hall, MAX_CANDIDATES).flatMap(gates => sample(gates, 1, random));
         const { followers, rest } = this.#partitionHall(hallMembers(daemons, hall), clock());
         return [...followers, ...remote, ...rest];
@@ -230,9 +231,9 @@
     }
 
     #createHeartbeat(): Message {
-        const { self, configuration, clock, watch, leavingHosts, crashDigest: crashMark, evacuations } = this.deps;
+        const { self, configuration, clock, watch, leavingHosts, crashDigest, evacuations } = this.deps;
         const now = clock();
-        const crashes = crashMark();
+        const crashes = crashDigest();
         const evacuated = evacuations.stateForPeers;
         return {
             type: "beat",
--- a/src/gate/gaterequest.ts
+++ b/src/gate/gaterequest.ts
@@ -19,9 +19,9 @@
     readonly priority: Priority;
     readonly team: TeamName;
     readonly maxWaitMs: number;
-    /** When the caller's time limit ends. */
+    /** Time at which the caller's time limit ends. */
     readonly deadline: number;
-    /** Until when the ledger keeps the entry of a `once` request. */
+    /** Time until which the ledger keeps the entry of a `once` request. */
     readonly ledgerDeadline: number;
     readonly once: boolean;
     readonly arrivedAt: number;
@@ -43,8 +43,8 @@
         this.once = head.kind === "once";
         const isOtherIncarnation = head.incarnation !== undefined && head.incarnation !== identity.incarnation;
         if (isOtherIncarnation || (this.once && (head.incarnation === undefined || head.gateTime === undefined))) {
-            const note = { ...identity.responseMetadata(now), outcome: "not-run" as const, reason: "incarnation" };
-            throw new HopError("not-run", "incarnation", note);
+            const metadata = { ...identity.responseMetadata(now), outcome: "not-run" as const, reason: "incarnation" };
+            throw new HopError("not-run", "incarnation", metadata);
         }
         const { gateTime = now, remainingMs } = head;
         this.deadline = Math.min(now, gateTime) + remainingMs;
--- a/src/gate/upstreamrun.ts
+++ b/src/gate/upstreamrun.ts
@@ -45,8 +45,8 @@
 /** Time past the deadline after which an unresponsive upstream is cut off, so that its slot is not held for ever. */
 const DEADLINE_GRACE_MS = 250;
 
-/** A response without its note, and the values that the note takes from it. */
-type RunResponse = Omit<GateResponse, "note"> & {
+/** A response without its metadata, and the values that the metadata takes from it. */
+type RunResponse = Omit<GateResponse, "metadata"> & {
     readonly calls: boolean;
     readonly retriedBelow: boolean;
     readonly unframed: boolean;
@@ -73,7 +73,7 @@
         const { deadline } = request;
         this.#workTime = new WorkTime(deps.levels, this.#startedAt);
         this.#requestId = deps.dialect.idOf(headers, head.id);
-        const runDetails = { deadline, depth: head.depth, repeated: head.arrival !== "first", work: this.#workTime };
+        const runDetails = { deadline, depth: head.depth, isRepeat: head.arrival !== "first", work: this.#workTime };
         this.#context = deps.contexts.open(this.#requestId, runDetails);
         this.#deadlineTimer = setTimeout(() => {
             this.#abortUnanswered();
--- a/src/ingress/deliver.ts
+++ b/src/ingress/deliver.ts
@@ -61,7 +61,7 @@
         res.flushHeaders();
         return streamBody(res, response.body);
     }
-    const { whole: isComplete, chunks, size } = await bufferBody(response.body, isBodiless ? Infinity : bufferBytes);
+    const { isComplete, chunks, size } = await bufferBody(response.body, isBodiless ? Infinity : bufferBytes);
     if (res.destroyed) {
         destroyBody(response.body);
         return;
@@ -71,7 +71,7 @@
         chunks.forEach(chunk => res.write(chunk));
         return streamBody(res, response.body);
     }
-    if (!isBodiless && response.note?.unframed) {
+    if (!isBodiless && response.metadata?.unframed) {
         endByClosing(res);
     }
     else if (!isBodiless) {
--- a/src/ingress/planner.ts
+++ b/src/ingress/planner.ts
@@ -14,7 +14,7 @@
 import type { RequestRefusal } from "./requestrefusal.js";
 import { timeLimitOf } from "./timelimitof.js";
 
-/** The parts of the daemon that the planner uses. */
+/** Components of the daemon that the planner uses. */
 type PlannerDependencies = {
     readonly dialect: Dialect;
     readonly contexts: CallContexts;
@@ -62,7 +62,7 @@
             startedAt,
             deadline: this.#deadline(req, matched, parent, startedAt),
             depth,
-            arrival: parent?.repeated === true ? "call" : "first",
+            arrival: parent?.isRepeat === true ? "call" : "first",
         };
     }
 
--- a/src/ingress/requestretries.ts
+++ b/src/ingress/requestretries.ts
@@ -18,7 +18,7 @@
 
 const TENTHS_PER_REPEAT = 10;
 
-/** What the request handler provides; the plan may change between attempts. */
+/** Dependencies that the request handler provides; the plan may change between attempts. */
 type RetryDependencies = {
     readonly ingress: IngressDependencies;
     readonly plan: () => Plan;
@@ -75,12 +75,12 @@
 
     logDecision(result: UnservedResult, decision: RetryDecision): void {
         const { ingress: { clock }, plan, log } = this.deps;
-        const { attempts, redirects: moves } = this.history;
+        const { attempts, redirects } = this.history;
         const now = clock();
         const budgetLeft = this.#budgetLeft(now);
         log.retryDecided(result, decision, {
             attempts,
-            redirects: moves,
+            redirects,
             remainingMs: plan().deadline - now,
             budgetLeft,
         });
@@ -88,16 +88,16 @@
 
     /** Returns the time after which a response is overdue, or undefined if the request must not be hedged. */
     hedgeAfterMs(): number | undefined {
-        const { ingress: { isHedgingEnabled: isEnabled }, plan, bodyKept, standing } = this.deps;
+        const { ingress: { isHedgingEnabled }, plan, bodyKept, standing } = this.deps;
         const { kind, rule } = plan();
         return decideHedge({
-            isEnabled: isEnabled && standing() === "free",
+            isEnabled: isHedgingEnabled && standing() === "free",
             kind,
             answer: rule.answer,
             bodyKept,
             attempts: this.history.countedAttempts,
             maxAttempts: this.#maxAttempts(),
-            afterMs: this.#retries().hedging.afterMs,
+            afterMs: this.#retries().hedgeDelay.afterMs,
         });
     }
 
--- a/src/ingress/upstreamview.ts
+++ b/src/ingress/upstreamview.ts
@@ -25,11 +25,11 @@
 import type { ResponseMetadata } from "../wire/responsemetadata.js";
 import type { UpstreamStatements } from "./upstreamstatements.js";
 
-/** What a view is made of. */
+/** Dependencies of a view, and the properties of its upstream that do not change. */
 type ViewDependencies = {
     readonly hop: Hop;
     /** True if the upstream is in this daemon's data hall. */
-    readonly near: boolean;
+    readonly sameHall: boolean;
     /** True if the upstream is on this daemon's host. */
     readonly local: boolean;
     /** Returns true while operators have evacuated the upstream's data hall. */
@@ -66,7 +66,7 @@
     }
 
     get sameHall(): boolean {
-        return this.deps.near;
+        return this.deps.sameHall;
     }
 
     get local(): boolean {
@@ -166,25 +166,25 @@
         }
     }
 
-    /** Records the note of a gate's own refusal. */
-    recordRefusalNote(note: ResponseMetadata, now: number): void {
+    /** Records the metadata of a gate's own refusal. */
+    recordRefusalMetadata(metadata: ResponseMetadata, now: number): void {
         this.recordAlive(now);
-        this.recordReport(note.report, now);
-        this.deps.statements.recordRefusal(this.upstream, note);
+        this.recordReport(metadata.report, now);
+        this.deps.statements.recordRefusal(this.upstream, metadata);
         this.#rateShare.setLimit(this.limitPerSecond, now);
     }
 
-    /** Records the note of an upstream's response; `elapsedMs` is the time from sending to the response's head. */
-    recordResponse(note: ResponseMetadata | undefined, elapsedMs: number, now: number): void {
+    /** Records the metadata of an upstream's response; `elapsedMs` is the time from sending to the response's head. */
+    recordResponse(metadata: ResponseMetadata | undefined, elapsedMs: number, now: number): void {
         this.recordAlive(now);
-        this.recordReport(note?.report, now);
-        if (note !== undefined) {
-            this.deps.statements.recordResponse(this.upstream, note);
+        this.recordReport(metadata?.report, now);
+        if (metadata !== undefined) {
+            this.deps.statements.recordResponse(this.upstream, metadata);
         }
         this.#rateShare.setLimit(this.limitPerSecond, now);
         this.#rateShare.recordResponse();
-        if (note?.tookMs !== undefined) {
-            this.#roundTrip.observe(elapsedMs, note.tookMs);
+        if (metadata?.tookMs !== undefined) {
+            this.#roundTrip.observe(elapsedMs, metadata.tookMs);
         }
     }
 
--- a/src/link/linkpool.ts
+++ b/src/link/linkpool.ts
@@ -25,7 +25,7 @@
     readonly key: string;
     readonly clock: Clock;
     /** Called after an unresponsive connection to the address has been closed. */
-    readonly onSilent: (address: Address) => void;
+    readonly onUnresponsive: (address: Address) => void;
 };
 
 /** Reuses the most recently used idle connection first, so that surplus connections reach their idle timeout. */
@@ -60,11 +60,11 @@
     /** Requests the peer's incarnation and clock; see `LinkConnection.requestIdentity` for the results. */
     async requestIdentity(): Promise<ResponseMetadata | undefined> {
         const connection = await this.acquire();
-        const note = await connection.requestIdentity(IDENTITY_TIMEOUT_MS);
+        const metadata = await connection.requestIdentity(IDENTITY_TIMEOUT_MS);
         if (connection.open) {
             this.#release(connection);
         }
-        return note;
+        return metadata;
     }
 
     /** Closes idle connections now, and each of the others after its request. */
@@ -81,7 +81,7 @@
     async #closeIfUnresponsive(connection: LinkConnection): Promise<void> {
         if (this.#peerSupportsProbes && await this.#check.isUnresponsive(connection) && connection.busy) {
             connection.destroy();
-            this.options.onSilent(this.address);
+            this.options.onUnresponsive(this.address);
         }
     }
 
--- a/src/link/linksession.ts
+++ b/src/link/linksession.ts
@@ -25,7 +25,7 @@
 
 const logger = log("peer");
 
-/** What a session needs of its listener; `serve` never rejects. */
+/** Dependencies that the listener provides; `serve` never rejects. */
 type SessionDependencies = {
     readonly key: Buffer;
     readonly serve: (call: ServedCall, cancel: Cancellation) => Promise<ServedResponse>;
@@ -165,8 +165,8 @@
         return this.#body.stream;
     }
 
-    async #respond({ body, ...response }: ServedResponse, whole: boolean): Promise<void> {
-        const buffered = whole && body instanceof Readable ? await bufferShortBody(body) : body;
+    async #respond({ body, ...response }: ServedResponse, shouldBuffer: boolean): Promise<void> {
+        const buffered = shouldBuffer && body instanceof Readable ? await bufferShortBody(body) : body;
         const last = this.deps.isClosing();
         if (this.socket.destroyed) {
             return;
@@ -186,10 +186,10 @@
         this.#finish(last);
     }
 
-    #write({ note, ...response }: WireResponse): void {
-        const sentNote = this.#isFirst ? { ...note, probes: true } : note;
+    #write({ metadata, ...response }: WireResponse): void {
+        const sentMetadata = this.#isFirst ? { ...metadata, probes: true } : metadata;
         this.#isFirst = false;
-        this.socket.write(writeFrame(frameType.response, packResponse({ ...response, note: sentNote })));
+        this.socket.write(writeFrame(frameType.response, packResponse({ ...response, metadata: sentMetadata })));
     }
 
     /**
--- a/src/link/silentlink.test.ts
+++ b/src/link/unresponsivelink.test.ts
@@ -15,52 +15,52 @@
 
 type Serve = Parameters<typeof LinkEnds.between>[0];
 
-const { note, call, between } = LinkEnds;
-const response = { note, status: 200, headers: {}, body: undefined };
+const { metadata, call, between } = LinkEnds;
+const response = { metadata, status: 200, headers: {}, body: undefined };
 const serve: Serve = () => Promise.resolve(response);
 
 const send = async (pool: LinkPool, body?: Readable): Promise<number> =>
     (await (await pool.acquire()).send(call({ body }))).status;
 
-test("silent link: an unresponsive connection fails its request, and idle connections can be closed", async () => {
+test("unresponsive link: an unresponsive connection fails its request, and idle connections can be closed", async () => {
     await between(serve, async ends => {
-        const { pool, sockets, unresponsive: found } = ends;
+        const { pool, sockets, unresponsive } = ends;
         await Promise.all([send(pool), send(pool), send(pool)]);
         sockets.forEach(socket => ends.makeUnresponsive(socket));
         const sentAt = performance.now();
         await assert.rejects(send(pool), { reason: "peer-broke", unsent: false });
         assert.ok(performance.now() - sentAt < 1000, "detected within a second");
-        assert.deepEqual(found, [pool.address]);
+        assert.deepEqual(unresponsive, [pool.address]);
         pool.closeIdle();
         assert.equal(await send(pool), 200);
     });
 });
 
-test("silent link: connections that are unresponsive together are detected with one new connection", async () => {
+test("unresponsive link: connections that are unresponsive together are detected with one new connection", async () => {
     await between(serve, async ends => {
-        const { pool, sockets, unresponsive: found } = ends;
+        const { pool, sockets, unresponsive } = ends;
         await Promise.all(Array.from({ length: 10 }, () => send(pool)));
         sockets.forEach(socket => ends.makeUnresponsive(socket));
         const results = await Promise.allSettled(Array.from({ length: 10 }, () => send(pool)));
         assert.ok(results.every(({ status }) => status === "rejected"));
-        assert.equal(found.length, 10);
+        assert.equal(unresponsive.length, 10);
         assert.equal(sockets.length, 11);
     });
 });
 
-test("silent link: a slow response on a working connection is awaited", async () => {
+test("unresponsive link: a slow response on a working connection is awaited", async () => {
     const slow: Serve = async () => {
         await wait(1200);
         return response;
     };
-    await between(slow, async ({ pool, sockets, unresponsive: found }) => {
+    await between(slow, async ({ pool, sockets, unresponsive }) => {
         assert.equal(await send(pool), 200);
         assert.equal(await send(pool), 200);
-        assert.deepEqual([sockets.length, found.length], [1, 0]);
+        assert.deepEqual([sockets.length, unresponsive.length], [1, 0]);
     });
 });
 
-test("silent link: a connection to a host that does not respond at all is not closed as unresponsive", async () => {
+test("unresponsive link: a connection to a host that does not respond at all is not closed as unresponsive", async () => {
     await between(serve, async ends => {
         await send(ends.pool);
         ends.makeUnresponsive(ends.sockets[0]!);
@@ -71,7 +71,7 @@
     });
 });
 
-test("silent link: a new connection that does not respond to its probe is not used for requests", async () => {
+test("unresponsive link: a new connection that does not respond to its probe is not used for requests", async () => {
     await between(serve, async ends => {
         await send(ends.pool);
         ends.makeUnresponsive(ends.sockets[0]!);
@@ -83,33 +83,33 @@
     });
 });
 
-test("silent link: an unread response or a body being sent does not make a connection unresponsive", async () => {
+test("unresponsive link: an unread response or a body being sent does not make a connection unresponsive", async () => {
     const large: Serve = () => Promise.resolve({ ...response, body: Readable.from([Buffer.alloc(4_000_000)]) });
-    await between(large, async ({ pool, unresponsive: found }) => {
+    await between(large, async ({ pool, unresponsive }) => {
         const { body } = await (await pool.acquire()).send(call({ head: { ...call().head, answer: "streamed" } }));
         await wait(1500);
-        assert.deepEqual(found, []);
+        assert.deepEqual(unresponsive, []);
         assert.equal((await bufferBody(body as Readable, Infinity)).size, 4_000_000);
     });
     const unread: Serve = async ({ body }) => {
         await wait(1500);
         return { ...response, body: Buffer.from(String((await bufferBody(body as Readable, Infinity)).size)) };
     };
-    await between(unread, async ({ pool, unresponsive: found }) => {
+    await between(unread, async ({ pool, unresponsive }) => {
         assert.equal(await send(pool, Readable.from([Buffer.from("x")])), 200);
         assert.equal(await send(pool, Readable.from(Array.from({ length: 80 }, () => Buffer.alloc(50_000)))), 200);
-        assert.deepEqual(found, []);
+        assert.deepEqual(unresponsive, []);
     });
 });
 
-test("silent link: a streamed response may pause for longer than a check takes", async () => {
+test("unresponsive link: a streamed response may pause for longer than a check takes", async () => {
     const pausedBody = new PassThrough();
-    await between(() => Promise.resolve({ ...response, body: pausedBody }), async ({ pool, unresponsive: found }) => {
+    await between(() => Promise.resolve({ ...response, body: pausedBody }), async ({ pool, unresponsive }) => {
         pausedBody.write("one");
         const { body } = await (await pool.acquire()).send(call({ head: { ...call().head, answer: "streamed" } }));
         setTimeout(() => pausedBody.end("two"), 1500);
         assert.equal(String(Buffer.concat((await bufferBody(body as Readable, Infinity)).chunks)), "onetwo");
-        assert.deepEqual(found, []);
+        assert.deepEqual(unresponsive, []);
     });
 });
 
@@ -130,7 +130,7 @@
         }));
 };
 
-test("silent link: a peer that does not support probes receives none", async () => {
+test("unresponsive link: a peer that does not support probes receives none", async () => {
     const server = createServer(serveWithoutProbes);
     server.listen(0, "127.0.0.1");
     await once(server, "listening");
@@ -143,9 +143,9 @@
 
 test("link: a peer states its identity; one that does not support it is not treated as gone", async () => {
     await between(() => Promise.resolve(response), async ({ pool }) => {
-        const note = await pool.requestIdentity();
-        assert.equal(note?.incarnation, LinkEnds.note.incarnation);
-        assert.equal(note?.gateTime, LinkEnds.note.gateTime);
+        const responseMetadata = await pool.requestIdentity();
+        assert.equal(responseMetadata?.incarnation, LinkEnds.metadata.incarnation);
+        assert.equal(responseMetadata?.gateTime, LinkEnds.metadata.gateTime);
         assert.equal(await send(pool), 200);
     });
     const server = createServer(serveWithoutProbes);
--- a/src/policy/failure/pace.ts
+++ b/src/policy/failure/pace.ts
@@ -25,7 +25,7 @@
     #bestPace = Infinity;
     #reportedAt = -Infinity;
     #hasReported = false;
-    /** When the current slow period began; undefined if the last report was not slow. */
+    /** Time at which the current slow period began; undefined if the last report was not slow. */
     #slowSince: number | undefined;
     /** True if reports came without a gap since before the current slow period began. */
     #isFullyObserved = false;
@@ -72,9 +72,9 @@
         return this.#hasReported && now - this.#reportedAt > MAX_REPORT_AGE_MS;
     }
 
-    /** Returns true if the upstream is slow by a report received at `at` or later. */
-    isSlowSince(at: number): boolean {
-        return this.#reportedAt >= at && this.#pace >= SLOW_RATIO * this.#bestPace;
+    /** Returns true if the upstream is slow by a report received at `since` or later. */
+    isSlowSince(since: number): boolean {
+        return this.#reportedAt >= since && this.#pace >= SLOW_RATIO * this.#bestPace;
     }
 
     #observeSlowPeriod(now: number): void {
--- a/src/policy/model/runmodel.ts
+++ b/src/policy/model/runmodel.ts
@@ -29,7 +29,7 @@
 const MAX_RETRY_DELAY_SHARE = 1 / 3;
 const MAX_ATTEMPTS = 2;
 
-/** One run of a simulation. */
+/** Runs one simulation. */
 class Model {
     readonly #loop = new EventLoop();
     readonly #hosts: ModelHost[] = [];
@@ -214,7 +214,7 @@
     }
 }
 
-/** Runs the scenario and returns what became of its requests. */
+/** Runs the scenario and returns the results of its requests. */
 export function runModel(scenario: Scenario, random: RandomSource): ModelTally {
     return new Model(scenario, random).run();
 }
--- a/test/linkends.ts
+++ b/test/linkends.ts
@@ -13,9 +13,9 @@
 
 const KEY = "a-key-for-tests-only";
 
-/** `found` are the connections that the pool found silent; `isClosing` has the listener wind up. */
+/** `unresponsive`: addresses of connections that the pool found unresponsive; `isClosing`: the listener is closing. */
 export class LinkEnds {
-    static readonly note = { incarnation: "abcdefghijkl", gateTime: 1, revision: 2 } as ServedResponse["note"];
+    static readonly metadata = { incarnation: "abcdefghijkl", gateTime: 1, revision: 2 } as ServedResponse["metadata"];
     readonly sockets: Socket[] = [];
     readonly unresponsive: Address[] = [];
     readonly pool: LinkPool;
@@ -23,8 +23,8 @@
 
     private constructor(private readonly server: Server, private readonly serve: Serve) {
         const { port } = server.address() as AddressInfo;
-        const onSilent = (at: Address): void => void this.unresponsive.push(at);
-        this.pool = LinkEnds.makePool(`127.0.0.1:${port}` as Address, { onSilent });
+        const onUnresponsive = (address: Address): void => void this.unresponsive.push(address);
+        this.pool = LinkEnds.makePool(`127.0.0.1:${port}` as Address, { onUnresponsive });
     }
 
     /** Runs a body between a pool and a listener of its own. */
@@ -42,7 +42,7 @@
         }
     }
 
-    static call(more: Partial<GateCall> = {}): GateCall {
+    static call(overrides: Partial<GateCall> = {}): GateCall {
         return {
             head: {
                 id: "abcdefghijkl.1",
@@ -64,13 +64,13 @@
             headers: { "host": "h", "set-cookie": ["one", "two"] },
             body: undefined,
             cancel: new Cancellation(),
-            ...more,
+            ...overrides,
         };
     }
 
-    static makePool(address: Address, more: Partial<ConstructorParameters<typeof LinkPool>[1]> = {}): LinkPool {
+    static makePool(address: Address, overrides: Partial<ConstructorParameters<typeof LinkPool>[1]> = {}): LinkPool {
         const clock = (): number => performance.now();
-        return new LinkPool(address, { localIp: "127.0.0.1", key: KEY, clock, onSilent: () => {}, ...more });
+        return new LinkPool(address, { localIp: "127.0.0.1", key: KEY, clock, onUnresponsive: () => {}, ...overrides });
     }
 
     /** Takes connections from now on and reads nothing from them. */
@@ -96,8 +96,8 @@
         new LinkSession(socket, {
             key: Buffer.from(KEY),
             serve: this.serve,
-            refuseInvalid: () => ({ note: LinkEnds.note, status: 0, headers: {}, body: undefined }),
-            identity: () => LinkEnds.note,
+            refuseInvalid: () => ({ metadata: LinkEnds.metadata, status: 0, headers: {}, body: undefined }),
+            identity: () => LinkEnds.metadata,
             isClosing: () => this.isClosing,
         });
     }
