--- a/standin/documentcalls.ts
+++ b/standin/documentedstoreapi.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { readText } from "./readtext.js";
 import { sendJson } from "./sendjson.js";
-import { StoreCalls } from "./storecalls.js";
+import { StoreCalls } from "./storeapi.js";
 
 const MAX_VALUE_BYTES = 1024 * 1024;
 /** How often a watch looks whether the store has been told to fail. */
--- a/standin/platformcalls.ts
+++ b/standin/platformstoreapi.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { readJson } from "./readjson.js";
 import { sendJson } from "./sendjson.js";
-import { StoreCalls } from "./storecalls.js";
+import { StoreCalls } from "./storeapi.js";
 
 /** How often a watch looks whether its caller has gone. */
 const LOOK_EVERY_MS = 100;
--- a/standin/store.ts
+++ b/standin/store.ts
@@ -2,14 +2,14 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import { setTimeout as wait } from "node:timers/promises";
-import { DocumentCalls } from "./documentcalls.js";
-import type { HostLine } from "./hostline.js";
-import { PlatformCalls } from "./platformcalls.js";
+import { DocumentCalls } from "./documentedstoreapi.js";
+import type { HostLine } from "./hostentry.js";
+import { PlatformCalls } from "./platformstoreapi.js";
 import { sendJson } from "./sendjson.js";
 import { StandinServer } from "./standinserver.js";
 import type { StoreControl } from "./storecontrol.js";
 import { StoreData } from "./storedata.js";
-import type { StoreParts } from "./storeparts.js";
+import type { StoreParts } from "./storedependencies.js";
 
 const HOSTS_LAG_MS = 500;
 const MUTE_AFTER_MS = 20;
--- a/standin/storecalls.ts
+++ b/standin/storeapi.ts
@@ -1,6 +1,6 @@
 /** One form in which the stand-in of a store is called. */
 import type { IncomingMessage, ServerResponse } from "node:http";
-import type { StoreParts } from "./storeparts.js";
+import type { StoreParts } from "./storedependencies.js";
 
 /** Knows paths and bodies; the data, and what is done to calls, are the stand-in's. */
 export abstract class StoreCalls {
--- a/standin/storecontrol.ts
+++ b/standin/storecontrol.ts
@@ -1,5 +1,5 @@
 /** What a test may tell the store. */
-import type { HostLine } from "./hostline.js";
+import type { HostLine } from "./hostentry.js";
 
 /** Times in milliseconds. */
 export type StoreControl = {
--- a/standin/storeparts.ts
+++ b/standin/storedependencies.ts
@@ -1,6 +1,6 @@
 /** What the stand-in of a store lends to the forms in which it is called. */
 import type { IncomingMessage, ServerResponse } from "node:http";
-import type { HostLine } from "./hostline.js";
+import type { HostLine } from "./hostentry.js";
 import type { StoreData } from "./storedata.js";
 
 /** Functions are asked anew by each call, since a test may change things while a watch waits. */
--- a/standin/upstream.ts
+++ b/standin/upstream.ts
@@ -1,10 +1,10 @@
 /** A stand-in for a service's instance. */
 import { type IncomingMessage, request, type ServerResponse } from "node:http";
 import { sendJson } from "./sendjson.js";
-import { drawServiceTime } from "./servicetime.js";
+import { drawServiceTime } from "./sampleservicetime.js";
 import { StandinServer } from "./standinserver.js";
 import type { UpstreamControl } from "./upstreamcontrol.js";
-import { writeAnswer } from "./writeanswer.js";
+import { writeAnswer } from "./writeresponse.js";
 
 const STREAM_EVERY_MS = 50;
 const STREAM_EVENTS = 10;
