--- a/standin/upstream.ts
+++ b/standin/upstream.ts
@@ -1,7 +1,7 @@
 /** A stand-in for a service's instance. */
 import { type IncomingMessage, request, type ServerResponse } from "node:http";
-import { sendJson } from "./sendjson.js";
 import { drawServiceTime } from "./sampleservicetime.js";
+import { sendJson } from "./sendjson.js";
 import { StandinServer } from "./standinserver.js";
 import type { UpstreamControl } from "./upstreamcontrol.js";
 import { writeAnswer } from "./writeresponse.js";
