--- a/standin/documentedstoreapi.ts
+++ b/standin/documentedstoreapi.ts
@@ -2,19 +2,19 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { readText } from "./readtext.js";
 import { sendJson } from "./sendjson.js";
-import { StoreCalls } from "./storeapi.js";
+import { StoreApi } from "./storeapi.js";
 
 const MAX_VALUE_BYTES = 1024 * 1024;
 /** How often a watch looks whether the store has been told to fail. */
-const LOOK_EVERY_MS = 100;
+const WATCH_POLL_MS = 100;
 
 /** A key's version is the store's revision when it was written. */
-export class DocumentCalls extends StoreCalls {
+export class DocumentedStoreApi extends StoreApi {
     async serve(req: IncomingMessage, res: ServerResponse, url: URL): Promise<void> {
         const key = url.pathname.slice("/v1/kv/".length);
         if (url.pathname === "/v1/hosts") {
-            this.parts.count("reads");
-            return sendJson(res, 200, this.parts.hosts());
+            this.deps.count("reads");
+            return sendJson(res, 200, this.deps.hosts());
         }
         if (req.method === "PUT") {
             return await this.#put(req, res, key, url.searchParams);
@@ -22,12 +22,12 @@
         if (url.searchParams.has("after")) {
             return await this.#watch(res, key, url.searchParams);
         }
-        this.parts.count("reads");
-        this.#send(res, key);
+        this.deps.count("reads");
+        this.#sendItem(res, key);
     }
 
-    #send(res: ServerResponse, key: string): void {
-        const item = this.parts.data.find(key);
+    #sendItem(res: ServerResponse, key: string): void {
+        const item = this.deps.data.find(key);
         sendJson(
             res,
             item === undefined ? 404 : 200,
@@ -36,7 +36,7 @@
     }
 
     async #put(req: IncomingMessage, res: ServerResponse, key: string, params: URLSearchParams): Promise<void> {
-        const { data, count, losesAnswer } = this.parts;
+        const { data, count, dropsResponse } = this.deps;
         const value = await readText(req);
         count("writes");
         const version = data.find(key)?.storeRevision ?? 0;
@@ -47,7 +47,7 @@
             return sendJson(res, 409, { version });
         }
         data.put(key, value);
-        if (losesAnswer()) {
+        if (dropsResponse()) {
             res.destroy();
             return;
         }
@@ -55,19 +55,19 @@
     }
 
     async #watch(res: ServerResponse, key: string, params: URLSearchParams): Promise<void> {
-        const { data, count, isDown } = this.parts;
+        const { data, count, isDown } = this.deps;
         count("watches");
         const after = Number(params.get("after"));
-        const until = performance.now() + Number(params.get("waitMs") ?? 0);
+        const deadline = performance.now() + Number(params.get("waitMs") ?? 0);
         while (!res.destroyed && !isDown()) {
             if ((data.find(key)?.storeRevision ?? 0) > after) {
-                return this.#send(res, key);
+                return this.#sendItem(res, key);
             }
-            const leftMs = until - performance.now();
-            if (leftMs <= 0) {
+            const remainingMs = deadline - performance.now();
+            if (remainingMs <= 0) {
                 return sendJson(res, 204);
             }
-            await data.nextChange(Math.min(LOOK_EVERY_MS, leftMs));
+            await data.nextChange(Math.min(WATCH_POLL_MS, remainingMs));
         }
         res.destroy();
     }
--- a/standin/forwarder.ts
+++ b/standin/forwarder.ts
@@ -11,9 +11,9 @@
     const { connection: _connection, ...headers } = req.headers;
     const hasBody = req.headers["content-length"] !== undefined;
     pool.request({ method: req.method as "GET", path: req.url!, headers, body: hasBody ? req : undefined }).then(
-        answer => {
-            res.writeHead(answer.statusCode, answer.headers);
-            pipeline(answer.body, res, () => {});
+        response => {
+            res.writeHead(response.statusCode, response.headers);
+            pipeline(response.body, res, () => {});
         },
         () => res.destroy(),
     );
--- a/standin/hostentry.ts
+++ b/standin/hostentry.ts
@@ -1,2 +1,2 @@
 /** A line of the platform's list of hosts. */
-export type HostLine = { readonly name: string; readonly state: "live" | "leaving"; };
+export type HostEntry = { readonly name: string; readonly state: "live" | "leaving"; };
--- a/standin/instance.ts
+++ b/standin/instance.ts
@@ -28,9 +28,9 @@
 export class InstanceStandin extends StandinServer<InstanceControl> {
     #running = 0;
     #sequence = 0;
-    #coldUntil = 0;
-    #hasStated = false;
-    readonly #born = Date.now();
+    #coldEndsAt = 0;
+    #hasStatedLimit = false;
+    readonly #incarnation = Date.now();
 
     constructor(private readonly options: InstanceOptions) {
         super({
@@ -48,9 +48,9 @@
     }
 
     /** The answer says whether the daemon has acknowledged the announcement. */
-    protected override async controlled({ coldMs }: Partial<InstanceControl>): Promise<object> {
+    protected override async applyControl({ coldMs }: Partial<InstanceControl>): Promise<object> {
         if (coldMs !== undefined) {
-            this.#coldUntil = performance.now() + coldMs;
+            this.#coldEndsAt = performance.now() + coldMs;
         }
         return { acknowledged: await this.#announce() };
     }
@@ -61,7 +61,7 @@
         this.#printArrival(req);
         if (req.url === "/health") {
             if (this.control.saysOnHealth) {
-                this.#sayState(res);
+                this.#setStateHeaders(res);
             }
             if (this.#coldMs > 0) {
                 res.setHeader("cold-ms", this.#coldMs);
@@ -72,25 +72,25 @@
         if (expected !== undefined && expected !== this.options.id) {
             return sendJson(res, 421, {});
         }
-        await this.#work(req, res);
+        await this.#runRequest(req, res);
     }
 
     #printArrival(req: IncomingMessage): void {
-        const who = `${performance.now()} ${String(req.headers["attempt-id"] ?? "health")}`;
+        const arrival = `${performance.now()} ${String(req.headers["attempt-id"] ?? "health")}`;
         if (this.control.limit !== "") {
-            console.log(`L ${who}`);
+            console.log(`L ${arrival}`);
         }
         if (this.control.leaving) {
-            console.log(`V ${who}`);
+            console.log(`V ${arrival}`);
         }
     }
 
-    #sayState(res: ServerResponse): void {
+    #setStateHeaders(res: ServerResponse): void {
         const { limit, leaving } = this.control;
         if (limit !== "") {
             res.setHeader("server-limit", limit.split(";"));
-            if (!this.#hasStated) {
-                this.#hasStated = true;
+            if (!this.#hasStatedLimit) {
+                this.#hasStatedLimit = true;
                 console.log(`S ${performance.now()}`);
             }
         }
@@ -100,10 +100,10 @@
     }
 
     get #coldMs(): number {
-        return Math.max(0, Math.ceil(this.#coldUntil - performance.now()));
+        return Math.max(0, Math.ceil(this.#coldEndsAt - performance.now()));
     }
 
-    async #work(req: IncomingMessage, res: ServerResponse): Promise<void> {
+    async #runRequest(req: IncomingMessage, res: ServerResponse): Promise<void> {
         const id = String(req.headers["attempt-id"]);
         console.log(`R ${id}`);
         if (this.#coldMs > 0) {
@@ -116,7 +116,7 @@
         }
         await wait(this.control.workMs * this.control.pace / 100);
         this.#running -= 1;
-        this.#sayState(res);
+        this.#setStateHeaders(res);
         res.setHeader("attempt-id", this.control.fault === "foreign" ? "another" : id);
         res.setHeader("server-signature", `of-${this.options.id}`);
         const { host } = req.headers;
@@ -155,16 +155,16 @@
             slots,
             state,
             coldMs: this.#coldMs,
-            born: this.#born,
+            born: this.#incarnation,
             sequence: this.#sequence++,
         });
         try {
             const method = state === "left" ? "DELETE" : "POST";
-            const answer = await fetch(`http://${daemon}/v1/upstreams/${id}`, {
+            const response = await fetch(`http://${daemon}/v1/upstreams/${id}`, {
                 method,
-                body: method === "POST" ? body : JSON.stringify({ born: this.#born }),
+                body: method === "POST" ? body : JSON.stringify({ born: this.#incarnation }),
             });
-            return answer.ok;
+            return response.ok;
         }
         catch {
             return false;
--- a/standin/platformstoreapi.ts
+++ b/standin/platformstoreapi.ts
@@ -2,10 +2,10 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { readJson } from "./readjson.js";
 import { sendJson } from "./sendjson.js";
-import { StoreCalls } from "./storeapi.js";
+import { StoreApi } from "./storeapi.js";
 
 /** How often a watch looks whether its caller has gone. */
-const LOOK_EVERY_MS = 100;
+const WATCH_POLL_MS = 100;
 
 type Put = { readonly key: string; readonly value: string; readonly lease?: number; };
 type Transaction = {
@@ -15,16 +15,16 @@
 };
 
 /** `/api/CALL`, some with a lease's number behind it. */
-export class PlatformCalls extends StoreCalls {
+export class PlatformStoreApi extends StoreApi {
     async serve(req: IncomingMessage, res: ServerResponse, url: URL): Promise<void> {
-        const { data, count } = this.parts;
-        const [, , call = "", last = ""] = url.pathname.split("/");
+        const { data, count } = this.deps;
+        const [, , call = "", leaseId = ""] = url.pathname.split("/");
         count(call);
         switch (call) {
             case "kv-key":
-                return this.#key(url, res);
+                return this.#readKey(url, res);
             case "kv-range":
-                return this.#answer(res, 200, {
+                return this.#respond(res, 200, {
                     items: data.range(url.searchParams.get("pathPrefix")!),
                     more: false,
                     at: data.revision,
@@ -32,63 +32,63 @@
             case "kv-watch":
                 return await this.#watch(url, req, res);
             case "kv-txn":
-                return this.#write(await readJson<Transaction>(req), res);
+                return this.#commit(await readJson<Transaction>(req), res);
             case "kv-lease":
-                return this.#answer(res, 200, data.grant((await readJson<{ ttl_ms: number; }>(req)).ttl_ms));
+                return this.#respond(res, 200, data.grantLease((await readJson<{ ttl_ms: number; }>(req)).ttl_ms));
             case "kv-keep":
-                return this.#answer(res, data.keep(Number(last)) ? 200 : 404, {});
+                return this.#respond(res, data.renewLease(Number(leaseId)) ? 200 : 404, {});
             case "kv-lease-end":
-                return this.#answer(res, data.end(Number(last)) ? 200 : 404, {});
+                return this.#respond(res, data.endLease(Number(leaseId)) ? 200 : 404, {});
             default:
-                return this.#answer(res, 404, {});
+                return this.#respond(res, 404, {});
         }
     }
 
     /** The era is that of the answer, not of the call. */
-    #answer(res: ServerResponse, status: number, body: object): void {
-        const era = this.parts.era();
+    #respond(res: ServerResponse, status: number, body: object): void {
+        const era = this.deps.era();
         if (era !== undefined) {
             res.setHeader("store-era", era);
         }
         sendJson(res, status, body);
     }
 
-    #key(url: URL, res: ServerResponse): void {
-        const { data } = this.parts;
+    #readKey(url: URL, res: ServerResponse): void {
+        const { data } = this.deps;
         const item = data.find(url.searchParams.get("key")!);
-        this.#answer(res, item === undefined ? 404 : 200, { ...item, at: data.revision });
+        this.#respond(res, item === undefined ? 404 : 200, { ...item, at: data.revision });
     }
 
     async #watch(url: URL, req: IncomingMessage, res: ServerResponse): Promise<void> {
-        const { data, strikes } = this.parts;
+        const { data, intercepts } = this.deps;
         const after = Number(url.searchParams.get("after"));
-        const until = performance.now() + Number(url.searchParams.get("waitMs"));
+        const deadline = performance.now() + Number(url.searchParams.get("waitMs"));
         while (!res.destroyed) {
-            if (data.hasForgotten(after)) {
-                return this.#answer(res, 410, {});
+            if (data.isUnavailable(after)) {
+                return this.#respond(res, 410, {});
             }
-            const events = data.since(url.searchParams.get("pathPrefix")!, after);
-            const leftMs = until - performance.now();
-            if (events.length > 0 || leftMs <= 0) {
-                return strikes(req, res) ? undefined : this.#answer(res, 200, { events, at: data.revision });
+            const events = data.eventsSince(url.searchParams.get("pathPrefix")!, after);
+            const remainingMs = deadline - performance.now();
+            if (events.length > 0 || remainingMs <= 0) {
+                return intercepts(req, res) ? undefined : this.#respond(res, 200, { events, at: data.revision });
             }
-            await data.nextChange(Math.min(LOOK_EVERY_MS, leftMs));
+            await data.nextChange(Math.min(WATCH_POLL_MS, remainingMs));
         }
     }
 
-    #write({ expect = [], put = [], remove = [] }: Transaction, res: ServerResponse): void {
-        const { data, losesAnswer } = this.parts;
-        if (put.some(({ lease }) => lease !== undefined && !data.isGranted(lease))) {
-            return this.#answer(res, 404, {});
+    #commit({ expect = [], put = [], remove = [] }: Transaction, res: ServerResponse): void {
+        const { data, dropsResponse } = this.deps;
+        if (put.some(({ lease }) => lease !== undefined && !data.isLeaseValid(lease))) {
+            return this.#respond(res, 404, {});
         }
-        const met = expect.every(({ key, storeRevision }) => (data.find(key)?.storeRevision ?? 0) === storeRevision);
-        if (!met) {
-            return this.#answer(res, 412, { items: expect.map(({ key }) => data.find(key)).filter(Boolean) });
+        const isExpectationMet = expect.every(({ key, storeRevision }) => (data.find(key)?.storeRevision ?? 0) === storeRevision);
+        if (!isExpectationMet) {
+            return this.#respond(res, 412, { items: expect.map(({ key }) => data.find(key)).filter(Boolean) });
         }
         put.forEach(({ key, value, lease }) => data.put(key, value, lease));
         remove.forEach(key => data.remove(key));
-        if (!losesAnswer()) {
-            this.#answer(res, 200, { storeRevision: data.revision });
+        if (!dropsResponse()) {
+            this.#respond(res, 200, { storeRevision: data.revision });
         }
     }
 }
--- a/standin/proxy.ts
+++ b/standin/proxy.ts
@@ -4,36 +4,36 @@
 import type { Fault } from "./fault.js";
 import type { Link } from "./link.js";
 
-type Pair = { readonly link: Link; readonly from: number; readonly near: Socket; readonly far: Socket; };
+type ProxiedConnection = { readonly link: Link; readonly from: number; readonly near: Socket; readonly far: Socket; };
 
-const PLACE_OCTET = 2;
-const HELD_LOOK_MS = 10;
+const HALL_OCTET = 2;
+const PAUSE_POLL_MS = 10;
 
-const placeOf = (ip: string | undefined): number => Number((ip ?? "").split(".")[PLACE_OCTET] ?? 0);
+const hallOf = (ip: string | undefined): number => Number((ip ?? "").split(".")[HALL_OCTET] ?? 0);
 
-const split = (address: string): { host: string; port: number; } => {
+const parseAddress = (address: string): { host: string; port: number; } => {
     const colon = address.lastIndexOf(":");
     return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 };
 
 /** A host's place is the third number of its IP; between places each direction takes `betweenMs`. */
 export class Proxy {
-    readonly #pairs = new Set<Pair>();
-    readonly #silent = new WeakSet<Pair>();
+    readonly #connections = new Set<ProxiedConnection>();
+    readonly #unresponsive = new WeakSet<ProxiedConnection>();
     #faults: Fault[] = [];
 
-    constructor(private readonly betweenMs: number) {}
+    constructor(private readonly interHallDelayMs: number) {}
 
     /** Replaces all faults; connections that a cut hits are ended. */
     setFaults(faults: Fault[]): void {
         this.#faults = faults;
-        for (const pair of this.#pairs) {
-            if (this.#fault(pair.link, pair.from, "cut") !== undefined) {
-                pair.near.destroy();
-                pair.far.destroy();
+        for (const connection of this.#connections) {
+            if (this.#findFault(connection.link, connection.from, "cut") !== undefined) {
+                connection.near.destroy();
+                connection.far.destroy();
             }
-            if (this.#fault(pair.link, pair.from, "silent") !== undefined) {
-                this.#silent.add(pair);
+            if (this.#findFault(connection.link, connection.from, "silent") !== undefined) {
+                this.#unresponsive.add(connection);
             }
         }
     }
@@ -44,91 +44,91 @@
         await this.#openUdp(link);
     }
 
-    #fault<Name extends keyof Fault>(link: Link, from: number, name: Name): Fault[Name] | undefined {
+    #findFault<Name extends keyof Fault>(link: Link, clientHall: number, name: Name): Fault[Name] | undefined {
         const found = this.#faults.find(fault =>
             fault[name] !== undefined
             && (fault.links.length === 0 || fault.links.includes(link.listen))
-            && (fault.from.length === 0 || fault.from.includes(from))
+            && (fault.from.length === 0 || fault.from.includes(clientHall))
         );
         return found?.[name];
     }
 
-    #delayMs(link: Link, from: number): number {
-        return (from === link.place ? 0 : this.betweenMs) + (this.#fault(link, from, "delayMs") ?? 0);
+    #delayMs(link: Link, clientHall: number): number {
+        return (clientHall === link.place ? 0 : this.interHallDelayMs) + (this.#findFault(link, clientHall, "delayMs") ?? 0);
     }
 
     #openTcp(link: Link): Promise<void> {
-        const { host, port } = split(link.listen);
-        const server = createServer({ noDelay: true }, near => this.#accept(link, near));
+        const { host, port } = parseAddress(link.listen);
+        const server = createServer({ noDelay: true }, client => this.#accept(link, client));
         return new Promise(resolve => server.listen(port, host, () => resolve()));
     }
 
-    #accept(link: Link, near: Socket): void {
-        const from = placeOf(near.remoteAddress);
-        if (this.#fault(link, from, "cut") !== undefined) {
-            near.destroy();
+    #accept(link: Link, client: Socket): void {
+        const clientHall = hallOf(client.remoteAddress);
+        if (this.#findFault(link, clientHall, "cut") !== undefined) {
+            client.destroy();
             return;
         }
-        const far = connect({ ...split(link.target), noDelay: true });
-        const pair = { link, from, near, far };
-        this.#pairs.add(pair);
-        this.#pump(pair, near, far, "there");
-        this.#pump(pair, far, near, "back");
-        near.on("close", () => this.#pairs.delete(pair));
+        const target = connect({ ...parseAddress(link.target), noDelay: true });
+        const connection = { link, from: clientHall, near: client, far: target };
+        this.#connections.add(connection);
+        this.#forward(connection, client, target, "there");
+        this.#forward(connection, target, client, "back");
+        client.on("close", () => this.#connections.delete(connection));
     }
 
-    #pump(pair: Pair, source: Socket, sink: Socket, way: "there" | "back"): void {
-        let last = Promise.resolve();
-        const later = (act: () => void): void => {
-            last = last.then(() => this.#hold(pair)).then(act);
+    #forward(connection: ProxiedConnection, source: Socket, sink: Socket, direction: "there" | "back"): void {
+        let previous = Promise.resolve();
+        const enqueue = (action: () => void): void => {
+            previous = previous.then(() => this.#waitWhilePaused(connection)).then(action);
         };
-        const at = (act: () => void): void => {
-            if (this.#silent.has(pair)) {
+        const schedule = (act: () => void): void => {
+            if (this.#unresponsive.has(connection)) {
                 return;
             }
-            const delayMs = this.#delayMs(pair.link, pair.from);
+            const delayMs = this.#delayMs(connection.link, connection.from);
             if (delayMs === 0) {
-                later(act);
+                enqueue(act);
             }
             else {
-                setTimeout(() => later(act), delayMs);
+                setTimeout(() => enqueue(act), delayMs);
             }
         };
-        source.on("data", chunk => at(() => void (this.#isLost(pair, way) || sink.write(chunk))));
-        source.on("end", () => at(() => void sink.end()));
+        source.on("data", chunk => schedule(() => void (this.#isLost(connection, direction) || sink.write(chunk))));
+        source.on("end", () => schedule(() => void sink.end()));
         source.on("error", () => {});
         source.on("close", hadError => {
             if (hadError) {
                 sink.destroy();
             }
             else {
-                at(() => void sink.end());
+                schedule(() => void sink.end());
             }
         });
     }
 
-    #isLost(pair: Pair, way: "there" | "back"): boolean {
-        return this.#fault(pair.link, pair.from, "lose") === way;
+    #isLost(connection: ProxiedConnection, direction: "there" | "back"): boolean {
+        return this.#findFault(connection.link, connection.from, "lose") === direction;
     }
 
-    async #hold(pair: Pair): Promise<void> {
-        while (this.#fault(pair.link, pair.from, "pause") === true) {
-            await new Promise(resolve => setTimeout(resolve, HELD_LOOK_MS));
+    async #waitWhilePaused(connection: ProxiedConnection): Promise<void> {
+        while (this.#findFault(connection.link, connection.from, "pause") === true) {
+            await new Promise(resolve => setTimeout(resolve, PAUSE_POLL_MS));
         }
     }
 
     #openUdp(link: Link): Promise<void> {
-        const { host, port } = split(link.listen);
-        const target = split(link.target);
+        const { host, port } = parseAddress(link.listen);
+        const target = parseAddress(link.target);
         const socket = createSocket("udp4");
         socket.on("error", () => {});
         socket.on("message", (data, sender) => {
-            const from = placeOf(sender.address);
-            const dropped = (["cut", "pause", "lose", "deaf"] as const).some(name =>
-                this.#fault(link, from, name) !== undefined
+            const clientHall = hallOf(sender.address);
+            const isDropped = (["cut", "pause", "lose", "deaf"] as const).some(name =>
+                this.#findFault(link, clientHall, name) !== undefined
             );
-            if (!dropped) {
-                setTimeout(() => socket.send(data, target.port, target.host), this.#delayMs(link, from));
+            if (!isDropped) {
+                setTimeout(() => socket.send(data, target.port, target.host), this.#delayMs(link, clientHall));
             }
         });
         return new Promise(resolve => socket.bind(port, host, () => resolve()));
--- a/standin/proxymain.ts
+++ b/standin/proxymain.ts
@@ -8,8 +8,8 @@
 import { readJson } from "./readjson.js";
 import { sendJson } from "./sendjson.js";
 
-const [address, betweenMs, linksFile] = process.argv.slice(2);
-const proxy = new Proxy(Number(betweenMs));
+const [address, interHallDelayMs, linksFile] = process.argv.slice(2);
+const proxy = new Proxy(Number(interHallDelayMs));
 for (const link of JSON.parse(readFileSync(linksFile!, "utf8")) as Link[]) {
     await proxy.open(link);
 }
--- a/standin/sampleservicetime.ts
+++ b/standin/sampleservicetime.ts
@@ -4,7 +4,7 @@
 type Spread = "none" | "low";
 
 /** Draws a service time in milliseconds; `random` is from 0 up to 1. */
-export function drawServiceTime(meanMs: number, spread: Spread, random: number): number {
+export function sampleServiceTime(meanMs: number, spread: Spread, random: number): number {
     switch (spread) {
         case "none":
             return meanMs;
--- a/standin/standinserver.ts
+++ b/standin/standinserver.ts
@@ -13,7 +13,7 @@
     protected abstract serve(req: IncomingMessage, res: ServerResponse, url: URL): Promise<void>;
 
     /** Acts on a new control; what it resolves with is the answer. */
-    protected async controlled(_given: Partial<Control>): Promise<object> {
+    protected async applyControl(_changes: Partial<Control>): Promise<object> {
         return this.control;
     }
 
@@ -22,8 +22,8 @@
         if (url.pathname !== "/control") {
             return await this.serve(req, res, url);
         }
-        const given = await readJson<Partial<Control>>(req);
-        this.control = { ...this.control, ...given };
-        sendJson(res, 200, await this.controlled(given));
+        const changes = await readJson<Partial<Control>>(req);
+        this.control = { ...this.control, ...changes };
+        sendJson(res, 200, await this.applyControl(changes));
     }
 }
--- a/standin/store.ts
+++ b/standin/store.ts
@@ -2,30 +2,30 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import { setTimeout as wait } from "node:timers/promises";
-import { DocumentCalls } from "./documentedstoreapi.js";
-import type { HostLine } from "./hostentry.js";
-import { PlatformCalls } from "./platformstoreapi.js";
+import { DocumentedStoreApi } from "./documentedstoreapi.js";
+import type { HostEntry } from "./hostentry.js";
+import { PlatformStoreApi } from "./platformstoreapi.js";
 import { sendJson } from "./sendjson.js";
 import { StandinServer } from "./standinserver.js";
 import type { StoreControl } from "./storecontrol.js";
 import { StoreData } from "./storedata.js";
-import type { StoreParts } from "./storedependencies.js";
+import type { StoreDependencies } from "./storedependencies.js";
 
 const HOSTS_LAG_MS = 500;
-const MUTE_AFTER_MS = 20;
-const RATE_PER_SECOND = 2000;
+const UNRESPONSIVE_DELAY_MS = 20;
+const DEFAULT_RATE_PER_SECOND = 2000;
 
 /** Called in two forms, over one set of data; `GET /counts` tells how often, by kind of call. */
 export class StoreStandin extends StandinServer<StoreControl> {
     readonly #data = new StoreData();
     readonly #counts: Record<string, number> = { reads: 0, writes: 0, watches: 0, refused: 0 };
-    readonly #documentCalls: DocumentCalls;
-    readonly #platformCalls: PlatformCalls;
-    readonly #open = new Set<Socket>();
-    readonly #mute = new WeakSet<Socket>();
-    #hosts: readonly HostLine[] = [];
-    #second = 0;
-    #inSecond = 0;
+    readonly #documentedApi: DocumentedStoreApi;
+    readonly #platformApi: PlatformStoreApi;
+    readonly #openSockets = new Set<Socket>();
+    readonly #unresponsiveSockets = new WeakSet<Socket>();
+    #hosts: readonly HostEntry[] = [];
+    #currentSecond = 0;
+    #callsInSecond = 0;
 
     constructor() {
         super({
@@ -36,7 +36,7 @@
             from: [],
             loseAnswers: 0,
             delayMs: 0,
-            ratePerSecond: RATE_PER_SECOND,
+            ratePerSecond: DEFAULT_RATE_PER_SECOND,
             forget: false,
             revoke: false,
             makeCopy: false,
@@ -45,24 +45,24 @@
             hosts: [],
         });
         this.server.on("connection", (socket: Socket) => {
-            this.#open.add(socket);
-            socket.on("close", () => this.#open.delete(socket));
+            this.#openSockets.add(socket);
+            socket.on("close", () => this.#openSockets.delete(socket));
         });
-        const parts: StoreParts = {
+        const deps: StoreDependencies = {
             data: this.#data,
             hosts: () => this.#hosts,
             isDown: () => this.control.down,
             count: name => this.#count(name),
-            strikes: (req, res) => this.#strikes(req, res),
-            losesAnswer: () => this.#losesAnswer(),
+            intercepts: (req, res) => this.#intercepts(req, res),
+            dropsResponse: () => this.#dropsResponse(),
             era: () => this.control.tellsEra ? this.#data.era : undefined,
         };
-        this.#documentCalls = new DocumentCalls(parts);
-        this.#platformCalls = new PlatformCalls(parts);
+        this.#documentedApi = new DocumentedStoreApi(deps);
+        this.#platformApi = new PlatformStoreApi(deps);
     }
 
     protected override async serve(req: IncomingMessage, res: ServerResponse, url: URL): Promise<void> {
-        if (this.#mute.has(req.socket)) {
+        if (this.#unresponsiveSockets.has(req.socket)) {
             return;
         }
         if (url.pathname === "/counts") {
@@ -73,33 +73,33 @@
             res.destroy();
             return;
         }
-        if (!this.#withinRate()) {
+        if (!this.#isWithinRate()) {
             this.#count("refused");
             return sendJson(res, 429);
         }
-        if (this.#strikes(req, res)) {
+        if (this.#intercepts(req, res)) {
             return;
         }
-        const calls = url.pathname.startsWith("/v1/") ? this.#documentCalls : this.#platformCalls;
-        await calls.serve(req, res, url);
+        const api = url.pathname.startsWith("/v1/") ? this.#documentedApi : this.#platformApi;
+        await api.serve(req, res, url);
     }
 
-    protected override async controlled({ hosts }: Partial<StoreControl>): Promise<object> {
+    protected override async applyControl({ hosts }: Partial<StoreControl>): Promise<object> {
         const { forget, revoke, muteOpen, makeCopy, comeBack } = this.control;
         if (muteOpen) {
-            this.#muteOpen(comeBack);
+            this.#makeOpenUnresponsive(comeBack);
         }
         if (forget) {
-            this.#data.forget();
+            this.#data.compact();
         }
         if (revoke) {
-            this.#data.revokeAll();
+            this.#data.revokeAllLeases();
         }
         if (makeCopy) {
-            this.#data.makeCopy();
+            this.#data.createBackup();
         }
         if (comeBack && !muteOpen) {
-            this.#data.comeBack();
+            this.#data.restoreBackup();
         }
         this.control = {
             ...this.control,
@@ -116,31 +116,31 @@
     }
 
     /** The answer to the call that asks for it still goes out; none of them is told that the store has come back from a copy. */
-    #muteOpen(comeBack: boolean): void {
-        const open = [...this.#open];
+    #makeOpenUnresponsive(isRestoring: boolean): void {
+        const sockets = [...this.#openSockets];
         setTimeout(() => {
-            for (const socket of open) {
-                this.#mute.add(socket);
+            for (const socket of sockets) {
+                this.#unresponsiveSockets.add(socket);
                 socket.write = () => true;
             }
-            if (comeBack) {
-                this.#data.comeBack();
+            if (isRestoring) {
+                this.#data.restoreBackup();
             }
-        }, MUTE_AFTER_MS);
+        }, UNRESPONSIVE_DELAY_MS);
     }
 
     #count(name: string): void {
         this.#counts[name] = (this.#counts[name] ?? 0) + 1;
     }
 
-    #withinRate(): boolean {
+    #isWithinRate(): boolean {
         const second = Math.floor(Date.now() / 1000);
-        this.#inSecond = second === this.#second ? this.#inSecond + 1 : 1;
-        this.#second = second;
-        return this.#inSecond <= this.control.ratePerSecond;
+        this.#callsInSecond = second === this.#currentSecond ? this.#callsInSecond + 1 : 1;
+        this.#currentSecond = second;
+        return this.#callsInSecond <= this.control.ratePerSecond;
     }
 
-    #strikes(req: IncomingMessage, res: ServerResponse): boolean {
+    #intercepts(req: IncomingMessage, res: ServerResponse): boolean {
         const { refuse, silent, from } = this.control;
         if (from.length > 0 && !from.includes(req.socket.remoteAddress ?? "")) {
             return false;
@@ -151,7 +151,7 @@
         return silent || refuse !== 0;
     }
 
-    #losesAnswer(): boolean {
+    #dropsResponse(): boolean {
         if (this.control.loseAnswers === 0) {
             return false;
         }
--- a/standin/storecontrol.ts
+++ b/standin/storecontrol.ts
@@ -1,5 +1,5 @@
 /** What a test may tell the store. */
-import type { HostLine } from "./hostentry.js";
+import type { HostEntry } from "./hostentry.js";
 
 /** Times in milliseconds. */
 export type StoreControl = {
@@ -29,5 +29,5 @@
     /** Ends all leases; once for each call. */
     revoke: boolean;
     /** The list of hosts, shown after a lag. */
-    hosts: readonly HostLine[];
+    hosts: readonly HostEntry[];
 };
--- a/standin/storedata.ts
+++ b/standin/storedata.ts
@@ -1,16 +1,16 @@
 /** What the stand-in of the store holds. */
 
 type Item = { readonly key: string; readonly value: string; readonly storeRevision: number; readonly lease: number; };
-type Event = Item | { readonly key: string; readonly storeRevision: number; readonly gone: true; };
-type Lease = { readonly ttlMs: number; until: number; };
+type ChangeEvent = Item | { readonly key: string; readonly storeRevision: number; readonly gone: true; };
+type Lease = { readonly ttlMs: number; expiresAt: number; };
 
-const SWEEP_EVERY_MS = 50;
+const EXPIRY_CHECK_EVERY_MS = 50;
 
 /** All that a copy holds. */
-type Copy = {
+type Backup = {
     readonly items: ReadonlyMap<string, Item>;
     readonly leases: ReadonlyMap<number, Lease>;
-    readonly events: readonly Event[];
+    readonly events: readonly ChangeEvent[];
     readonly revision: number;
 };
 
@@ -18,15 +18,15 @@
 export class StoreData {
     readonly #items = new Map<string, Item>();
     readonly #leases = new Map<number, Lease>();
-    readonly #waiting = new Set<() => void>();
-    #events: Event[] = [];
+    readonly #waiters = new Set<() => void>();
+    #events: ChangeEvent[] = [];
     #revision = 1;
-    #forgottenTo = 0;
-    #copy: Copy | undefined;
+    #compactedRevision = 0;
+    #backup: Backup | undefined;
     #era = 1;
 
     constructor() {
-        setInterval(() => this.#sweep(performance.now()), SWEEP_EVERY_MS).unref();
+        setInterval(() => this.#removeExpired(performance.now()), EXPIRY_CHECK_EVERY_MS).unref();
     }
 
     get revision(): number {
@@ -41,7 +41,7 @@
         return [...this.#items.values()].filter(item => item.key.startsWith(prefix));
     }
 
-    since(prefix: string, after: number): Event[] {
+    eventsSince(prefix: string, after: number): ChangeEvent[] {
         return this.#events.filter(event => event.storeRevision > after && event.key.startsWith(prefix));
     }
 
@@ -49,26 +49,26 @@
         this.#revision += 1;
         const item = { key, value, storeRevision: this.#revision, lease };
         this.#items.set(key, item);
-        this.#record(item);
+        this.#addEvent(item);
     }
 
     remove(key: string): void {
         if (this.#items.delete(key)) {
             this.#revision += 1;
-            this.#record({ key, storeRevision: this.#revision, gone: true });
+            this.#addEvent({ key, storeRevision: this.#revision, gone: true });
         }
     }
 
     /** Resolves at the next change, or after `timeoutMs`. */
     nextChange(timeoutMs: number): Promise<void> {
         return new Promise(resolve => {
-            const wake = (): void => {
+            const finish = (): void => {
                 clearTimeout(timer);
-                this.#waiting.delete(wake);
+                this.#waiters.delete(finish);
                 resolve();
             };
-            const timer = setTimeout(wake, timeoutMs);
-            this.#waiting.add(wake);
+            const timer = setTimeout(finish, timeoutMs);
+            this.#waiters.add(finish);
         });
     }
 
@@ -78,81 +78,81 @@
     }
 
     /** Makes the copy that it may come back from. */
-    makeCopy(): void {
-        const leases = new Map([...this.#leases].map(([lease, known]) => [lease, { ...known }]));
-        this.#copy = { items: new Map(this.#items), leases, events: [...this.#events], revision: this.#revision };
+    createBackup(): void {
+        const leases = new Map([...this.#leases].map(([id, lease]) => [id, { ...lease }]));
+        this.#backup = { items: new Map(this.#items), leases, events: [...this.#events], revision: this.#revision };
     }
 
     /** What has been written since the copy is gone: items, leases, and revisions, which are given out again. */
-    comeBack(): void {
-        const { items, leases, events, revision } = this.#copy!;
+    restoreBackup(): void {
+        const { items, leases, events, revision } = this.#backup!;
         this.#items.clear();
         items.forEach((item, key) => this.#items.set(key, item));
         this.#leases.clear();
-        leases.forEach((lease, id) => this.#leases.set(id, { ...lease, until: performance.now() + lease.ttlMs }));
+        leases.forEach((lease, id) => this.#leases.set(id, { ...lease, expiresAt: performance.now() + lease.ttlMs }));
         this.#events = [...events];
         this.#revision = revision;
         this.#era += 1;
-        this.#wakeAll();
+        this.#notifyWaiters();
     }
 
-    forget(): void {
+    compact(): void {
         this.#events = [];
-        this.#forgottenTo = this.#revision;
-        this.#wakeAll();
+        this.#compactedRevision = this.#revision;
+        this.#notifyWaiters();
     }
 
     /** True for a revision behind which changes may be missing, and for one that it has not come to. */
-    hasForgotten(after: number): boolean {
-        return after < this.#forgottenTo || after > this.#revision;
+    isUnavailable(after: number): boolean {
+        return after < this.#compactedRevision || after > this.#revision;
     }
 
-    grant(ttlMs: number): { lease: number; ttl_ms: number; } {
+    grantLease(ttlMs: number): { lease: number; ttl_ms: number; } {
         const lease = 1000 + this.#leases.size;
-        this.#leases.set(lease, { ttlMs, until: performance.now() + ttlMs });
+        this.#leases.set(lease, { ttlMs, expiresAt: performance.now() + ttlMs });
         return { lease, ttl_ms: ttlMs };
     }
 
-    isGranted(lease: number): boolean {
-        return lease === 0 || (this.#leases.get(lease)?.until ?? 0) > performance.now();
+    isLeaseValid(id: number): boolean {
+        return id === 0 || (this.#leases.get(id)?.expiresAt ?? 0) > performance.now();
     }
 
-    keep(lease: number): boolean {
-        if (!this.isGranted(lease)) {
+    renewLease(id: number): boolean {
+        if (!this.isLeaseValid(id)) {
             return false;
         }
-        const known = this.#leases.get(lease)!;
-        known.until = performance.now() + known.ttlMs;
+        const lease = this.#leases.get(id)!;
+        lease.expiresAt = performance.now() + lease.ttlMs;
         return true;
     }
 
-    end(lease: number): boolean {
-        const granted = this.isGranted(lease);
-        const known = this.#leases.get(lease);
-        if (known !== undefined) {
-            known.until = 0;
-            this.#sweep(performance.now());
+    endLease(id: number): boolean {
+        const wasValid = this.isLeaseValid(id);
+        const lease = this.#leases.get(id);
+        if (lease !== undefined) {
+            lease.expiresAt = 0;
+            this.#removeExpired(performance.now());
         }
-        return granted;
+        return wasValid;
     }
 
-    revokeAll(): void {
-        this.#leases.forEach(lease => lease.until = 0);
-        this.#sweep(performance.now());
+    revokeAllLeases(): void {
+        this.#leases.forEach(lease => lease.expiresAt = 0);
+        this.#removeExpired(performance.now());
     }
 
-    #record(event: Event): void {
+    #addEvent(event: ChangeEvent): void {
         this.#events.push(event);
-        this.#wakeAll();
+        this.#notifyWaiters();
     }
 
-    #wakeAll(): void {
-        this.#waiting.forEach(wake => wake());
+    #notifyWaiters(): void {
+        this.#waiters.forEach(notify => notify());
     }
 
-    #sweep(now: number): void {
+    #removeExpired(now: number): void {
         for (const item of [...this.#items.values()]) {
-            if (item.lease !== 0 && this.#leases.get(item.lease)!.until <= now) {
+            if (item.lease !== 0 && this.#leases.get(item.lease)!.expiresAt <= now) {
                 this.remove(item.key);
             }
         }
--- a/standin/upstream.ts
+++ b/standin/upstream.ts
@@ -1,18 +1,18 @@
 /** A stand-in for a service's instance. */
 import { type IncomingMessage, request, type ServerResponse } from "node:http";
-import { drawServiceTime } from "./sampleservicetime.js";
+import { sampleServiceTime } from "./sampleservicetime.js";
 import { sendJson } from "./sendjson.js";
 import { StandinServer } from "./standinserver.js";
 import type { UpstreamControl } from "./upstreamcontrol.js";
-import { writeAnswer } from "./writeresponse.js";
+import { writeResponse } from "./writeresponse.js";
 
 const STREAM_EVERY_MS = 50;
 const STREAM_EVENTS = 10;
-const CRASH = "/crash";
+const CRASH_SUFFIX = "/crash";
 /** Milliseconds after the first answer that states a limit: whoever passed it on knows it. */
-const TOLD_AFTER_MS = 500;
+const LIMIT_KNOWN_AFTER_MS = 500;
 
-type Work = { readonly run: () => void; };
+type QueuedRequest = { readonly run: () => void; };
 
 /**
  * Serves a bounded number of requests at once, the rest in turn, and prints a line for each that arrives, `A id`, and for
@@ -21,15 +21,15 @@
  * `/crash` ends the process in place of an answer.
  */
 export class UpstreamStandin extends StandinServer<UpstreamControl> {
-    readonly #waiting: Work[] = [];
+    readonly #queue: QueuedRequest[] = [];
     #isNoisy = false;
     #running = 0;
     #served = 0;
     #cancelled = 0;
     #inFlight = 0;
     /** Spells in which a limit was stated, and since when it is in this one. */
-    #spells = 0;
-    #statedAt: number | undefined;
+    #limitPeriods = 0;
+    #limitStatedAt: number | undefined;
 
     constructor(private readonly slots: number, private readonly random: () => number) {
         super({
@@ -53,7 +53,7 @@
     }
 
     /** Refuses new requests from now on and says so; what runs is finished. */
-    leave(): void {
+    startLeaving(): void {
         this.control.leaving = true;
     }
 
@@ -64,13 +64,13 @@
             case "/health":
                 return this.#health(res);
             default:
-                return await this.#work(req, res, url);
+                return await this.#serveRequest(req, res, url);
         }
     }
 
-    protected override async controlled(): Promise<object> {
+    protected override async applyControl(): Promise<object> {
         if (this.control.limitPerSecond === 0) {
-            this.#statedAt = undefined;
+            this.#limitStatedAt = undefined;
         }
         if (!this.#isNoisy && this.control.noiseEveryMs > 0) {
             this.#isNoisy = true;
@@ -99,36 +99,36 @@
         res.end();
     }
 
-    async #work(req: IncomingMessage, res: ServerResponse, url: URL): Promise<void> {
+    async #serveRequest(req: IncomingMessage, res: ServerResponse, url: URL): Promise<void> {
         const path = url.pathname;
         req.resume();
         this.#print("A", req);
-        this.#printLimited(req);
-        if (this.#refuse(res)) {
+        this.#printLimitedArrival(req);
+        if (this.#refuseIfConfigured(res)) {
             return;
         }
         this.#inFlight += 1;
         res.on("close", () => this.#inFlight -= 1);
         if (path === "/poll") {
             const ms = Number(url.searchParams.get("ms"));
-            this.#record(req);
+            this.#printRun(req);
             await new Promise(resolve => setTimeout(resolve, ms));
-            return this.#answer(req, res);
+            return this.#respond(req, res);
         }
         if (path === "/events") {
-            this.#record(req);
-            return this.#stream(req, res);
+            this.#printRun(req);
+            return this.#streamEvents(req, res);
         }
-        const work = { run: () => this.#run(req, res, path) };
+        const queued = { run: () => this.#run(req, res, path) };
         if (this.#running < this.slots) {
-            work.run();
+            queued.run();
         }
         else {
-            this.#waiting.push(work);
+            this.#queue.push(queued);
         }
     }
 
-    #refuse(res: ServerResponse): boolean {
+    #refuseIfConfigured(res: ServerResponse): boolean {
         if (this.control.leaving) {
             res.writeHead(503, { "winglock-outcome": "not-run", "winglock-leaving": "1" }).end();
             return true;
@@ -140,31 +140,31 @@
         return false;
     }
 
-    #record(req: IncomingMessage): void {
+    #printRun(req: IncomingMessage): void {
         this.#print("R", req);
     }
 
-    #print(word: "A" | "R", req: IncomingMessage): void {
+    #print(event: "A" | "R", req: IncomingMessage): void {
         const id = req.headers["x-load-id"];
         if (id !== undefined) {
-            process.stdout.write(`${word} ${id}\n`);
+            process.stdout.write(`${event} ${id}\n`);
         }
     }
 
     #run(req: IncomingMessage, res: ServerResponse, path: string): void {
         this.#running += 1;
-        this.#record(req);
+        this.#printRun(req);
         if (this.random() < this.control.failing) {
             this.#finish(() => sendJson(res, 500, { error: "failed" }));
             return;
         }
         const { meanMs, spread, slowdown } = this.control;
-        const ms = drawServiceTime(meanMs, spread, this.random()) * slowdown;
-        if (path.endsWith(CRASH)) {
+        const ms = sampleServiceTime(meanMs, spread, this.random()) * slowdown;
+        if (path.endsWith(CRASH_SUFFIX)) {
             setTimeout(() => process.exit(1), ms);
             return;
         }
-        const timer = setTimeout(() => this.#finish(() => void this.#chainOrAnswer(req, res, path)), ms);
+        const timer = setTimeout(() => this.#finish(() => void this.#chainOrRespond(req, res, path)), ms);
         res.on("close", () => {
             if (!res.writableFinished && req.method === "GET" && timer.hasRef() && !res.headersSent) {
                 clearTimeout(timer);
@@ -174,21 +174,21 @@
         });
     }
 
-    #finish(answer: () => void): void {
+    #finish(respond: () => void): void {
         this.#served += 1;
         this.#running -= 1;
-        answer();
-        this.#waiting.shift()?.run();
+        respond();
+        this.#queue.shift()?.run();
     }
 
-    async #chainOrAnswer(req: IncomingMessage, res: ServerResponse, path: string): Promise<void> {
+    async #chainOrRespond(req: IncomingMessage, res: ServerResponse, path: string): Promise<void> {
         if (path.startsWith("/chain") && this.control.next !== "") {
             const status = await this.#callNext(req);
             if (status >= 500) {
                 return sendJson(res, 502, { error: "the next service failed" });
             }
         }
-        this.#answer(req, res);
+        this.#respond(req, res);
     }
 
     /** A nested call through the local daemon; `next` is the daemon's ingress and the path, IP:PORT/PATH. */
@@ -208,32 +208,32 @@
         });
     }
 
-    #printLimited(req: IncomingMessage): void {
-        if (this.#statedAt !== undefined && performance.now() - this.#statedAt > TOLD_AFTER_MS) {
+    #printLimitedArrival(req: IncomingMessage): void {
+        if (this.#limitStatedAt !== undefined && performance.now() - this.#limitStatedAt > LIMIT_KNOWN_AFTER_MS) {
             process.stdout.write(
-                `L ${process.pid}.${this.#spells} ${this.control.limitPerSecond} ${req.headers["x-load-id"]}\n`,
+                `L ${process.pid}.${this.#limitPeriods} ${this.control.limitPerSecond} ${req.headers["x-load-id"]}\n`,
             );
         }
     }
 
-    #stateLimit(res: ServerResponse): void {
+    #setLimitHeader(res: ServerResponse): void {
         const { limitPerSecond } = this.control;
         if (limitPerSecond > 0) {
-            this.#spells += this.#statedAt === undefined ? 1 : 0;
-            this.#statedAt ??= performance.now();
+            this.#limitPeriods += this.#limitStatedAt === undefined ? 1 : 0;
+            this.#limitStatedAt ??= performance.now();
             res.setHeader("winglock-limit", String(limitPerSecond));
         }
     }
 
-    #answer(req: IncomingMessage, res: ServerResponse): void {
+    #respond(req: IncomingMessage, res: ServerResponse): void {
         if (!res.destroyed) {
-            this.#stateLimit(res);
+            this.#setLimitHeader(res);
             const fault = this.random() < this.control.faultShare ? this.control.answerFault : "none";
-            writeAnswer(req, res, fault);
+            writeResponse(req, res, fault);
         }
     }
 
-    #stream(req: IncomingMessage, res: ServerResponse): void {
+    #streamEvents(req: IncomingMessage, res: ServerResponse): void {
         const id = String(req.headers["x-load-id"] ?? "");
         let sent = 0;
         res.writeHead(200, { "content-type": "text/event-stream" });
--- a/standin/upstreamcontrol.ts
+++ b/standin/upstreamcontrol.ts
@@ -1,7 +1,7 @@
 /** What a test may tell an upstream. */
 
 /** What is done to answers: none, broken off, sent twice, shorter or longer than announced, of another request. */
-type AnswerFault = "none" | "cut" | "doubled" | "short" | "long" | "foreign" | "late";
+type ResponseFault = "none" | "cut" | "doubled" | "short" | "long" | "foreign" | "late";
 
 /** `slowdown` multiplies service times; `shed` refuses with or without saying that nothing ran. */
 export type UpstreamControl = {
@@ -15,7 +15,7 @@
     leaving: boolean;
     /** What it states in its answers as its limit of requests a second; 0 for none. */
     limitPerSecond: number;
-    answerFault: AnswerFault;
+    answerFault: ResponseFault;
     faultShare: number;
     /** Mean pause between slow spells, in milliseconds; 0 for none. */
     noiseEveryMs: number;
--- a/standin/upstreammain.ts
+++ b/standin/upstreammain.ts
@@ -3,17 +3,17 @@
 import { seededRandom } from "./seededrandom.js";
 import { UpstreamStandin } from "./upstream.js";
 
-const LINGER_MS = 2500;
+const EXIT_CHECK_EVERY_MS = 2500;
 
 const [address, slots, seed] = process.argv.slice(2);
 const standin = new UpstreamStandin(Number(slots), seededRandom(Number(seed)));
 listenOn(standin.server, address!);
 
 process.on("SIGTERM", () => {
-    standin.leave();
+    standin.startLeaving();
     setInterval(() => {
         if (standin.inFlight === 0) {
             process.exit(0);
         }
-    }, LINGER_MS);
+    }, EXIT_CHECK_EVERY_MS);
 });
