--- a/standin/documentedstoreapi.ts
+++ b/standin/documentedstoreapi.ts
@@ -1,14 +1,14 @@
-/** The calls of docs/DESIGN.md: `/v1/kv/KEY` with a version to compare or to wait for, and `/v1/hosts`. */
+/** Serves the store API of docs/DESIGN.md: `/v1/kv/KEY`, with a version to compare or to wait for, and `/v1/hosts`. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { readText } from "./readtext.js";
 import { sendJson } from "./sendjson.js";
 import { StoreApi } from "./storeapi.js";
 
 const MAX_VALUE_BYTES = 1024 * 1024;
-/** How often a watch looks whether the store has been told to fail. */
+/** Interval at which a watch checks whether a test has stopped the store. */
 const WATCH_POLL_MS = 100;
 
-/** A key's version is the store's revision when it was written. */
+/** Serves the documented API. The version of a key is the store revision of its last write. */
 export class DocumentedStoreApi extends StoreApi {
     async serve(req: IncomingMessage, res: ServerResponse, url: URL): Promise<void> {
         const key = url.pathname.slice("/v1/kv/".length);
--- a/standin/fault.ts
+++ b/standin/fault.ts
@@ -1,17 +1,23 @@
-/** What the proxy does to some links. */
+/** Fault that the proxy injects. */
 
-/** `cut` refuses and ends connections; `pause` holds bytes back; `lose` drops one direction. */
+/**
+ * Applies to the links and client halls that it selects. `cut` refuses and closes connections, `pause` holds bytes
+ * back, and `lose` drops the bytes of one direction; each of the three also drops all datagrams.
+ */
 export type Fault = {
-    /** Links by their listening address; empty for all. */
+    /** Listening addresses of the links; empty for all. */
     links: string[];
-    /** Only what comes from these places, by number; empty for all. */
+    /** Numbers of the halls from which clients connect or send; empty for all. */
     from: number[];
     cut?: boolean;
     pause?: boolean;
     lose?: "there" | "back";
     delayMs?: number;
-    /** Connections that are open when it is set carry nothing more, without an end, also after it is lifted; new ones work. */
+    /**
+     * Makes the connections that are open now unresponsive without closing them, also after the fault is lifted. New
+     * connections work.
+     */
     silent?: boolean;
-    /** Drops datagrams and leaves connections alone. */
+    /** Drops datagrams and does not affect connections. */
     deaf?: boolean;
 };
--- a/standin/forwarder.ts
+++ b/standin/forwarder.ts
@@ -1,4 +1,4 @@
-/** `forwarder IP:PORT TARGET`: a process that only forwards, the baseline for what control costs. */
+/** Forwards requests, as the baseline for the cost of a load balancer's control: `forwarder IP:PORT TARGET`. */
 import { createServer } from "node:http";
 import { pipeline } from "node:stream";
 import { Pool } from "undici";
--- a/standin/hostentry.ts
+++ b/standin/hostentry.ts
@@ -1,2 +1,2 @@
-/** A line of the platform's list of hosts. */
+/** Entry of the platform's list of hosts. */
 export type HostEntry = { readonly name: string; readonly state: "live" | "leaving"; };
--- a/standin/instance.ts
+++ b/standin/instance.ts
@@ -1,4 +1,4 @@
-/** A stand-in for an instance on the users' platform: it announces itself to the daemon beside it, and serves. */
+/** Stands in for an instance on the users' platform: announces itself to its daemon, and serves requests. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { setTimeout as wait } from "node:timers/promises";
 import type { InstanceControl } from "./instancecontrol.js";
@@ -6,24 +6,28 @@
 import { StandinServer } from "./standinserver.js";
 
 const ANNOUNCE_EVERY_MS = 200;
-/** Of a run that ends its instance: about as long as those seen took. */
+/** Run time of a request that crashes the instance; about as long as in observed crashes. */
 const CRASH_AFTER_MS = 60;
 
-/** Where it is and what it serves. */
+/** Identity, addresses and capacity of an instance. */
 type InstanceOptions = {
     readonly id: string;
     readonly service: string;
     readonly address: string;
     readonly slots: number;
-    /** The daemon's address for announcements. */
+    /** Address at which the daemon accepts announcements. */
     readonly daemon: string;
-    /** A request with this path ends the process soon after it has begun to run; empty for none. */
+    /** A request with this path ends the process `CRASH_AFTER_MS` after it starts to run; empty for none. */
     readonly crashPath: string;
 };
 
 /**
- * Prints `R id` for each request that it runs, and the time for each that arrives while it is cold (`C ms`), states a limit (`L ms id`) or says
- * that it leaves (`V ms id`), health questions among them, and of its first answer that states a limit (`S ms`); `POST /control` drives it.
+ * Serves requests, and prints a line for each of these events; `ms` is the time on the instance's monotonic clock:
+ * - `R id`: a request starts to run.
+ * - `C ms`: a request starts to run while the instance is cold.
+ * - `L ms id`: a request arrives while the instance states a rate limit; `id` is `health` for a health check.
+ * - `V ms id`: the same while the instance states that it is leaving.
+ * - `S ms`: the first response that states a rate limit is sent.
  */
 export class InstanceStandin extends StandinServer<InstanceControl> {
     #running = 0;
@@ -47,7 +51,7 @@
         setInterval(() => void this.#announce(), ANNOUNCE_EVERY_MS);
     }
 
-    /** The answer says whether the daemon has acknowledged the announcement. */
+    /** Announces the changed state; the response says whether the daemon acknowledged the announcement. */
     protected override async applyControl({ coldMs }: Partial<InstanceControl>): Promise<object> {
         if (coldMs !== undefined) {
             this.#coldEndsAt = performance.now() + coldMs;
--- a/standin/instancecontrol.ts
+++ b/standin/instancecontrol.ts
@@ -1,18 +1,18 @@
-/** What a test can do to the stand-in of an instance. */
+/** Control message of the instance stand-in. */
 
-/** `pace` in hundredths; `silent`: it announces nothing more. */
+/** What a test can set. `pace` is in hundredths and scales the work time; `silent` stops the announcements. */
 export type InstanceControl = {
     state: "ready" | "draining" | "left";
     workMs: number;
     pace: number;
     fault: "none" | "foreign" | "lost" | "short" | "unframed-reset" | "unframed-end";
     silent: boolean;
-    /** It turns cold for so long, in milliseconds. */
+    /** Time for which the instance becomes cold, in milliseconds. */
     coldMs: number;
-    /** What it states in its answers as its limit of requests a second; empty for no limit. */
+    /** Rate limit that responses state, in requests per second; `;` separates header values; empty for none. */
     limit: string;
-    /** It says in its answers that it leaves. */
+    /** Whether responses state that the instance is leaving. */
     leaving: boolean;
-    /** Its health answers say both too. */
+    /** Whether responses to health checks also state the limit and leaving. */
     saysOnHealth: boolean;
 };
--- a/standin/instancemain.ts
+++ b/standin/instancemain.ts
@@ -1,4 +1,4 @@
-/** `instancemain ID SERVICE IP:PORT SLOTS DAEMON [CRASH-PATH]`. */
+/** Runs the instance stand-in: `instancemain ID SERVICE IP:PORT SLOTS DAEMON [CRASH-PATH]`. */
 import { InstanceStandin } from "./instance.js";
 import { listenOn } from "./listenon.js";
 
--- a/standin/link.ts
+++ b/standin/link.ts
@@ -1,4 +1,4 @@
-/** One way through the proxy. */
+/** Listener of the proxy and the target to which it forwards. */
 
-/** From a listening address to a target; `place` is the data hall of the target. */
+/** Maps a listening address to a target address; `place` is the number of the target's data hall. */
 export type Link = { readonly listen: string; readonly target: string; readonly place: number; };
--- a/standin/listenon.ts
+++ b/standin/listenon.ts
@@ -1,7 +1,7 @@
-/** Starts a stand-in's listener and reports it to the parent process. */
+/** Starts the listener of a stand-in and reports to the parent process when it is ready. */
 import type { Server } from "node:net";
 
-/** Listens at `IP:PORT` and prints a line when it does. */
+/** Listens at `IP:PORT`, and prints `ready` once the listener is open. */
 export function listenOn(server: Server, address: string): void {
     const colon = address.lastIndexOf(":");
     server.listen(Number(address.slice(colon + 1)), address.slice(0, colon), () => console.log("ready"));
--- a/standin/platformstoreapi.ts
+++ b/standin/platformstoreapi.ts
@@ -1,10 +1,10 @@
-/** The calls of the platform's store in the names of deploy/wire.toml: revisions, conditions, leases, watches. */
+/** Serves the store API with the names of deploy/wire.toml: revisions, conditional writes, leases and watches. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { readJson } from "./readjson.js";
 import { sendJson } from "./sendjson.js";
 import { StoreApi } from "./storeapi.js";
 
-/** How often a watch looks whether its caller has gone. */
+/** Interval at which a watch checks whether its caller has disconnected. */
 const WATCH_POLL_MS = 100;
 
 type Put = { readonly key: string; readonly value: string; readonly lease?: number; };
@@ -14,7 +14,7 @@
     readonly remove?: readonly string[];
 };
 
-/** `/api/CALL`, some with a lease's number behind it. */
+/** Serves `/api/CALL`, and `/api/CALL/LEASE` for the calls that take a lease id. */
 export class PlatformStoreApi extends StoreApi {
     async serve(req: IncomingMessage, res: ServerResponse, url: URL): Promise<void> {
         const { data, count } = this.deps;
@@ -44,7 +44,7 @@
         }
     }
 
-    /** The era is that of the answer, not of the call. */
+    /** Sends a response with the era at the time of the response, not of the call. */
     #respond(res: ServerResponse, status: number, body: object): void {
         const era = this.deps.era();
         if (era !== undefined) {
@@ -81,7 +81,9 @@
         if (put.some(({ lease }) => lease !== undefined && !data.isLeaseValid(lease))) {
             return this.#respond(res, 404, {});
         }
-        const isExpectationMet = expect.every(({ key, storeRevision }) => (data.find(key)?.storeRevision ?? 0) === storeRevision);
+        const isExpectationMet = expect.every(({ key, storeRevision }) =>
+            (data.find(key)?.storeRevision ?? 0) === storeRevision
+        );
         if (!isExpectationMet) {
             return this.#respond(res, 412, { items: expect.map(({ key }) => data.find(key)).filter(Boolean) });
         }
--- a/standin/proxy.ts
+++ b/standin/proxy.ts
@@ -1,10 +1,15 @@
-/** A TCP and UDP proxy that injects delay, loss, cuts and pauses. */
+/** Forwards TCP connections and UDP datagrams, and injects delay, loss, cuts and pauses. */
 import { createSocket } from "node:dgram";
 import { connect, createServer, type Socket } from "node:net";
 import type { Fault } from "./fault.js";
 import type { Link } from "./link.js";
 
-type ProxiedConnection = { readonly link: Link; readonly from: number; readonly near: Socket; readonly far: Socket; };
+type ProxiedConnection = {
+    readonly link: Link;
+    readonly clientHall: number;
+    readonly client: Socket;
+    readonly target: Socket;
+};
 
 const HALL_OCTET = 2;
 const PAUSE_POLL_MS = 10;
@@ -16,7 +21,10 @@
     return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 };
 
-/** A host's place is the third number of its IP; between places each direction takes `betweenMs`. */
+/**
+ * Forwards links. The third octet of a host's IP is the number of its hall; between halls, each direction takes
+ * `interHallDelayMs`.
+ */
 export class Proxy {
     readonly #connections = new Set<ProxiedConnection>();
     readonly #unresponsive = new WeakSet<ProxiedConnection>();
@@ -24,21 +32,21 @@
 
     constructor(private readonly interHallDelayMs: number) {}
 
-    /** Replaces all faults; connections that a cut hits are ended. */
+    /** Replaces all faults, and closes the connections to which a cut applies. */
     setFaults(faults: Fault[]): void {
         this.#faults = faults;
         for (const connection of this.#connections) {
-            if (this.#findFault(connection.link, connection.from, "cut") !== undefined) {
-                connection.near.destroy();
-                connection.far.destroy();
+            if (this.#findFault(connection.link, connection.clientHall, "cut") !== undefined) {
+                connection.client.destroy();
+                connection.target.destroy();
             }
-            if (this.#findFault(connection.link, connection.from, "silent") !== undefined) {
+            if (this.#findFault(connection.link, connection.clientHall, "silent") !== undefined) {
                 this.#unresponsive.add(connection);
             }
         }
     }
 
-    /** Forwards a link's connections and datagrams. */
+    /** Opens the listeners of a link and forwards its connections and datagrams. */
     async open(link: Link): Promise<void> {
         await this.#openTcp(link);
         await this.#openUdp(link);
@@ -54,7 +62,8 @@
     }
 
     #delayMs(link: Link, clientHall: number): number {
-        return (clientHall === link.place ? 0 : this.interHallDelayMs) + (this.#findFault(link, clientHall, "delayMs") ?? 0);
+        return (clientHall === link.place ? 0 : this.interHallDelayMs)
+            + (this.#findFault(link, clientHall, "delayMs") ?? 0);
     }
 
     #openTcp(link: Link): Promise<void> {
@@ -70,7 +79,7 @@
             return;
         }
         const target = connect({ ...parseAddress(link.target), noDelay: true });
-        const connection = { link, from: clientHall, near: client, far: target };
+        const connection = { link, clientHall, client, target };
         this.#connections.add(connection);
         this.#forward(connection, client, target, "there");
         this.#forward(connection, target, client, "back");
@@ -86,7 +95,7 @@
             if (this.#unresponsive.has(connection)) {
                 return;
             }
-            const delayMs = this.#delayMs(connection.link, connection.from);
+            const delayMs = this.#delayMs(connection.link, connection.clientHall);
             if (delayMs === 0) {
                 enqueue(act);
             }
@@ -108,11 +117,11 @@
     }
 
     #isLost(connection: ProxiedConnection, direction: "there" | "back"): boolean {
-        return this.#findFault(connection.link, connection.from, "lose") === direction;
+        return this.#findFault(connection.link, connection.clientHall, "lose") === direction;
     }
 
     async #waitWhilePaused(connection: ProxiedConnection): Promise<void> {
-        while (this.#findFault(connection.link, connection.from, "pause") === true) {
+        while (this.#findFault(connection.link, connection.clientHall, "pause") === true) {
             await new Promise(resolve => setTimeout(resolve, PAUSE_POLL_MS));
         }
     }
--- a/standin/proxymain.ts
+++ b/standin/proxymain.ts
@@ -1,4 +1,4 @@
-/** `proxymain IP:PORT BETWEEN_MS LINKS.json`; `POST /control` takes the list of faults. */
+/** Runs the proxy: `proxymain IP:PORT BETWEEN_MS LINKS.json`. `POST /control` replaces the list of faults. */
 import { readFileSync } from "node:fs";
 import { createServer } from "node:http";
 import type { Fault } from "./fault.js";
--- a/standin/readtext.ts
+++ b/standin/readtext.ts
@@ -1,4 +1,4 @@
-/** Reads a request's body. */
+/** Reads the body of a request as text. */
 import type { IncomingMessage } from "node:http";
 
 /** Resolves with the whole body as text. */
--- a/standin/sampleservicetime.ts
+++ b/standin/sampleservicetime.ts
@@ -1,9 +1,9 @@
-/** How long a stand-in takes. */
+/** Samples how long the upstream stand-in takes for a request. */
 
-/** Spread: `none` is constant, `low` within a half either way. */
+/** Spread of service times: `none` is constant, `low` is uniform within 50 % of the mean. */
 type Spread = "none" | "low";
 
-/** Draws a service time in milliseconds; `random` is from 0 up to 1. */
+/** Returns a service time in milliseconds; `random` is a random number from 0 up to, but not including, 1. */
 export function sampleServiceTime(meanMs: number, spread: Spread, random: number): number {
     switch (spread) {
         case "none":
--- a/standin/seededrandom.ts
+++ b/standin/seededrandom.ts
@@ -1,6 +1,6 @@
-/** Repeatable randomness (mulberry32). */
+/** Generates repeatable random numbers with mulberry32. */
 
-/** Returns a source of numbers from 0 up to 1 that is the same for the same seed. */
+/** Returns a generator of numbers from 0 up to, but not including, 1; the same seed gives the same sequence. */
 export function seededRandom(seed: number): () => number {
     let state = seed >>> 0;
     return () => {
--- a/standin/sendjson.ts
+++ b/standin/sendjson.ts
@@ -1,7 +1,7 @@
-/** Answers with JSON. */
+/** Sends a JSON response. */
 import type { ServerResponse } from "node:http";
 
-/** Writes the status and the value; nothing is written for `undefined`. */
+/** Sends the status with the value as its body, or without a body if the value is undefined. */
 export function sendJson(res: ServerResponse, status: number, value?: unknown): void {
     res.writeHead(status, { "content-type": "application/json" });
     res.end(value === undefined ? undefined : JSON.stringify(value));
--- a/standin/standinserver.ts
+++ b/standin/standinserver.ts
@@ -1,18 +1,18 @@
-/** What all stand-ins that speak HTTP have in common: a listener, and `POST /control` by which a test drives them. */
+/** Base class of the stand-ins that serve requests: an HTTP listener, and `POST /control` for tests. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import { readJson } from "./readjson.js";
 import { sendJson } from "./sendjson.js";
 
-/** `Control` is what a test may set; fields that a call leaves out stay as they are. */
+/** Holds the control settings. Fields that a control call leaves out keep their values. */
 export abstract class StandinServer<Control extends object> {
     readonly server: Server = createServer((req, res) => void this.#handle(req, res));
 
     constructor(protected control: Control) {}
 
-    /** Serves whatever is not for `/control`. */
+    /** Serves a request to any path other than `/control`. */
     protected abstract serve(req: IncomingMessage, res: ServerResponse, url: URL): Promise<void>;
 
-    /** Acts on a new control; what it resolves with is the answer. */
+    /** Acts on the changed settings, which are already in `control`; resolves with the body of the response. */
     protected async applyControl(_changes: Partial<Control>): Promise<object> {
         return this.control;
     }
--- a/standin/store.ts
+++ b/standin/store.ts
@@ -1,4 +1,4 @@
-/** A stand-in for the platform's key-value service and its lagging list of hosts. */
+/** Stands in for the platform's key-value service and its list of hosts, which lags behind changes. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import { setTimeout as wait } from "node:timers/promises";
@@ -12,10 +12,11 @@
 import type { StoreDependencies } from "./storedependencies.js";
 
 const HOSTS_LAG_MS = 500;
+/** Leaves time to send the response to the control call that makes open connections unresponsive. */
 const UNRESPONSIVE_DELAY_MS = 20;
 const DEFAULT_RATE_PER_SECOND = 2000;
 
-/** Called in two forms, over one set of data; `GET /counts` tells how often, by kind of call. */
+/** Serves two APIs over one set of data. `GET /counts` returns the number of calls of each kind. */
 export class StoreStandin extends StandinServer<StoreControl> {
     readonly #data = new StoreData();
     readonly #counts: Record<string, number> = { reads: 0, writes: 0, watches: 0, refused: 0 };
@@ -115,7 +116,10 @@
         return this.control;
     }
 
-    /** The answer to the call that asks for it still goes out; none of them is told that the store has come back from a copy. */
+    /**
+     * Makes the connections that are open now unresponsive, after a delay in which the response to the control call is
+     * sent. The store is restored after that, so that no caller learns of the restore on one of these connections.
+     */
     #makeOpenUnresponsive(isRestoring: boolean): void {
         const sockets = [...this.#openSockets];
         setTimeout(() => {
--- a/standin/storeapi.ts
+++ b/standin/storeapi.ts
@@ -1,8 +1,8 @@
-/** One form in which the stand-in of a store is called. */
+/** Base class of the APIs through which the store stand-in is called. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { StoreDependencies } from "./storedependencies.js";
 
-/** Knows paths and bodies; the data, and what is done to calls, are the stand-in's. */
+/** Maps paths and bodies to calls. The stand-in owns the data and injects the faults. */
 export abstract class StoreApi {
     constructor(protected readonly deps: StoreDependencies) {}
 
--- a/standin/storecontrol.ts
+++ b/standin/storecontrol.ts
@@ -1,33 +1,33 @@
-/** What a test may tell the store. */
+/** Control message of the store stand-in. */
 import type { HostEntry } from "./hostentry.js";
 
-/** Times in milliseconds. */
+/** What a test can set. Times are in milliseconds. One-time settings act once for each call that sets them. */
 export type StoreControl = {
-    /** Connections are ended unanswered. */
+    /** Closes connections without a response. */
     down: boolean;
-    /** A status that every call gets, 0 for none. */
+    /** Status with which every call is refused; 0 for none. */
     refuse: 0 | 429 | 503;
-    /** Calls wait for ever. */
+    /** Leaves calls without a response. */
     silent: boolean;
-    /** Connections that are open now carry nothing more, without an end; once for each call. */
+    /** Makes the connections that are open now unresponsive, without closing them. One-time. */
     muteOpen: boolean;
-    /** `refuse` and `silent` strike only callers with these IPs; empty for all. */
+    /** IP addresses of the callers to which `refuse` and `silent` apply; empty for all. */
     from: readonly string[];
-    /** So many of the next writes are done and not answered. */
+    /** Number of next writes that are applied but get no response. */
     loseAnswers: number;
     delayMs: number;
-    /** More calls in a second are refused with 429. */
+    /** Number of calls per second beyond which calls are refused with 429. */
     ratePerSecond: number;
-    /** Forgets what is older than the present; once for each call. */
+    /** Discards the history of changes up to the current revision. One-time. */
     forget: boolean;
-    /** Makes the copy that it may come back from; once for each call. */
+    /** Makes the backup from which `comeBack` restores. One-time. */
     makeCopy: boolean;
-    /** Comes back from its copy; once for each call. */
+    /** Restores the store from its backup. One-time. */
     comeBack: boolean;
-    /** Whether answers say how often it has. */
+    /** Whether responses state the era, which grows with each restore. */
     tellsEra: boolean;
-    /** Ends all leases; once for each call. */
+    /** Ends all leases. One-time. */
     revoke: boolean;
-    /** The list of hosts, shown after a lag. */
+    /** List of hosts, which takes effect after a lag. */
     hosts: readonly HostEntry[];
 };
--- a/standin/storedata.ts
+++ b/standin/storedata.ts
@@ -1,4 +1,4 @@
-/** What the stand-in of the store holds. */
+/** Data of the store stand-in: items, leases and the history of changes. */
 
 type Item = { readonly key: string; readonly value: string; readonly storeRevision: number; readonly lease: number; };
 type ChangeEvent = Item | { readonly key: string; readonly storeRevision: number; readonly gone: true; };
@@ -6,7 +6,7 @@
 
 const EXPIRY_CHECK_EVERY_MS = 50;
 
-/** All that a copy holds. */
+/** Contents of a backup. */
 type Backup = {
     readonly items: ReadonlyMap<string, Item>;
     readonly leases: ReadonlyMap<number, Lease>;
@@ -14,7 +14,7 @@
     readonly revision: number;
 };
 
-/** One revision for all; leases end by themselves. */
+/** Holds the data under one revision for the whole store, and removes the items of expired leases. */
 export class StoreData {
     readonly #items = new Map<string, Item>();
     readonly #leases = new Map<number, Lease>();
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Resolves at the next change, or after `timeoutMs`. */
+    /** Resolves at the next change, compaction or restore, or after `timeoutMs`. */
     nextChange(timeoutMs: number): Promise<void> {
         return new Promise(resolve => {
             const finish = (): void => {
@@ -72,18 +72,21 @@
         });
     }
 
-    /** How often it has come back from a copy, and one. */
+    /** Returns 1 plus the number of restores from a backup. */
     get era(): number {
         return this.#era;
     }
 
-    /** Makes the copy that it may come back from. */
+    /** Replaces the backup by one of the current data. */
     createBackup(): void {
         const leases = new Map([...this.#leases].map(([id, lease]) => [id, { ...lease }]));
         this.#backup = { items: new Map(this.#items), leases, events: [...this.#events], revision: this.#revision };
     }
 
-    /** What has been written since the copy is gone: items, leases, and revisions, which are given out again. */
+    /**
+     * Restores the backup. What was written since is lost: items, leases, and revisions, which are then assigned again.
+     * The restored leases get their full TTL.
+     */
     restoreBackup(): void {
         const { items, leases, events, revision } = this.#backup!;
         this.#items.clear();
@@ -96,13 +99,14 @@
         this.#notifyWaiters();
     }
 
+    /** Discards the history of changes. */
     compact(): void {
         this.#events = [];
         this.#compactedRevision = this.#revision;
         this.#notifyWaiters();
     }
 
-    /** True for a revision behind which changes may be missing, and for one that it has not come to. */
+    /** Returns true if changes after the revision may have been discarded, or if the store has not reached it. */
     isUnavailable(after: number): boolean {
         return after < this.#compactedRevision || after > this.#revision;
     }
@@ -113,10 +117,12 @@
         return { lease, ttl_ms: ttlMs };
     }
 
+    /** Returns true if the lease has not expired; id 0 stands for no lease and is always valid. */
     isLeaseValid(id: number): boolean {
         return id === 0 || (this.#leases.get(id)?.expiresAt ?? 0) > performance.now();
     }
 
+    /** Extends the lease by its full TTL; returns false if it has expired or does not exist. */
     renewLease(id: number): boolean {
         if (!this.isLeaseValid(id)) {
             return false;
@@ -126,6 +132,7 @@
         return true;
     }
 
+    /** Ends the lease and removes its items; returns whether it was valid. */
     endLease(id: number): boolean {
         const wasValid = this.isLeaseValid(id);
         const lease = this.#leases.get(id);
--- a/standin/storedependencies.ts
+++ b/standin/storedependencies.ts
@@ -1,19 +1,19 @@
-/** What the stand-in of a store lends to the forms in which it is called. */
+/** What the store stand-in provides to the APIs through which it is called. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { HostEntry } from "./hostentry.js";
 import type { StoreData } from "./storedata.js";
 
-/** Functions are asked anew by each call, since a test may change things while a watch waits. */
+/** The settings are functions, called again for each use, since a test may change a setting while a watch waits. */
 export type StoreDependencies = {
     readonly data: StoreData;
     readonly hosts: () => readonly HostEntry[];
     readonly isDown: () => boolean;
-    /** Counts a call under a name. */
+    /** Counts a call of the given kind. */
     readonly count: (name: string) => void;
-    /** True when the call gets nothing more: it was refused, or is left without an answer. */
+    /** Returns true if a fault applies to the call: it was refused here, or it gets no response. */
     readonly intercepts: (req: IncomingMessage, res: ServerResponse) => boolean;
-    /** True when the answer to a write that is done is to be lost. */
+    /** Returns true if the response to a completed write must not be sent. */
     readonly dropsResponse: () => boolean;
-    /** How often the store has come back from a copy, and one; undefined where it does not say. */
+    /** Returns 1 plus the number of restores from a backup, or undefined if the store does not report its era. */
     readonly era: () => number | undefined;
 };
--- a/standin/storemain.ts
+++ b/standin/storemain.ts
@@ -1,4 +1,4 @@
-/** `storemain IP:PORT`. */
+/** Runs the store stand-in: `storemain IP:PORT`. */
 import { listenOn } from "./listenon.js";
 import { StoreStandin } from "./store.js";
 
--- a/standin/upstream.ts
+++ b/standin/upstream.ts
@@ -1,4 +1,4 @@
-/** A stand-in for a service's instance. */
+/** Stands in for an upstream that uses winglock's own header fields. */
 import { type IncomingMessage, request, type ServerResponse } from "node:http";
 import { sampleServiceTime } from "./sampleservicetime.js";
 import { sendJson } from "./sendjson.js";
@@ -9,16 +9,16 @@
 const STREAM_EVERY_MS = 50;
 const STREAM_EVENTS = 10;
 const CRASH_SUFFIX = "/crash";
-/** Milliseconds after the first answer that states a limit: whoever passed it on knows it. */
+/** Time after the first response that states a limit by which the daemon that relayed it knows the limit. */
 const LIMIT_KNOWN_AFTER_MS = 500;
 
 type QueuedRequest = { readonly run: () => void; };
 
 /**
- * Serves a bounded number of requests at once, the rest in turn, and prints a line for each that arrives, `A id`, and for
- * each that it runs, `R id`. One that arrives half a second after the first answer that states a limit, or later, gets `L spell limit id` too.
- * `/events` streams, `/poll?ms=N` waits without a slot, `/chain` calls the next service through the local daemon; a path that ends with
- * `/crash` ends the process in place of an answer.
+ * Runs up to `slots` requests at once and queues the rest. `/events` streams and `/poll?ms=N` waits, both without a
+ * slot; `/chain` calls the next service through the local daemon; a path that ends with `/crash` ends the process.
+ * Prints `A id` when a request arrives, `R id` when it starts to run, and `L period limit id` when it arrives more than
+ * `LIMIT_KNOWN_AFTER_MS` after the first response of a period in which the upstream states a rate limit.
  */
 export class UpstreamStandin extends StandinServer<UpstreamControl> {
     readonly #queue: QueuedRequest[] = [];
@@ -27,7 +27,7 @@
     #served = 0;
     #cancelled = 0;
     #inFlight = 0;
-    /** Spells in which a limit was stated, and since when it is in this one. */
+    /** Number of periods with a stated limit, and the time of the first response of the current period. */
     #limitPeriods = 0;
     #limitStatedAt: number | undefined;
 
@@ -52,7 +52,7 @@
         return this.#inFlight;
     }
 
-    /** Refuses new requests from now on and says so; what runs is finished. */
+    /** Refuses new requests from now on, stating that it leaves; finishes the queued and running ones. */
     startLeaving(): void {
         this.control.leaving = true;
     }
@@ -79,7 +79,7 @@
         return this.control;
     }
 
-    /** A noisy neighbour: 5 to 10 times slower for 50 to 500 ms, again and again at random. */
+    /** Simulates a noisy neighbor: 5 to 10 times slower for 50 to 500 ms, after random pauses. */
     #scheduleNoise(): void {
         const pauseMs = -Math.log(1 - this.random()) * this.control.noiseEveryMs;
         setTimeout(() => {
@@ -191,7 +191,7 @@
         this.#respond(req, res);
     }
 
-    /** A nested call through the local daemon; `next` is the daemon's ingress and the path, IP:PORT/PATH. */
+    /** Makes a nested call through the local daemon, and resolves with the status, or with 500 if the call fails. */
     #callNext(req: IncomingMessage): Promise<number> {
         const headers: Record<string, string> = { "winglock-context": String(req.headers["winglock-context"] ?? "") };
         if (req.headers["x-load-id"] !== undefined) {
--- a/standin/upstreammain.ts
+++ b/standin/upstreammain.ts
@@ -1,4 +1,4 @@
-/** `upstreammain IP:PORT SLOTS SEED`; SIGTERM stops it by plan. */
+/** Runs the upstream stand-in: `upstreammain IP:PORT SLOTS SEED`. On SIGTERM it leaves, and exits when it is idle. */
 import { listenOn } from "./listenon.js";
 import { seededRandom } from "./seededrandom.js";
 import { UpstreamStandin } from "./upstream.js";
--- a/standin/writeresponse.ts
+++ b/standin/writeresponse.ts
@@ -1,4 +1,4 @@
-/** A stand-in's answer, sound or faulty. */
+/** Writes the response of the upstream stand-in, correct or with an injected fault. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { UpstreamControl } from "./upstreamcontrol.js";
 
@@ -6,7 +6,10 @@
 const LENGTH_ERROR_BYTES = 10;
 const LATE_DELAY_MS = 300;
 
-/** Echoes the load's id in the body and the daemon's id in the head, but for what the fault changes. */
+/**
+ * Writes a response with the load generator's id in the body and the daemon's request id in the head, except for what
+ * the fault changes.
+ */
 export function writeResponse(req: IncomingMessage, res: ServerResponse, fault: UpstreamControl["answerFault"]): void {
     const id = String(req.headers["x-load-id"] ?? "");
     const body = JSON.stringify({ id, depth: req.headers["winglock-timeout-ms"], pad: "x".repeat(PAD_BYTES) });
@@ -17,7 +20,8 @@
         res.end(body);
     };
     const writeRaw = (contentLength: number, bytes: string): void => {
-        const head = `HTTP/1.1 200 OK\r\ncontent-length: ${contentLength}\r\nwinglock-request-id: ${daemonRequestId}\r\n\r\n`;
+        const head =
+            `HTTP/1.1 200 OK\r\ncontent-length: ${contentLength}\r\nwinglock-request-id: ${daemonRequestId}\r\n\r\n`;
         res.socket?.write(head + bytes);
     };
     const destroySocket = (afterMs: number): void => {
