--- a/standin/proxy.ts
+++ b/standin/proxy.ts
@@ -91,16 +91,16 @@
         const enqueue = (action: () => void): void => {
             previous = previous.then(() => this.#waitWhilePaused(connection)).then(action);
         };
-        const schedule = (act: () => void): void => {
+        const schedule = (action: () => void): void => {
             if (this.#unresponsive.has(connection)) {
                 return;
             }
             const delayMs = this.#delayMs(connection.link, connection.clientHall);
             if (delayMs === 0) {
-                enqueue(act);
+                enqueue(action);
             }
             else {
-                setTimeout(() => enqueue(act), delayMs);
+                setTimeout(() => enqueue(action), delayMs);
             }
         };
         source.on("data", chunk => schedule(() => void (this.#isLost(connection, direction) || sink.write(chunk))));
--- a/standin/storedata.ts
+++ b/standin/storedata.ts
@@ -99,7 +99,7 @@
         this.#notifyWaiters();
     }
 
-    /** Discards the history of changes. */
+    /** Discards the history of changes up to the current revision. */
     compact(): void {
         this.#events = [];
         this.#compactedRevision = this.#revision;
--- a/standin/upstream.ts
+++ b/standin/upstream.ts
@@ -12,7 +12,7 @@
 /** Time after the first response that states a limit by which the daemon that relayed it knows the limit. */
 const LIMIT_KNOWN_AFTER_MS = 500;
 
-type QueuedRequest = { readonly run: () => void; };
+type Job = { readonly run: () => void; };
 
 /**
  * Runs up to `slots` requests at once and queues the rest. `/events` streams and `/poll?ms=N` waits, both without a
@@ -21,7 +21,7 @@
  * `LIMIT_KNOWN_AFTER_MS` after the first response of a period in which the upstream states a rate limit.
  */
 export class UpstreamStandin extends StandinServer<UpstreamControl> {
-    readonly #queue: QueuedRequest[] = [];
+    readonly #queue: Job[] = [];
     #isNoisy = false;
     #running = 0;
     #served = 0;
@@ -119,12 +119,12 @@
             this.#printRun(req);
             return this.#streamEvents(req, res);
         }
-        const queued = { run: () => this.#run(req, res, path) };
+        const job = { run: () => this.#run(req, res, path) };
         if (this.#running < this.slots) {
-            queued.run();
+            job.run();
         }
         else {
-            this.#queue.push(queued);
+            this.#queue.push(job);
         }
     }
 
