--- a/standin/forwarder.ts
+++ b/standin/forwarder.ts
@@ -1,4 +1,4 @@
-/** `forwarder IP:PORT TARGET`: a process that only forwards, the baseline for what control costs. */
+/** Forwards requests, as the baseline for the cost of a load balancer's control: `forwarder IP:PORT TARGET`. */
 import { createServer } from "node:http";
 import { pipeline } from "node:stream";
 import { Pool } from "undici";
@@ -11,9 +11,9 @@
     const { connection: _connection, ...headers } = req.headers;
     const hasBody = req.headers["content-length"] !== undefined;
     pool.request({ method: req.method as "GET", path: req.url!, headers, body: hasBody ? req : undefined }).then(
-        answer => {
-            res.writeHead(answer.statusCode, answer.headers);
-            pipeline(answer.body, res, () => {});
+        response => {
+            res.writeHead(response.statusCode, response.headers);
+            pipeline(response.body, res, () => {});
         },
         () => res.destroy(),
     );
--- a/standin/instance.ts
+++ b/standin/instance.ts
@@ -1,4 +1,4 @@
-/** A stand-in for an instance on the users' platform: it announces itself to the daemon beside it, and serves. */
+/** Stands in for an instance on the users' platform: announces itself to its daemon, and serves requests. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { setTimeout as wait } from "node:timers/promises";
 import type { InstanceControl } from "./instancecontrol.js";
@@ -6,31 +6,35 @@
 import { StandinServer } from "./standinserver.js";
 
 const ANNOUNCE_EVERY_MS = 200;
-/** Of a run that ends its instance: about as long as those seen took. */
+/** Run time of a request that crashes the instance; about as long as in observed crashes. */
 const CRASH_AFTER_MS = 60;
 
-/** Where it is and what it serves. */
+/** Identity, addresses and capacity of an instance. */
 type InstanceOptions = {
     readonly id: string;
     readonly service: string;
     readonly address: string;
     readonly slots: number;
-    /** The daemon's address for announcements. */
+    /** Address at which the daemon accepts announcements. */
     readonly daemon: string;
-    /** A request with this path ends the process soon after it has begun to run; empty for none. */
+    /** A request with this path ends the process `CRASH_AFTER_MS` after it starts to run; empty for none. */
     readonly crashPath: string;
 };
 
 /**
- * Prints `R id` for each request that it runs, and the time for each that arrives while it is cold (`C ms`), states a limit (`L ms id`) or says
- * that it leaves (`V ms id`), health questions among them, and of its first answer that states a limit (`S ms`); `POST /control` drives it.
+ * Serves requests, and prints a line for each of these events; `ms` is the time on the instance's monotonic clock:
+ * - `R id`: a request starts to run.
+ * - `C ms`: a request starts to run while the instance is cold.
+ * - `L ms id`: a request arrives while the instance states a rate limit; `id` is `health` for a health check.
+ * - `V ms id`: the same while the instance states that it is leaving.
+ * - `S ms`: the first response that states a rate limit is sent.
  */
 export class InstanceStandin extends StandinServer<InstanceControl> {
     #running = 0;
     #sequence = 0;
-    #coldUntil = 0;
-    #hasStated = false;
-    readonly #born = Date.now();
+    #coldEndsAt = 0;
+    #hasStatedLimit = false;
+    readonly #incarnation = Date.now();
 
     constructor(private readonly options: InstanceOptions) {
         super({
@@ -47,10 +51,10 @@
         setInterval(() => void this.#announce(), ANNOUNCE_EVERY_MS);
     }
 
-    /** The answer says whether the daemon has acknowledged the announcement. */
-    protected override async controlled({ coldMs }: Partial<InstanceControl>): Promise<object> {
+    /** Announces the changed state; the response says whether the daemon acknowledged the announcement. */
+    protected override async applyControl({ coldMs }: Partial<InstanceControl>): Promise<object> {
         if (coldMs !== undefined) {
-            this.#coldUntil = performance.now() + coldMs;
+            this.#coldEndsAt = performance.now() + coldMs;
         }
         return { acknowledged: await this.#announce() };
     }
@@ -61,7 +65,7 @@
         this.#printArrival(req);
         if (req.url === "/health") {
             if (this.control.saysOnHealth) {
-                this.#sayState(res);
+                this.#setStateHeaders(res);
             }
             if (this.#coldMs > 0) {
                 res.setHeader("cold-ms", this.#coldMs);
@@ -72,25 +76,25 @@
         if (expected !== undefined && expected !== this.options.id) {
             return sendJson(res, 421, {});
         }
-        await this.#work(req, res);
+        await this.#runRequest(req, res);
     }
 
     #printArrival(req: IncomingMessage): void {
-        const who = `${performance.now()} ${String(req.headers["attempt-id"] ?? "health")}`;
+        const arrival = `${performance.now()} ${String(req.headers["attempt-id"] ?? "health")}`;
         if (this.control.limit !== "") {
-            console.log(`L ${who}`);
+            console.log(`L ${arrival}`);
         }
         if (this.control.leaving) {
-            console.log(`V ${who}`);
+            console.log(`V ${arrival}`);
         }
     }
 
-    #sayState(res: ServerResponse): void {
+    #setStateHeaders(res: ServerResponse): void {
         const { limit, leaving } = this.control;
         if (limit !== "") {
             res.setHeader("server-limit", limit.split(";"));
-            if (!this.#hasStated) {
-                this.#hasStated = true;
+            if (!this.#hasStatedLimit) {
+                this.#hasStatedLimit = true;
                 console.log(`S ${performance.now()}`);
             }
         }
@@ -100,10 +104,10 @@
     }
 
     get #coldMs(): number {
-        return Math.max(0, Math.ceil(this.#coldUntil - performance.now()));
+        return Math.max(0, Math.ceil(this.#coldEndsAt - performance.now()));
     }
 
-    async #work(req: IncomingMessage, res: ServerResponse): Promise<void> {
+    async #runRequest(req: IncomingMessage, res: ServerResponse): Promise<void> {
         const id = String(req.headers["attempt-id"]);
         console.log(`R ${id}`);
         if (this.#coldMs > 0) {
@@ -116,7 +120,7 @@
         }
         await wait(this.control.workMs * this.control.pace / 100);
         this.#running -= 1;
-        this.#sayState(res);
+        this.#setStateHeaders(res);
         res.setHeader("attempt-id", this.control.fault === "foreign" ? "another" : id);
         res.setHeader("server-signature", `of-${this.options.id}`);
         const { host } = req.headers;
@@ -155,16 +159,16 @@
             slots,
             state,
             coldMs: this.#coldMs,
-            born: this.#born,
+            born: this.#incarnation,
             sequence: this.#sequence++,
         });
         try {
             const method = state === "left" ? "DELETE" : "POST";
-            const answer = await fetch(`http://${daemon}/v1/upstreams/${id}`, {
+            const response = await fetch(`http://${daemon}/v1/upstreams/${id}`, {
                 method,
-                body: method === "POST" ? body : JSON.stringify({ born: this.#born }),
+                body: method === "POST" ? body : JSON.stringify({ born: this.#incarnation }),
             });
-            return answer.ok;
+            return response.ok;
         }
         catch {
             return false;
