--- a/test/callers.test.ts
+++ b/test/callers.test.ts
@@ -6,15 +6,15 @@
 import type { PlatformTold } from "./platformtold.js";
 import { withPlatform } from "./withplatform.js";
 
-const SENT = 200;
-/** Of three standard deviations of a fair draw of 200, rounded up. */
-const OFF = 0.11;
+const REQUESTS = 200;
+/** Three standard deviations of the share in 200 requests that are split at random with equal weights, rounded up. */
+const SHARE_TOLERANCE = 0.11;
 
-/** Milliseconds: the users' bound on a new connection at a daemon that says it is ready. */
-const TAKEN_WITHIN_MS = 3000;
-const CONNECTIONS = 60;
+/** The users' bound on a new connection at a daemon that reports that it is ready. */
+const ACCEPT_BOUND_MS = 3000;
+const CONNECTIONS_PER_ROUND = 60;
 
-const split = {
+const splitRule = {
     name: "split",
     host: "site.example",
     pathPrefix: "/split/",
@@ -26,82 +26,93 @@
     priority: 1,
 };
 
-const serviceOf = (told: PlatformTold): string =>
-    /^of-i-(\w+)-/.exec(String(told.headers["server-signature"] ?? ""))?.[1] ?? "none";
+const serviceOf = (response: PlatformTold): string =>
+    /^of-i-(\w+)-/.exec(String(response.headers["server-signature"] ?? ""))?.[1] ?? "none";
 
-/** Sends requests of the split, some at a time, to all daemons; returns the share that each service answered. */
-const sharesOf = async (
+/** Sends requests for the split rule, one to each daemon at a time; returns the share that each service answered. */
+const measureShares = async (
     mesh: PlatformMesh,
     name: string,
 ): Promise<{ readonly pages: number; readonly fees: number; }> => {
     const counts: Record<string, number> = { pages: 0, fees: 0, none: 0 };
-    for (let at = 0; at < SENT; at += mesh.hosts.length) {
-        const told = await Promise.all(
-            mesh.hosts.map((host, number) =>
-                mesh.send(host.name, "GET", `/split/${name}`, `${name}-${at + number}`, 500)
+    for (let sent = 0; sent < REQUESTS; sent += mesh.hosts.length) {
+        const responses = await Promise.all(
+            mesh.hosts.map((host, index) =>
+                mesh.send(host.name, "GET", `/split/${name}`, `${name}-${sent + index}`, 500)
             ),
         );
-        told.forEach(item => counts[serviceOf(item)]! += 1);
+        responses.forEach(response => counts[serviceOf(response)]! += 1);
     }
-    return { pages: counts["pages"]! / SENT, fees: counts["fees"]! / SENT };
+    return { pages: counts["pages"]! / REQUESTS, fees: counts["fees"]! / REQUESTS };
 };
 
-test("callers: of a split, a part without room has its requests refused, and none of them moved to the other part", async () => {
+test("callers: requests for a saturated service of a split are refused and not sent to the other service", async () => {
     await withPlatform(async mesh => {
-        await mesh.configure(platformConfiguration(5, [split]));
+        await mesh.configure(platformConfiguration(5, [splitRule]));
         await eventually(
-            "the split serves",
+            "the split rule serves requests",
             async () => (await mesh.send("fees-1", "GET", "/split/1", "warm")).status === 200,
         );
-        const even = await sharesOf(mesh, "even");
-        assert.ok(Math.abs(even.pages - 0.5) < OFF && Math.abs(even.fees - 0.5) < OFF, JSON.stringify(even));
+        const even = await measureShares(mesh, "even");
+        assert.ok(
+            Math.abs(even.pages - 0.5) < SHARE_TOLERANCE && Math.abs(even.fees - 0.5) < SHARE_TOLERANCE,
+            JSON.stringify(even),
+        );
         const pages = mesh.hosts.filter(({ service }) => service === "pages");
         await Promise.all(pages.map(({ name }) => mesh.strikeInstance(name, { workMs: 5000 })));
-        const short = await sharesOf(mesh, "short");
-        assert.equal(short.pages, 0);
-        assert.ok(Math.abs(short.fees - 0.5) < OFF, `what does not fit was moved: ${JSON.stringify(short)}`);
+        const saturated = await measureShares(mesh, "short");
+        assert.equal(saturated.pages, 0);
+        assert.ok(
+            Math.abs(saturated.fees - 0.5) < SHARE_TOLERANCE,
+            `refused requests were sent to the other service: ${JSON.stringify(saturated)}`,
+        );
     });
 });
 
-test("callers: a client that gives up while its request waits or runs leaves no work behind half a second later", async () => {
+test("callers: no request reaches an upstream later than half a second after its client has disconnected", async () => {
     await withPlatform(async mesh => {
         const pages = mesh.hosts.filter(({ service }) => service === "pages");
         await Promise.all(pages.map(({ name }) => mesh.strikeInstance(name, { workMs: 800 })));
-        const gone = Array.from({ length: 24 }, (_, at) => mesh.leave("fees-1", "/pages/1", `gone-${at}`, 100));
-        await Promise.all(gone);
+        const disconnected = Array.from(
+            { length: 24 },
+            (_, index) => mesh.leave("fees-1", "/pages/1", `gone-${index}`, 100),
+        );
+        await Promise.all(disconnected);
         await new Promise(resolve => setTimeout(resolve, 500));
-        const later = mesh.runs.length;
+        const runCount = mesh.runs.length;
         await new Promise(resolve => setTimeout(resolve, 1500));
-        assert.equal(mesh.runs.length, later, "nothing arrives half a second after the clients have left");
+        assert.equal(mesh.runs.length, runCount, "no request starts half a second after the clients have disconnected");
     });
 });
 
-test("callers: a daemon that says it is ready takes new connections, many at once, also while its service has no room", async () => {
+test("callers: a ready daemon accepts many new connections at once, also while its service is saturated", async () => {
     await withPlatform(async mesh => {
         const pages = mesh.hosts.filter(({ service }) => service === "pages");
         await Promise.all(pages.map(({ name }) => mesh.strikeInstance(name, { workMs: 2000 })));
         for (let round = 0; round < 3; round++) {
             const sentAt = performance.now();
-            const told = await Promise.all(
+            const responses = await Promise.all(
                 Array.from(
-                    { length: CONNECTIONS },
-                    (_, at) =>
-                        mesh.send("pages-1", "GET", "/pages/1", `new-${round}-${at}`, 1000, { connection: "close" }),
+                    { length: CONNECTIONS_PER_ROUND },
+                    (_, index) =>
+                        mesh.send("pages-1", "GET", "/pages/1", `new-${round}-${index}`, 1000, { connection: "close" }),
                 ),
             );
-            assert.ok(performance.now() - sentAt < TAKEN_WITHIN_MS);
-            assert.ok(told.every(({ status }) => status > 0), "each has an answer");
+            assert.ok(performance.now() - sentAt < ACCEPT_BOUND_MS);
+            assert.ok(responses.every(({ status }) => status > 0), "each request has a response");
             assert.equal(await mesh.isReady("pages-1"), true);
         }
     });
 });
 
-test("callers: whatever service a caller claims to be, the upstream is told the one of its host", async () => {
+test("callers: an upstream receives the service of the caller's host, whatever the caller claims", async () => {
     await withPlatform(async mesh => {
         for (const claimed of ["fees", "nobody", ""]) {
-            const told = await mesh.send("pages-1", "GET", "/pages/1", "forged", 1000, { "caller-service": claimed });
-            assert.equal(told.status, 200);
-            assert.equal((JSON.parse(told.text) as { caller: string; }).caller, "pages");
+            const response = await mesh.send("pages-1", "GET", "/pages/1", "forged", 1000, {
+                "caller-service": claimed,
+            });
+            assert.equal(response.status, 200);
+            assert.equal((JSON.parse(response.text) as { caller: string; }).caller, "pages");
         }
     });
 });
--- a/test/chain.test.ts
+++ b/test/chain.test.ts
@@ -11,7 +11,8 @@
 
 const levelOf = (name: string): number => Number(/^level(\d)/.exec(name)![1]);
 
-const joinLevels = async (mesh: Mesh): Promise<void> => {
+/** Makes each upstream call the next level; the last level calls nothing. */
+const linkLevels = async (mesh: Mesh): Promise<void> => {
     for (const host of mesh.hosts) {
         const level = levelOf(host.name);
         const next = level === 6 ? "" : `${host.ingress}/chain/level${level + 1}`;
@@ -19,7 +20,7 @@
     }
 };
 
-const served = async (mesh: Mesh, level: number): Promise<number> => {
+const countServedByLevel = async (mesh: Mesh, level: number): Promise<number> => {
     const hosts = mesh.hosts.filter(host => levelOf(host.name) === level);
     const counts = await Promise.all(hosts.map(async host => {
         const { body } = await request(`http://${host.upstream}/counts`);
@@ -28,80 +29,85 @@
     return counts.reduce((sum, count) => sum + count, 0);
 };
 
+/** Returns how many requests each level has served, from the first. */
 const countServed = async (mesh: Mesh): Promise<number[]> => {
     const counts: number[] = [];
     for (let level = 1; level <= 6; level++) {
-        counts.push(await served(mesh, level));
+        counts.push(await countServedByLevel(mesh, level));
     }
     return counts;
 };
 
-/** As many as one upstream of a level has slots, and a tenth of what they could serve in the time that a request has. */
-const AT_ONCE = 8;
+/**
+ * Equals the number of slots of one upstream, and is a tenth of what these slots could serve within the time limit of a
+ * request.
+ */
+const CONCURRENCY = 8;
 const REQUESTS = 80;
 
 /**
- * The next one is sent when one has ended. Requests that come on whatever has become of those before would be more than the slots can serve
- * where a slow machine takes 0.9 s for a chain, and gates refuse those rightly.
+ * Sends `REQUESTS` requests in a closed loop: the next one starts when a previous one has ended. An open loop would
+ * exceed what the slots can serve on a slow machine that takes 0.9 s for a chain, and gates would rightly refuse the
+ * excess.
  */
-const sendInTurn = async (mesh: Mesh, seed: number): Promise<Told[]> => {
+const sendClosedLoop = async (mesh: Mesh, seed: number): Promise<Told[]> => {
     const caller = new Caller(seededRandom(seed));
-    const told: Told[] = [];
+    const results: Told[] = [];
     const { name: kind, method, path, once } = mesh.spec.requests[0]!;
     const ingresses = mesh.hosts.map(host => host.ingress);
-    const turns = Array.from({ length: AT_ONCE }, async (_, turn) => {
-        for (let at = turn; at < REQUESTS; at += AT_ONCE) {
-            told.push(
-                await caller.send({ id: `${seed}-${at}`, kind, method, path, once }, ingresses, performance.now()),
+    const workers = Array.from({ length: CONCURRENCY }, async (_, worker) => {
+        for (let index = worker; index < REQUESTS; index += CONCURRENCY) {
+            results.push(
+                await caller.send({ id: `${seed}-${index}`, kind, method, path, once }, ingresses, performance.now()),
             );
         }
     });
-    await Promise.all(turns);
+    await Promise.all(workers);
     caller.close();
-    return told;
+    return results;
 };
 
-test("chain: six deep is served, and a failing leaf does not multiply", async () => {
+test("chain: a chain of six calls is served, and retries for a failing leaf do not multiply along it", async () => {
     await withMesh(
         async mesh => {
-            await joinLevels(mesh);
-            const well = await sendInTurn(mesh, 1);
-            const unserved = well.filter(item => item.status !== 200);
-            assert.deepEqual(unserved, [], "all are served");
+            await linkLevels(mesh);
+            const healthy = await sendClosedLoop(mesh, 1);
+            const unserved = healthy.filter(result => result.status !== 200);
+            assert.deepEqual(unserved, [], "all requests are served");
             const before = await countServed(mesh);
             const leaves = mesh.hosts.filter(host => levelOf(host.name) === 6);
             await Promise.all(leaves.map(host => control(host.upstream, { failing: 1 })));
-            const ill = await sendInTurn(mesh, 2);
-            assert.equal(ill.length, REQUESTS);
-            assert.ok(ill.every(item => item.status >= 500), "the failure reaches the caller");
+            const failing = await sendClosedLoop(mesh, 2);
+            assert.equal(failing.length, REQUESTS);
+            assert.ok(failing.every(result => result.status >= 500), "the failure reaches the caller");
             const after = await countServed(mesh);
-            const perRequest = after.map((count, at) => (count - before[at]!) / ill.length);
-            perRequest.slice(0, 5).forEach((share, at) =>
-                assert.ok(share <= 1.2, `level ${at + 1} ran ${share} times`)
+            const runsPerRequest = after.map((count, index) => (count - before[index]!) / failing.length);
+            runsPerRequest.slice(0, 5).forEach((runs, index) =>
+                assert.ok(runs <= 1.2, `level ${index + 1} ran ${runs} times per request`)
             );
-            assert.ok(perRequest[5]! <= 3.2, `the leaf ran ${perRequest[5]} times`);
+            assert.ok(runsPerRequest[5]! <= 3.2, `the leaf ran ${runsPerRequest[5]} times per request`);
         },
         {},
         chainMesh,
     );
 });
 
-test("chain: time runs out for all levels together, and calls too deep are refused", async () => {
+test("chain: all levels share one deadline, and calls that are nested too deep are refused", async () => {
     await withMesh(
         async mesh => {
-            await joinLevels(mesh);
-            const last = mesh.hosts.find(host => levelOf(host.name) === 6)!;
+            await linkLevels(mesh);
+            const leaf = mesh.hosts.find(host => levelOf(host.name) === 6)!;
             const leaves = mesh.hosts.filter(host => levelOf(host.name) === 6);
             await Promise.all(leaves.map(host => control(host.upstream, { meanMs: 5000 })));
-            const slow = await request(`http://${last.ingress}/chain/level1`);
+            const slow = await request(`http://${leaf.ingress}/chain/level1`);
             assert.ok(slow.statusCode >= 500);
             await slow.body.dump();
             await Promise.all(
                 leaves.map(host => control(host.upstream, { meanMs: 1, next: `${host.ingress}/chain/level1` })),
             );
-            const round = await request(`http://${last.ingress}/chain/level1`);
-            assert.ok(round.statusCode >= 500, "a call in a circle ends");
-            await round.body.dump();
+            const circular = await request(`http://${leaf.ingress}/chain/level1`);
+            assert.ok(circular.statusCode >= 500, "a circular chain of calls ends");
+            await circular.body.dump();
         },
         {},
         chainMesh,
--- a/test/chainmesh.ts
+++ b/test/chainmesh.ts
@@ -1,10 +1,10 @@
-/** Services that call each other, six deep. */
+/** Describes a mesh of six services that can call each other in a chain. */
 import type { MeshSpec } from "../demo/meshspec.js";
 
 const DEPTH = 6;
-const names = Array.from({ length: DEPTH }, (_, at) => `level${at + 1}`);
+const names = Array.from({ length: DEPTH }, (_, index) => `level${index + 1}`);
 
-/** One service a level, two instances each. */
+/** Has one service for each level of the chain, with two instances each. */
 export const chainMesh: MeshSpec = {
     name: "chain",
     region: "here",
--- a/test/crash.test.ts
+++ b/test/crash.test.ts
@@ -4,12 +4,12 @@
 import { pause } from "./pause.js";
 import { withMesh } from "./withmesh.js";
 
-test("crash: a daemon, an upstream and the store are killed under load, twice", async () => {
+test("crash: killing a daemon, an upstream and the store under load cuts off no caller of other daemons", async () => {
     await withMesh(async mesh => {
         const gate = mesh.host("fees-1");
         const upstream = mesh.host("fees-2");
-        const { told, counts } = await loaded(mesh, async () => {
-            for (let time = 0; time < 2; time++) {
+        const { told: results, counts } = await loaded(mesh, async () => {
+            for (let round = 0; round < 2; round++) {
                 await pause(700);
                 await mesh.daemons.get(gate.name)!.end("SIGKILL");
                 await pause(300);
@@ -23,13 +23,16 @@
                 ]);
             }
         }, { seconds: 9, ingresses: () => mesh.hosts.filter(host => host !== gate).map(host => host.ingress) });
-        assert.equal(counts.cut, 0, "no caller of a living daemon is cut off");
-        const late = told.filter(item => item.at > Math.max(...told.map(other => other.at)) - 500);
-        assert.ok(late.every(item => item.word === "answered"), "all is well again at the end");
+        assert.equal(counts.cut, 0, "no caller of a running daemon is cut off");
+        const lastResults = results.filter(result => result.at > Math.max(...results.map(other => other.at)) - 500);
+        assert.ok(
+            lastResults.every(result => result.word === "answered"),
+            "all requests of the last 500 ms are answered",
+        );
     });
 });
 
-test("crash: callers of a killed daemon are cut, and nothing runs twice", async () => {
+test("crash: when a daemon is killed under load, no request runs twice that may run only once", async () => {
     await withMesh(async mesh => {
         const gate = mesh.host("pages-1");
         await loaded(mesh, async () => {
--- a/test/eventually.ts
+++ b/test/eventually.ts
@@ -1,15 +1,19 @@
-/** Waits for something to become so. */
+/** Waits for a condition. */
 import { pause } from "./pause.js";
 
-const LOOK_EVERY_MS = 100;
+const POLL_INTERVAL_MS = 100;
 
-/** Resolves when the test holds; rejects when it has not within the bound. */
-export async function eventually(what: string, test: () => Promise<boolean>, boundMs = 19_000): Promise<void> {
-    for (let waitedMs = 0; waitedMs < boundMs; waitedMs += LOOK_EVERY_MS) {
-        if (await test()) {
+/** Resolves when `isMet` resolves with true; rejects with the name of the condition if that takes over `timeoutMs`. */
+export async function eventually(
+    condition: string,
+    isMet: () => Promise<boolean>,
+    timeoutMs = 19_000,
+): Promise<void> {
+    for (let waitedMs = 0; waitedMs < timeoutMs; waitedMs += POLL_INTERVAL_MS) {
+        if (await isMet()) {
             return;
         }
-        await pause(LOOK_EVERY_MS);
+        await pause(POLL_INTERVAL_MS);
     }
-    throw new Error(`not within ${boundMs} ms: ${what}`);
+    throw new Error(`condition not met within ${timeoutMs} ms: ${condition}`);
 }
--- a/test/freeze.test.ts
+++ b/test/freeze.test.ts
@@ -5,25 +5,28 @@
 import { pause } from "./pause.js";
 import { withMesh } from "./withmesh.js";
 
-const LONGER_THAN_ALL_MS = 3500;
+/** Longer than the time limit of each request in the load. */
+const FREEZE_MS = 3500;
 
 test("freeze: a daemon sleeps past every deadline, wakes, and dispatches nothing stale", async () => {
     await withMesh(async mesh => {
         const gate = mesh.host("fees-1");
         const others = (): string[] => mesh.hosts.filter(host => host !== gate).map(host => host.ingress);
         await control(gate.upstream, { meanMs: 60 });
-        let wokeAt = 0;
-        const { told } = await loaded(mesh, async () => {
+        let resumedAt = 0;
+        const { told: results } = await loaded(mesh, async () => {
             await pause(1000);
             mesh.daemons.get(gate.name)!.signal("SIGSTOP");
-            await pause(LONGER_THAN_ALL_MS);
-            wokeAt = performance.now();
+            await pause(FREEZE_MS);
+            resumedAt = performance.now();
             mesh.daemons.get(gate.name)!.signal("SIGCONT");
             await pause(500);
         }, { seconds: 6, rate: 200, ingresses: others });
-        const settled = told.filter(item => item.once && item.word !== "answered" && item.at + item.ms < wokeAt);
-        const ranLate = settled.filter(item => mesh.record.startedAfter(item.id, wokeAt));
-        assert.deepEqual(ranLate, [], "what was told to callers before the wake does not start after it");
+        const endedBefore = results.filter(result =>
+            result.once && result.word !== "answered" && result.at + result.ms < resumedAt
+        );
+        const startedAfter = endedBefore.filter(result => mesh.record.startedAfter(result.id, resumedAt));
+        assert.deepEqual(startedAfter, [], "no request starts after the resume whose caller had a response before it");
     });
 });
 
@@ -32,7 +35,7 @@
         const ingress = mesh.host("pages-2");
         await control(mesh.host("fees-1").upstream, { meanMs: 40 });
         await loaded(mesh, async () => {
-            for (let time = 0; time < 2; time++) {
+            for (let round = 0; round < 2; round++) {
                 await pause(700);
                 mesh.daemons.get(ingress.name)!.signal("SIGSTOP");
                 await pause(1500);
--- a/test/keeplog.ts
+++ b/test/keeplog.ts
@@ -1,11 +1,11 @@
-/** Keeps what the daemons of a failed test logged. */
+/** Saves the log lines of the daemons when a test fails. */
 import { mkdtempSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 
-/** Writes the lines to a file in a new temporary folder and says where. */
+/** Writes the lines to a file in a new temporary folder and prints its path to standard error. */
 export function keepLog(lines: readonly string[]): void {
     const file = join(mkdtempSync(join(tmpdir(), "winglock-failed-")), "daemons.log");
     writeFileSync(file, lines.join("\n"));
-    console.error(`what the daemons logged is in ${file}`);
+    console.error(`the log of the daemons is in ${file}`);
 }
--- a/test/keeprunning.ts
+++ b/test/keeprunning.ts
@@ -1,25 +1,25 @@
-/** Starts a process again each time that it has ended. */
+/** Restarts a process each time that it has ended. */
 import { pause } from "./pause.js";
 
-const LOOK_EVERY_MS = 10;
-/** Until an ended one is there again; milliseconds, at the users' they took 1 to 5 s. */
-const BACK_AFTER_MS = 700;
+const POLL_INTERVAL_MS = 10;
+/** Time from the end of the process to its restart. Instances of the users are back after 1 to 5 s. */
+const RESTART_DELAY_MS = 700;
 
-/** `onEnd` is told of each end; `isOver` says when the process is no longer kept. */
-type Kept = {
+/** `onEnd` is called each time that the process has ended, before its restart. */
+type RestartOptions = {
     readonly isRunning: () => boolean;
     readonly restart: () => Promise<void>;
     readonly onEnd: () => void;
     readonly isOver: () => boolean;
 };
 
-/** Resolves when it is over. */
-export async function keepRunning({ isRunning, restart, onEnd, isOver }: Kept): Promise<void> {
+/** Polls the process and restarts it until `isOver` returns true, then resolves. */
+export async function keepRunning({ isRunning, restart, onEnd, isOver }: RestartOptions): Promise<void> {
     while (!isOver()) {
-        await pause(LOOK_EVERY_MS);
+        await pause(POLL_INTERVAL_MS);
         if (!isRunning()) {
             onEnd();
-            await pause(BACK_AFTER_MS);
+            await pause(RESTART_DELAY_MS);
             await restart();
         }
     }
--- a/test/path.test.ts
+++ b/test/path.test.ts
@@ -7,26 +7,27 @@
 import type { Mesh } from "../demo/mesh.js";
 import { withMesh } from "./withmesh.js";
 
-const rawAnswer = async (address: string, text: string): Promise<string> => {
+/** Sends text over a new connection; resolves with all that is received until the connection closes. */
+const sendRaw = async (address: string, text: string): Promise<string> => {
     const [host, port] = address.split(":") as [string, string];
     const socket = connect(Number(port), host);
     socket.setTimeout(3000, () => socket.destroy());
     socket.on("error", () => {});
     socket.write(text);
-    let got = "";
-    socket.on("data", chunk => got += chunk);
+    let received = "";
+    socket.on("data", chunk => received += chunk);
     await once(socket, "close");
-    return got;
+    return received;
 };
 
-const checkAnswers = async (mesh: Mesh): Promise<void> => {
+const checkResponses = async (mesh: Mesh): Promise<void> => {
     const ingress = `http://${mesh.hosts[4]!.ingress}`;
     const headers = { "x-load-id": "p1" };
     const page = await request(`${ingress}/pages/1`, { headers });
     assert.equal(page.statusCode, 200);
     assert.equal((await page.body.json() as { id: string; }).id, "p1");
-    const own = Object.keys(page.headers).filter(name => name.startsWith("winglock-"));
-    assert.deepEqual(own, [], "callers see no header of the daemons' own");
+    const internalHeaders = Object.keys(page.headers).filter(name => name.startsWith("winglock-"));
+    assert.deepEqual(internalHeaders, [], "callers receive no header that daemons use among themselves");
 
     const head = await request(`${ingress}/pages/1`, { method: "HEAD" });
     assert.equal(head.statusCode, 200);
@@ -48,15 +49,15 @@
 
 const checkRefusals = async (mesh: Mesh): Promise<void> => {
     const { ingress } = mesh.hosts[4]!;
-    const none = await request(`http://${ingress}/nowhere`);
-    assert.equal(none.statusCode, 404);
-    assert.equal(none.headers["winglock-outcome"], "not-run");
-    assert.equal((await none.body.json() as { type: string; }).type, "urn:winglock:problem:no-rule");
+    const unmatched = await request(`http://${ingress}/nowhere`);
+    assert.equal(unmatched.statusCode, 404);
+    assert.equal(unmatched.headers["winglock-outcome"], "not-run");
+    assert.equal((await unmatched.body.json() as { type: string; }).type, "urn:winglock:problem:no-rule");
 
-    const huge = await request(`http://${ingress}/fees/1`, { method: "POST", body: "x".repeat(70_000_000) }).catch(() =>
-        undefined
+    const tooLarge = await request(`http://${ingress}/fees/1`, { method: "POST", body: "x".repeat(70_000_000) }).catch(
+        () => undefined,
     );
-    assert.ok(huge === undefined || huge.statusCode === 413);
+    assert.ok(tooLarge === undefined || tooLarge.statusCode === 413);
 
     const table = [
         [
@@ -72,12 +73,12 @@
         ["odd target", "GET pages HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n", "400"],
     ] as const;
     for (const [name, text, status] of table) {
-        const answer = await rawAnswer(ingress, text);
-        assert.ok(answer.startsWith(`HTTP/1.1 ${status}`), `${name}: ${answer.slice(0, 60)}`);
+        const response = await sendRaw(ingress, text);
+        assert.ok(response.startsWith(`HTTP/1.1 ${status}`), `${name}: ${response.slice(0, 60)}`);
     }
-    const daemon = await request(`http://${mesh.hosts[0]!.peer}/pages/1`);
-    assert.equal(daemon.statusCode, 403, "the peer listener takes daemons only");
-    await daemon.body.dump();
+    const peerRes = await request(`http://${mesh.hosts[0]!.peer}/pages/1`);
+    assert.equal(peerRes.statusCode, 403, "the peer listener accepts only daemons");
+    await peerRes.body.dump();
 };
 
 const checkForgedHeaders = async (mesh: Mesh): Promise<void> => {
@@ -96,20 +97,20 @@
 const checkCancellation = async (mesh: Mesh): Promise<void> => {
     const pages = mesh.hosts.filter(host => host.service === "pages");
     await Promise.all(pages.map(host => control(host.upstream, { meanMs: 1000 })));
-    const gone = request(`http://${mesh.hosts[1]!.ingress}/pages/1`, { signal: AbortSignal.timeout(200) });
-    await assert.rejects(gone);
+    const abandoned = request(`http://${mesh.hosts[1]!.ingress}/pages/1`, { signal: AbortSignal.timeout(200) });
+    await assert.rejects(abandoned);
     await new Promise(resolve => setTimeout(resolve, 300));
     const counts = await Promise.all(pages.map(async host => {
         const { body } = await request(`http://${host.upstream}/counts`);
         return await body.json() as { cancelled: number; running: number; };
     }));
-    assert.ok(counts.some(count => count.cancelled > 0), "the upstream learns that the caller has left");
-    assert.ok(counts.every(count => count.running === 0), "and so does one that was tried beside it");
+    assert.ok(counts.some(count => count.cancelled > 0), "the upstream learns that the caller has disconnected");
+    assert.ok(counts.every(count => count.running === 0), "no upstream still runs the request, nor a hedge of it");
 };
 
-test("path: answers whole, streamed and polled; refusals; forged headers; cancellation", async () => {
+test("path: whole, streamed and polled responses, refusals, forged headers and cancellation are correct", async () => {
     await withMesh(async mesh => {
-        await checkAnswers(mesh);
+        await checkResponses(mesh);
         await checkRefusals(mesh);
         await checkForgedHeaders(mesh);
         await checkCancellation(mesh);
--- a/test/pause.ts
+++ b/test/pause.ts
@@ -1,6 +1,6 @@
-/** Waits. */
+/** Waits for a fixed time. */
 
-/** Resolves after the time, in milliseconds. */
+/** Resolves after `ms` milliseconds. */
 export function pause(ms: number): Promise<void> {
     return new Promise(resolve => setTimeout(resolve, ms));
 }
--- a/test/revisions.ts
+++ b/test/revisions.ts
@@ -1,20 +1,20 @@
-/** Where which revision is in force. */
+/** Reads which revision of the configuration is in force at each daemon. */
 import { request } from "undici";
 import type { Mesh } from "../demo/mesh.js";
 
-const LINE = /^winglock_revision (\d+)$/m;
+const REVISION_LINE = /^winglock_revision (\d+)$/m;
 
-/** The revision at each daemon, by host; a daemon that does not answer is left out. */
+/** Returns the revision of each daemon by the name of its host. A daemon that does not respond is left out. */
 export async function revisions(mesh: Mesh): Promise<Map<string, number>> {
-    const found = new Map<string, number>();
+    const revisionByHost = new Map<string, number>();
     for (const host of mesh.hosts) {
         try {
             const { body } = await request(`http://${host.operator}/metrics`);
-            found.set(host.name, Number(LINE.exec(await body.text())?.[1] ?? 0));
+            revisionByHost.set(host.name, Number(REVISION_LINE.exec(await body.text())?.[1] ?? 0));
         }
         catch {
-            // Stopped or cut off.
+            // The daemon is stopped or unreachable.
         }
     }
-    return found;
+    return revisionByHost;
 }
--- a/test/sendeach.ts
+++ b/test/sendeach.ts
@@ -1,17 +1,20 @@
-/** Does something again and again for a time, without waiting for what comes of it. */
+/** Starts an asynchronous call at a fixed interval, whether or not the calls before have ended. */
 import { pause } from "./pause.js";
 
-/** `send` is called every `everyMs` for `ms`, with how often it was called before; resolves with what came of all. */
-export async function sendEach<Told>(
+/**
+ * Calls `send` every `everyMs` milliseconds for `ms` milliseconds, with the number of earlier calls. Resolves with the
+ * results of all calls.
+ */
+export async function sendEach<Result>(
     ms: number,
     everyMs: number,
-    send: (at: number) => Promise<Told>,
-): Promise<Told[]> {
-    const until = performance.now() + ms;
-    const sent: Promise<Told>[] = [];
-    while (performance.now() < until) {
-        sent.push(send(sent.length));
+    send: (index: number) => Promise<Result>,
+): Promise<Result[]> {
+    const endAt = performance.now() + ms;
+    const pending: Promise<Result>[] = [];
+    while (performance.now() < endAt) {
+        pending.push(send(pending.length));
         await pause(everyMs);
     }
-    return await Promise.all(sent);
+    return await Promise.all(pending);
 }
--- a/test/smallmesh.ts
+++ b/test/smallmesh.ts
@@ -1,7 +1,10 @@
-/** A mesh small enough for a test and large enough for every fault. */
+/** Describes the default mesh of the tests: small, but large enough for every fault that they inject. */
 import type { MeshSpec } from "../demo/meshspec.js";
 
-/** Two services of three instances in three halls; one takes reloads, the other payments. */
+/**
+ * Has two services with three instances each, in three halls. `pages` serves page loads, which may be repeated, and
+ * `fees` serves payments, which may run only once.
+ */
 export const smallMesh: MeshSpec = {
     name: "small",
     region: "here",
--- a/test/split.test.ts
+++ b/test/split.test.ts
@@ -7,9 +7,10 @@
 import { revisions } from "./revisions.js";
 import { withMesh } from "./withmesh.js";
 
+/** Time after which a daemon that can't reach the store no longer considers its rules fresh. */
 const FRESH_MS = 12_000;
 
-/** Cuts hall number `place` off from the other halls and from the store. */
+/** Disconnects the hall of number `place` from the other halls and from the store. */
 const cutHall = async (mesh: Mesh, place: number): Promise<void> => {
     const inside = mesh.hosts.filter(host => host.place === place).map(host => host.peerProxy);
     const outside = mesh.hosts.filter(host => host.place !== place).map(host => host.peerProxy);
@@ -19,22 +20,25 @@
     ]);
 };
 
-test("split: a hall is cut off and healed; each side serves, and the configuration meets again", async () => {
+test("split: both sides of a network partition serve requests, and the configuration converges after it", async () => {
     await withMesh(async mesh => {
         const { counts } = await loaded(mesh, async () => {
             await pause(1000);
             await cutHall(mesh, 3);
             const { code } = await mesh.cli("service", "update", "pages", "--max-wait-ms", "400");
-            assert.equal(code, 0, "the side with the store takes changes");
+            assert.equal(code, 0, "the side with the store accepts changes");
             await pause(3000);
             await mesh.setFaults([]);
         }, { seconds: 7 });
         assert.ok(counts.answered > counts.sent * 0.9, JSON.stringify(counts));
-        await eventually("all at revision 2", async () => [...(await revisions(mesh)).values()].every(at => at === 2));
+        await eventually(
+            "all daemons have revision 2",
+            async () => [...(await revisions(mesh)).values()].every(revision => revision === 2),
+        );
     });
 });
 
-test("split: without proof that the rules are fresh, an unsafe method is once", async () => {
+test("split: a daemon that can't confirm that its rules are fresh runs an unsafe method at most once", async () => {
     await withMesh(async mesh => {
         await mesh.cli(
             "rule",
@@ -58,11 +62,14 @@
             );
             return (JSON.parse(stdout) as { kind: number; }).kind;
         };
-        const inside = mesh.hosts.find(host => host.place === 3)!;
-        await eventually("the rule is in force", async () => (await kindAt(inside.operator)) === 1);
+        const cutHost = mesh.hosts.find(host => host.place === 3)!;
+        await eventually("the rule is in force", async () => (await kindAt(cutHost.operator)) === 1);
         await cutHall(mesh, 3);
         await pause(FRESH_MS);
-        await eventually("the cut hall falls back", async () => (await kindAt(inside.operator)) === 2);
-        assert.equal(await kindAt(mesh.hosts[0]!.operator), 1, "the other side has proof");
+        await eventually(
+            "the disconnected hall treats the request as once",
+            async () => (await kindAt(cutHost.operator)) === 2,
+        );
+        assert.equal(await kindAt(mesh.hosts[0]!.operator), 1, "the other side can confirm its rules");
     });
 });
--- a/test/stale.test.ts
+++ b/test/stale.test.ts
@@ -8,30 +8,30 @@
 
 const REPEATABLE = ["--path-prefix", "/pages/again", "--service", "pages", "--kind", "repeatable"];
 
-test("stale: a rule that only the gate has heard of is in force at once", async () => {
+test("stale: a rule change applies at once if only the gate has received it and the ingress has not", async () => {
     await withMesh(async mesh => {
         await mesh.cli("rule", "create", "again", ...REPEATABLE);
-        const allAt = (revision: number): Promise<void> =>
+        const waitForRevision = (revision: number): Promise<void> =>
             eventually(
-                `all at ${revision}`,
-                async () => [...(await revisions(mesh)).values()].every(at => at === revision),
+                `all daemons have revision ${revision}`,
+                async () => [...(await revisions(mesh)).values()].every(other => other === revision),
             );
-        await allAt(2);
-        const deaf = mesh.hosts.filter(host => host.place === 3);
+        await waitForRevision(2);
+        const staleHosts = mesh.hosts.filter(host => host.place === 3);
         await mesh.setFaults([
-            { links: deaf.map(host => host.peerProxy), from: [], deaf: true },
+            { links: staleHosts.map(host => host.peerProxy), from: [], deaf: true },
             { links: [mesh.storeProxy], from: [3], cut: true },
         ]);
         const { code } = await mesh.cli("rule", "update", "again", "--kind", "once");
         assert.equal(code, 0);
-        const inForce = async (host: string): Promise<number | undefined> => (await revisions(mesh)).get(host);
-        const hearing = mesh.hosts.filter(host => host.place !== 3);
-        await eventually("those that hear have it", async () => {
-            const found = await Promise.all(hearing.map(host => inForce(host.name)));
-            return found.every(at => at === 3);
+        const revisionAt = async (host: string): Promise<number | undefined> => (await revisions(mesh)).get(host);
+        const updatedHosts = mesh.hosts.filter(host => host.place !== 3);
+        await eventually("the daemons of the other halls have revision 3", async () => {
+            const current = await Promise.all(updatedHosts.map(host => revisionAt(host.name)));
+            return current.every(revision => revision === 3);
         });
-        const ingress = deaf.find(host => host.service === "fees")!;
-        assert.equal(await inForce(ingress.name), 2, "the ingress is behind");
+        const ingress = staleHosts.find(host => host.service === "fees")!;
+        assert.equal(await revisionAt(ingress.name), 2, "the ingress still has the previous revision");
         const pages = mesh.hosts.filter(host => host.service === "pages");
         await Promise.all(pages.map(host => control(host.upstream, { answerFault: "cut", faultShare: 1 })));
         const res = await request(`http://${ingress.ingress}/pages/again`, {
@@ -40,6 +40,6 @@
         });
         assert.equal(res.headers["winglock-outcome"], "unknown");
         await res.body.dump();
-        assert.equal(mesh.record.runs("stale-1"), 1, "it is not sent again");
+        assert.equal(mesh.record.runs("stale-1"), 1, "the request is not repeated");
     });
 });
--- a/test/stop.test.ts
+++ b/test/stop.test.ts
@@ -6,18 +6,19 @@
 import { pause } from "./pause.js";
 import { withMesh } from "./withmesh.js";
 
+/** Opens event streams, distributed over all daemons; resolves with their bodies when all have ended. */
 const openStreams = (mesh: Mesh, count: number): Promise<string[]> =>
-    Promise.all(Array.from({ length: count }, async (_, at) => {
-        const { body } = await request(`http://${mesh.hosts[at % mesh.hosts.length]!.ingress}/events`);
+    Promise.all(Array.from({ length: count }, async (_, index) => {
+        const { body } = await request(`http://${mesh.hosts[index % mesh.hosts.length]!.ingress}/events`);
         return await body.text();
     }));
 
-test("stop: a daemon stops by plan under load, twice, and cuts off nothing", async () => {
+test("stop: a daemon that stops gracefully under load, twice, cuts off no request and no stream", async () => {
     await withMesh(async mesh => {
         const host = mesh.host("fees-1");
         let streams: Promise<string[]> | undefined;
         const { counts } = await loaded(mesh, async () => {
-            for (let time = 0; time < 2; time++) {
+            for (let round = 0; round < 2; round++) {
                 await pause(600);
                 streams = openStreams(mesh, 6);
                 await pause(50);
@@ -26,12 +27,12 @@
             }
         }, { seconds: 6 });
         assert.equal(counts.cut + counts.unknown, 0, JSON.stringify(counts));
-        const events = (await streams!).map(text => text.match(/data:/g)?.length);
-        assert.deepEqual(events, [10, 10, 10, 10, 10, 10], "streams are finished");
+        const eventCounts = (await streams!).map(text => text.match(/data:/g)?.length);
+        assert.deepEqual(eventCounts, [10, 10, 10, 10, 10, 10], "all streams run to their end");
     });
 });
 
-test("stop: an upstream stops by plan under load and cuts off nothing", async () => {
+test("stop: an upstream that stops gracefully under load cuts off no request", async () => {
     await withMesh(async mesh => {
         const { counts } = await loaded(mesh, async () => {
             await pause(800);
@@ -41,17 +42,17 @@
     });
 });
 
-test("stop: a second signal ends at once and names what was cut", async () => {
+test("stop: a second signal ends the daemon at once, and the daemon logs how many requests it cuts off", async () => {
     await withMesh(async mesh => {
         const host = mesh.host("pages-1");
         const daemon = mesh.daemons.get(host.name)!;
-        const long = request(`http://${host.ingress}/poll?ms=4500`).then(res => res.body.text());
-        const cut = assert.rejects(long);
+        const poll = request(`http://${host.ingress}/poll?ms=4500`).then(res => res.body.text());
+        const rejected = assert.rejects(poll);
         await pause(300);
         daemon.signal("SIGTERM");
         await pause(300);
         assert.equal(await daemon.end("SIGTERM"), 0);
-        await cut;
+        await rejected;
         assert.match(daemon.errors.join("\n"), /requests were cut off by the stop/);
     });
 });
--- a/test/withmesh.ts
+++ b/test/withmesh.ts
@@ -3,7 +3,7 @@
 import { runWith } from "./runwith.js";
 import { smallMesh } from "./smallmesh.js";
 
-/** Starts the small mesh, runs the body, and stops every process whatever came of it. */
+/** Starts a mesh, by default the small one, runs the body, and stops every process, also if the body fails. */
 export async function withMesh(
     body: (mesh: Mesh) => Promise<void>,
     options: Parameters<typeof Mesh.start>[1] = {},
