--- a/test/days.test.ts
+++ b/test/days.test.ts
@@ -6,15 +6,18 @@
 import { test } from "node:test";
 
 const ROOT = new URL("../../", import.meta.url).pathname;
-const PLAYER = join(ROOT, "days/play.js");
+const PLAY_SCRIPT = join(ROOT, "days/play.js");
 
-type Trouble = { readonly kind?: unknown; readonly at?: unknown; };
-type Day = { readonly plan?: readonly Trouble[]; readonly faults?: readonly Trouble[]; };
+type DayEvent = { readonly kind?: unknown; readonly at?: unknown; };
+type Day = { readonly plan?: readonly DayEvent[]; readonly faults?: readonly DayEvent[]; };
 
 const { days } = JSON.parse(readFileSync(join(ROOT, "days/days.json"), "utf8")) as { days: Record<string, Day>; };
 
-/** A bench that writes a report of the day's name and says that a rule was broken on the days named `roll`. */
-const BENCH = `#!/usr/bin/env node
+/**
+ * Source of a stub of the bench program. It writes a report with fixed values, in which a rule is broken if the day is
+ * named `roll`. For the site `no-site` it exits with status 1 and writes no report.
+ */
+const BENCH_STUB = `#!/usr/bin/env node
 const { readFileSync, writeFileSync } = require("node:fs");
 const [, site, day] = process.argv.slice(2);
 const report = process.argv[process.argv.indexOf("--report") + 1];
@@ -24,16 +27,17 @@
 writeFileSync(report, JSON.stringify({ all: { n: 100, in_aim: 90 }, breaks, fault: null, served: 0.95 }));
 `;
 
+/** Runs days/play.js with the stub as the bench program. */
 const play = (...args: string[]): { readonly status: number | null; readonly stdout: string; } => {
     const folder = mkdtempSync(join(tmpdir(), "winglock-bench-"));
     const bench = join(folder, "bench");
-    writeFileSync(bench, BENCH, { mode: 0o755 });
-    const { status, stdout } = spawnSync(process.execPath, [PLAYER, bench, ...args], { encoding: "utf8" });
+    writeFileSync(bench, BENCH_STUB, { mode: 0o755 });
+    const { status, stdout } = spawnSync(process.execPath, [PLAY_SCRIPT, bench, ...args], { encoding: "utf8" });
     rmSync(folder, { recursive: true, force: true });
     return { status, stdout };
 };
 
-test("days: each has troubles, with a kind and a time", () => {
+test("days: each day in days.json has events with a kind and a time", () => {
     assert.ok(Object.keys(days).length > 40);
     for (const [name, { plan = [], faults = [] }] of Object.entries(days)) {
         assert.ok(plan.length + faults.length > 0, name);
@@ -44,7 +48,7 @@
     }
 });
 
-test("days: those that hunts play have a comment, a name as their file, and troubles with a kind and a time", () => {
+test("days: each file in deploy/days has a comment, its own name, and two or more events with kind and time", () => {
     const folder = join(ROOT, "deploy/days");
     const files = readdirSync(folder);
     assert.ok(files.length >= 6);
@@ -52,25 +56,25 @@
         const text = readFileSync(join(folder, file), "utf8");
         assert.match(text, /^# .+\.$|^# .+\?$/m, file);
         assert.ok(text.includes(`name = "${file.replace(".toml", "")}"`), file);
-        const troubles = text.split("\n").filter(line => line.startsWith("    {"));
-        assert.ok(troubles.length >= 2, `${file}: what meets`);
-        troubles.forEach(line => assert.match(line, /kind = "[a-z_]+", at = [\d.]+/, file));
+        const events = text.split("\n").filter(line => line.startsWith("    {"));
+        assert.ok(events.length >= 2, `${file}: fewer than two events`);
+        events.forEach(line => assert.match(line, /kind = "[a-z_]+", at = [\d.]+/, file));
     }
 });
 
-test("days: the player tells what came of each, and fails when a rule was broken or a day was not played", () => {
-    const kept = play("site", "burst");
-    assert.equal(kept.status, 0);
-    assert.match(kept.stdout, /^burst +credit 0\.950 {2}in time 0\.900 {2}all rules kept$/m);
+test("days: the player prints the result of each day, and fails if a rule was broken or a day was not played", () => {
+    const passed = play("site", "burst");
+    assert.equal(passed.status, 0);
+    assert.match(passed.stdout, /^burst +credit 0\.950 {2}in time 0\.900 {2}all rules kept$/m);
     const broken = play("site", "roll", "burst");
     assert.equal(broken.status, 1);
     assert.match(broken.stdout, /^roll .* LOST 5$/m);
-    const unplayed = play("no-site", "burst");
-    assert.equal(unplayed.status, 1);
-    assert.match(unplayed.stdout, /not played/);
+    const notPlayed = play("no-site", "burst");
+    assert.equal(notPlayed.status, 1);
+    assert.match(notPlayed.stdout, /not played/);
 });
 
-const SITE = [
+const SITE_FILE = [
     "name = \"small\"",
     "wire = \"wire.json\"",
     "services = [",
@@ -85,23 +89,23 @@
     "",
 ].join("\n");
 
-test("days: a site is varied by its seed alone, upstreams and prices and nothing else", () => {
+test("days: the seed alone determines a varied site, and only its name, upstreams and prices change", () => {
     const folder = mkdtempSync(join(tmpdir(), "winglock-vary-"));
     const vary = (seed: string, out: string): number | null => {
         const args = [join(ROOT, "days/vary.js"), join(folder, "small.toml"), join(folder, out), seed];
         return spawnSync(process.execPath, args, { encoding: "utf8" }).status;
     };
     try {
-        writeFileSync(join(folder, "small.toml"), SITE);
+        writeFileSync(join(folder, "small.toml"), SITE_FILE);
         writeFileSync(join(folder, "wire.json"), "{}");
         assert.deepEqual([vary("7", "one"), vary("7", "two"), vary("8", "three"), vary("x", "four")], [0, 0, 0, 2]);
-        const [one, two] = ["one", "two"].map(out => readFileSync(join(folder, out, "small-7.toml"), "utf8"));
-        assert.equal(one, two);
-        assert.notEqual(one, readFileSync(join(folder, "three", "small-8.toml"), "utf8").replace("-8", "-7"));
+        const [first, second] = ["one", "two"].map(out => readFileSync(join(folder, out, "small-7.toml"), "utf8"));
+        assert.equal(first, second);
+        assert.notEqual(first, readFileSync(join(folder, "three", "small-8.toml"), "utf8").replace("-8", "-7"));
         assert.equal(readFileSync(join(folder, "one", "wire.json"), "utf8"), "{}");
-        const kept = (text: string): string[] => text.split("\n").filter(line => !/slots|probe|^name/.test(line));
-        assert.deepEqual(kept(one!), kept(SITE));
-        assert.notEqual(one!.split("\n")[3], SITE.split("\n")[3]);
+        const unvaried = (text: string): string[] => text.split("\n").filter(line => !/slots|probe|^name/.test(line));
+        assert.deepEqual(unvaried(first!), unvaried(SITE_FILE));
+        assert.notEqual(first!.split("\n")[3], SITE_FILE.split("\n")[3]);
     }
     finally {
         rmSync(folder, { recursive: true, force: true });
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -20,18 +20,18 @@
 
 const ROUNDS = 40;
 const MAX_BYTES = 600;
-const KEY = "demo-key-of-no-secrecy";
+const PEER_KEY = "demo-key-of-no-secrecy";
 
 const randomBytes = (random: () => number): Buffer =>
     Buffer.from(Array.from({ length: 1 + Math.floor(random() * MAX_BYTES) }, () => Math.floor(random() * 256)));
 
-const place = (address: string): [number, string] => {
+const toPortAndIp = (address: string): [number, string] => {
     const [ip, port] = address.split(":") as [string, string];
     return [Number(port), ip];
 };
 
 const sendTcp = async (address: string, bytes: Buffer): Promise<void> => {
-    const socket = connect(...place(address));
+    const socket = connect(...toPortAndIp(address));
     socket.on("error", () => {});
     socket.setTimeout(500, () => socket.destroy());
     socket.end(bytes);
@@ -39,38 +39,41 @@
     await once(socket, "close");
 };
 
-/** What the peer listener answers to a call with this payload; undefined when it ends the connection instead. */
-const peerCall = async (mesh: Mesh, key: string, payload: Buffer): Promise<WireResponse | undefined> => {
-    const socket = connect(...place(mesh.hosts[0]!.peer));
+/**
+ * Returns the peer listener's response to a call with this payload, or undefined if the listener closes the connection
+ * instead.
+ */
+const callPeer = async (mesh: Mesh, key: string, payload: Buffer): Promise<WireResponse | undefined> => {
+    const socket = connect(...toPortAndIp(mesh.hosts[0]!.peer));
     const reader = new FrameReader();
-    const answer = new Promise<WireResponse | undefined>(resolve => {
+    const response = new Promise<WireResponse | undefined>(resolve => {
         socket.on("data", chunk => reader.read(chunk).forEach(frame => resolve(unpackResponse(frame.payload))));
         socket.on("error", () => {}).on("close", () => resolve(undefined));
     });
     socket.write(writeFrame(frameType.greeting, Buffer.from(key)));
     socket.write(writeFrame(frameType.call, payload));
-    return await answer.finally(() => socket.destroy());
+    return await response.finally(() => socket.destroy());
 };
 
-test("input: random bytes at each listener leave the daemon serving", async () => {
+test("input: the daemon keeps serving after random bytes on each of its listeners", async () => {
     await withMesh(async mesh => {
         const random = seededRandom(99);
         const host = mesh.hosts[0]!;
-        const udp = createSocket("udp4");
+        const udpSocket = createSocket("udp4");
         for (let round = 0; round < ROUNDS; round++) {
-            const greeting = writeFrame(frameType.greeting, Buffer.from(KEY));
-            const heads = [
+            const greeting = writeFrame(frameType.greeting, Buffer.from(PEER_KEY));
+            const prefixes = [
                 Buffer.alloc(0),
                 Buffer.from("GET / HTTP/1.1\r\nhost: x\r\n"),
                 Buffer.from("POST "),
                 greeting,
                 Buffer.concat([greeting, Buffer.from([frameType.call, 0, 0, 0, 9])]),
             ];
-            const bytes = Buffer.concat([heads[round % heads.length]!, randomBytes(random)]);
+            const bytes = Buffer.concat([prefixes[round % prefixes.length]!, randomBytes(random)]);
             await Promise.all([host.ingress, host.peer, host.operator].map(address => sendTcp(address, bytes)));
-            udp.send(bytes, ...place(host.peer));
+            udpSocket.send(bytes, ...toPortAndIp(host.peer));
         }
-        udp.close();
+        udpSocket.close();
         await pause(100);
         assert.ok(mesh.daemons.get(host.name)!.running);
         const { statusCode, body } = await request(`http://${host.ingress}/pages/1`);
@@ -79,18 +82,27 @@
     });
 });
 
-test("input: malformed peer calls and operators' calls get a clear answer", async () => {
+test("input: malformed peer calls and invalid operators' commands are refused with a reason", async () => {
     await withMesh(async mesh => {
-        const head = requestMetadataCodec.write({ id: "a.1", upstream: "pages-1", kind: "once", priority: "normal" });
-        const calls = ["", "{", [], {}, [{ id: 1 }], ["x".repeat(100)], [head], [head, "GET", "/", [], false]];
+        const metadata = requestMetadataCodec.write({
+            id: "a.1",
+            upstream: "pages-1",
+            kind: "once",
+            priority: "normal",
+        });
+        const calls = ["", "{", [], {}, [{ id: 1 }], ["x".repeat(100)], [metadata], [metadata, "GET", "/", [], false]];
         for (const call of calls) {
             const payload = typeof call === "string" ? Buffer.from(call) : pack(call);
-            const answer = await peerCall(mesh, KEY, payload);
-            assert.equal(answer?.note.reason, "bad-call", JSON.stringify(call));
-            assert.equal(answer.note.outcome, "not-run");
+            const response = await callPeer(mesh, PEER_KEY, payload);
+            assert.equal(response?.note.reason, "bad-call", JSON.stringify(call));
+            assert.equal(response.note.outcome, "not-run");
         }
-        assert.equal(await peerCall(mesh, "demo-key-of-no-secrecz", pack([])), undefined, "a wrong key");
-        const table: [string[], RegExp][] = [
+        assert.equal(
+            await callPeer(mesh, "demo-key-of-no-secrecz", pack([])),
+            undefined,
+            "a call with a wrong key gets no response",
+        );
+        const cases: [string[], RegExp][] = [
             [
                 ["rule", "create", "r", "--path-prefix", "pages", "--service", "pages"],
                 /changes\.0\.pathPrefix: .*got "pages"/,
@@ -104,19 +116,23 @@
             ],
             [["drain", "nobody"], /upstreams: no upstream is named nobody/],
         ];
-        for (const [args, message] of table) {
+        for (const [args, message] of cases) {
             const { code, stderr } = await mesh.cli(...args);
             assert.equal(code, 2, args.join(" "));
             assert.match(stderr, message);
         }
         const status = await mesh.cli("status", "--json");
-        assert.equal((JSON.parse(status.stdout) as { revision: number; }).revision, 1, "nothing was lost or changed");
+        assert.equal(
+            (JSON.parse(status.stdout) as { revision: number; }).revision,
+            1,
+            "the configuration has not changed",
+        );
     });
 });
 
-test("input: settings that are wrong are named, and the exit code says so", async () => {
+test("input: the daemon names an invalid setting and exits with status 2", async () => {
     const script = new URL("../bin/winglockd.cjs", import.meta.url).pathname;
-    const good = {
+    const validSettings = {
         host: "h",
         hall: "a",
         region: "r",
@@ -126,15 +142,15 @@
         store: "127.0.0.1:4",
         peerKey: "0123456789abcdef",
     };
-    const table: [object, RegExp][] = [
-        [{ ...good, ingress: "localhost:1" }, /ingress: must be IP:PORT; got "localhost:1"/],
-        [{ ...good, peerKey: "short" }, /peerKey: .*got "short"/],
-        [{ ...good, colour: "red" }, /colour/],
-        [{ ...good, control: { bytesPerSecond: 5 } }, /control\.bytesPerSecond: .*got 5/],
-        [{ ...good, hall: undefined }, /hall: .*got nothing/],
+    const cases: [object, RegExp][] = [
+        [{ ...validSettings, ingress: "localhost:1" }, /ingress: must be IP:PORT; got "localhost:1"/],
+        [{ ...validSettings, peerKey: "short" }, /peerKey: .*got "short"/],
+        [{ ...validSettings, colour: "red" }, /colour/],
+        [{ ...validSettings, control: { bytesPerSecond: 5 } }, /control\.bytesPerSecond: .*got 5/],
+        [{ ...validSettings, hall: undefined }, /hall: .*got nothing/],
     ];
     const file = `${process.env["TMPDIR"] ?? "/tmp"}/winglock-settings-${process.pid}.json`;
-    for (const [settings, message] of table) {
+    for (const [settings, message] of cases) {
         writeFileSync(file, JSON.stringify(settings));
         const child = new Child(script, ["--settings", file], () => {});
         await assert.rejects(child.ready(), message);
--- a/test/readcontrolbytes.ts
+++ b/test/readcontrolbytes.ts
@@ -1,12 +1,12 @@
-/** Reads what a daemon has spent for control, and when. */
+/** Reads a daemon's counter of control traffic, and the time of the reading. */
 import { readMetric } from "../demo/readmetric.js";
 
-/** The daemon counted `bytes` at some moment between `askedAt` and `answeredAt`, in milliseconds. */
-type Reading = { readonly bytes: number; readonly askedAt: number; readonly answeredAt: number; };
+/** The counter was `bytes` at some time between `requestedAt` and `respondedAt`, both in milliseconds. */
+type Reading = { readonly bytes: number; readonly requestedAt: number; readonly respondedAt: number; };
 
-/** Rejects when the daemon does not answer: no reading is not a reading of 0. */
+/** Resolves with the reading. Rejects if the daemon does not respond: a missing reading must not count as 0 bytes. */
 export async function readControlBytes(operator: string): Promise<Reading> {
-    const askedAt = performance.now();
+    const requestedAt = performance.now();
     const bytes = await readMetric(operator, "winglock_control_bytes_total");
-    return { bytes, askedAt, answeredAt: performance.now() };
+    return { bytes, requestedAt, respondedAt: performance.now() };
 }
--- a/test/repeats.test.ts
+++ b/test/repeats.test.ts
@@ -7,31 +7,31 @@
 import { chainMesh } from "./chainmesh.js";
 import { withMesh } from "./withmesh.js";
 
-/** What all daemons together may send beyond the first arrivals: of the requests, and besides. */
-const RATIO = 0.2;
-const SLACK = 60;
+/** All daemons together may send `REPEAT_RATIO` repeats per request within the window, and `REPEAT_SLACK` more. */
+const REPEAT_RATIO = 0.2;
+const REPEAT_SLACK = 60;
 const WINDOW_MS = 10_000;
-const BOUNDED = {
-    policy: { profile: "responsive", repeats: { ratio: RATIO, slack: SLACK, windowS: WINDOW_MS / 1000 } },
+const BOUNDED_REPEATS = {
+    policy: { profile: "responsive", repeats: { ratio: REPEAT_RATIO, slack: REPEAT_SLACK, windowS: WINDOW_MS / 1000 } },
 };
 
-const load = (mesh: Mesh, seconds: number, ratePerSecond: number): ReturnType<typeof runLoad> =>
+const sendLoad = (mesh: Mesh, seconds: number, ratePerSecond: number): ReturnType<typeof runLoad> =>
     runLoad(mesh.spec, { seed: 3, seconds, ratePerSecond, ingresses: () => mesh.hosts.map(host => host.ingress) });
 
-const arrivals = async (mesh: Mesh, label: string): Promise<number> => {
+const countArrivals = async (mesh: Mesh, label: string): Promise<number> => {
     const counts = await Promise.all(
         mesh.operators.map(operator => readMetric(operator, "winglock_upstream_arrivals_total", label)),
     );
     return counts.reduce((sum, count) => sum + count, 0);
 };
 
-const assertWithinBound = (mesh: Mesh, service: string): void => {
+const assertRepeatsWithinBound = (mesh: Mesh, service: string): void => {
     const { beyond, requests } = mesh.record.worstBeyondFirst(name => name.startsWith(service), WINDOW_MS);
-    const allowed = RATIO * requests + SLACK;
-    assert.ok(beyond <= allowed, `${beyond} beyond the first of ${requests}, allowed ${allowed}`);
+    const allowed = REPEAT_RATIO * requests + REPEAT_SLACK;
+    assert.ok(beyond <= allowed, `${beyond} repeats of ${requests} requests, allowed ${allowed}`);
 };
 
-test("repeats: the daemons count what the upstreams received, and the calls of repeated runs as such", async () => {
+test("repeats: the daemons count all arrivals at the upstreams, and label the calls of repeated runs", async () => {
     const spec = { ...chainMesh, services: chainMesh.services.slice(0, 2) };
     await withMesh(
         async mesh => {
@@ -42,26 +42,26 @@
                     faultShare: 0.3,
                 });
             }
-            const told = await load(mesh, 4, 50);
-            const service = (name: string): string => `service="${name}"`;
+            const results = await sendLoad(mesh, 4, 50);
+            const serviceLabel = (name: string): string => `service="${name}"`;
             for (const name of ["level1", "level2"]) {
-                const { beyond } = mesh.record.worstBeyondFirst(host => host.startsWith(name), WINDOW_MS);
-                assert.equal(await arrivals(mesh, `${service(name)},arrival="first"`), told.length);
-                assert.equal(await arrivals(mesh, service(name)), told.length + beyond);
+                const { beyond } = mesh.record.worstBeyondFirst(upstream => upstream.startsWith(name), WINDOW_MS);
+                assert.equal(await countArrivals(mesh, `${serviceLabel(name)},arrival="first"`), results.length);
+                assert.equal(await countArrivals(mesh, serviceLabel(name)), results.length + beyond);
                 assert.ok(beyond > 10, `${name}: ${beyond}`);
             }
-            assert.ok(await arrivals(mesh, `${service("level2")},arrival="call"`) > 10);
+            assert.ok(await countArrivals(mesh, `${serviceLabel("level2")},arrival="call"`) > 10);
         },
         {},
         { ...spec, rules: chainMesh.rules.slice(0, 2) },
     );
 });
 
-test("repeats: upstreams that shed get no more than the bound of all daemons allows", async () => {
+test("repeats: upstreams that shed receive no more repeats than the bound on all daemons together", async () => {
     await withMesh(async mesh => {
         const shedding = mesh.hosts.filter(({ name }) => name.startsWith("fees"));
         await Promise.all(shedding.map(({ upstream }) => control(upstream, { shed: "said", shedShare: 0.8 })));
-        await load(mesh, 8, 150);
-        assertWithinBound(mesh, "fees");
-    }, { settings: BOUNDED });
+        await sendLoad(mesh, 8, 150);
+        assertRepeatsWithinBound(mesh, "fees");
+    }, { settings: BOUNDED_REPEATS });
 });
--- a/test/run.ts
+++ b/test/run.ts
@@ -1,22 +1,26 @@
-/** `run [WORDS]`: runs all tests, or those in files whose path holds the words; what KNOWN-RED.txt lists is printed and passed over. */
+/**
+ * `run [TEXT]`.
+ *
+ * Runs all test files, or those whose path contains the text. Failures of tests that KNOWN-RED.txt lists are printed,
+ * and do not make the run fail.
+ */
 import { existsSync, readdirSync, readFileSync } from "node:fs";
 import { runFiles } from "./runfiles.js";
 
 const ROOT = new URL("../", import.meta.url).pathname;
-const KNOWN_RED = new URL("../../KNOWN-RED.txt", import.meta.url).pathname;
-/** Of a file. */
-const TIMEOUT_MS = 600_000;
+const KNOWN_RED_FILE = new URL("../../KNOWN-RED.txt", import.meta.url).pathname;
+const FILE_TIMEOUT_MS = 600_000;
 
-const wanted = process.argv[2] ?? "";
+const pathFilter = process.argv[2] ?? "";
 
-/** The build folder may still hold a compiled test whose source has moved or is gone. */
+/** Returns false for a compiled test whose source was moved or deleted, which the build folder may still contain. */
 const hasSource = (file: string): boolean => existsSync(`${ROOT}../${file.replace(/\.js$/, ".ts")}`);
 
 const files = readdirSync(ROOT, { recursive: true, encoding: "utf8" })
-    .filter(file => file.endsWith(".test.js") && file.includes(wanted) && hasSource(file))
+    .filter(file => file.endsWith(".test.js") && file.includes(pathFilter) && hasSource(file))
     .map(file => ROOT + file)
     .sort();
 
-const knownRed = existsSync(KNOWN_RED) ? readFileSync(KNOWN_RED, "utf8") : "";
-const isGreen = await runFiles({ files, knownRed, timeoutMs: TIMEOUT_MS, isWhole: wanted === "" });
-process.exitCode = isGreen ? 0 : 1;
+const knownRed = existsSync(KNOWN_RED_FILE) ? readFileSync(KNOWN_RED_FILE, "utf8") : "";
+const passed = await runFiles({ files, knownRed, timeoutMs: FILE_TIMEOUT_MS, isFullRun: pathFilter === "" });
+process.exitCode = passed ? 0 : 1;
--- a/test/runfiles.ts
+++ b/test/runfiles.ts
@@ -1,42 +1,42 @@
-/** Runs test files, prints what became of them, and says whether the run is green. */
+/** Runs test files, prints their results, and decides whether the run is green. */
 import { run } from "node:test";
 import { tap } from "node:test/reporters";
 import { judgeRun } from "./judgerun.js";
 import type { TestEvent } from "./testevent.js";
 
-/** Files at the same time: their processes use the same machine. */
-const CONCURRENCY = 2;
+/** Limits how many files run at the same time, because the processes that they start share one machine. */
+const MAX_CONCURRENT_FILES = 2;
 
-/** `knownRed` is the text of the list of known failures, `timeoutMs` the time of a file; `isWhole`: these are all files. */
+/** `knownRed` is the text of KNOWN-RED.txt; `timeoutMs` applies to each file; `isFullRun`: no file is left out. */
 type RunOptions = {
     readonly files: string[];
     readonly knownRed: string;
     readonly timeoutMs: number;
-    readonly isWhole: boolean;
+    readonly isFullRun: boolean;
 };
 
 type RunnerError = Error & { readonly exitCode?: number | null; readonly signal?: string | null; };
 
-const whyOf = ({ message, exitCode, signal }: RunnerError): string => {
+const describeError = ({ message, exitCode, signal }: RunnerError): string => {
     if (typeof signal === "string") {
         return `ended by ${signal}`;
     }
     return typeof exitCode === "number" ? `ended with code ${exitCode}` : message;
 };
 
-/** Resolves with false when anything but a listed test is red. */
-export async function runFiles({ files, knownRed, timeoutMs, isWhole }: RunOptions): Promise<boolean> {
+/** Resolves with false if anything other than a listed test fails. */
+export async function runFiles({ files, knownRed, timeoutMs, isFullRun }: RunOptions): Promise<boolean> {
     const events: TestEvent[] = [];
-    const stream = run({ files, concurrency: CONCURRENCY, timeout: timeoutMs });
-    stream.on("test:pass", ({ name, file = "" }) => events.push({ type: "pass", name, file }));
-    stream.on("test:fail", ({ name, file = "", details }) => {
-        events.push({ type: "fail", name, file, why: whyOf(details.error as RunnerError) });
+    const testStream = run({ files, concurrency: MAX_CONCURRENT_FILES, timeout: timeoutMs });
+    testStream.on("test:pass", ({ name, file = "" }) => events.push({ type: "pass", name, file }));
+    testStream.on("test:fail", ({ name, file = "", details }) => {
+        events.push({ type: "fail", name, file, why: describeError(details.error as RunnerError) });
     });
-    stream.on("test:diagnostic", ({ message: text }) => events.push({ type: "notice", text }));
-    const printed = stream.compose(tap);
-    printed.pipe(process.stdout);
-    await new Promise(resolve => printed.on("end", resolve));
-    const { red, passedOver, stale } = judgeRun({ events, files, knownRed, isWhole });
+    testStream.on("test:diagnostic", ({ message: text }) => events.push({ type: "notice", text }));
+    const tapStream = testStream.compose(tap);
+    tapStream.pipe(process.stdout);
+    await new Promise(resolve => tapStream.on("end", resolve));
+    const { red, passedOver, stale } = judgeRun({ events, files, knownRed, isFullRun });
     passedOver.forEach(line => console.log(`known red, passed over: ${line}`));
     stale.forEach(line => console.log(`stale entry of KNOWN-RED.txt, ${line}`));
     red.forEach(line => console.log(`red: ${line}`));
--- a/test/runner.test.ts
+++ b/test/runner.test.ts
@@ -4,10 +4,10 @@
 
 const MAIN = new URL("runnerfixtures/main.js", import.meta.url).pathname;
 
-type Ran = { readonly code: number | null; readonly lines: string[]; };
+type RunResult = { readonly code: number | null; readonly lines: string[]; };
 
-/** Runs files of the fixtures' folder as the runner does; the lines are the runner's own. */
-const runFixtures = (files: readonly string[], knownRed = ""): Promise<Ran> =>
+/** Runs files of runnerfixtures/ in a process of their own. `lines` are those that the runner itself prints. */
+const runFixtures = (files: readonly string[], knownRed = ""): Promise<RunResult> =>
     new Promise(resolve => {
         const { NODE_TEST_CONTEXT: _, ...env } = process.env;
         const child = spawn(process.execPath, [MAIN, knownRed, ...files], { env, stdio: ["ignore", "pipe", "ignore"] });
@@ -18,35 +18,38 @@
         });
     });
 
-const checkRed = async (file: string, word: RegExp, knownRed = ""): Promise<void> => {
+/** Asserts that a run of the file beside a green one is red, with a reason that matches the pattern. */
+const assertRed = async (file: string, pattern: RegExp, knownRed = ""): Promise<void> => {
     const { code, lines } = await runFixtures(["green", file], knownRed);
     assert.equal(code, 1, `${file}: ${lines.join()}`);
-    assert.match(lines.filter(line => line.startsWith("red: ")).join("\n"), word);
+    assert.match(lines.filter(line => line.startsWith("red: ")).join("\n"), pattern);
 };
 
-// Guards against a run that is green though a test file crashed, and tests of it never ran.
-test("runner: a file that throws while it is loaded makes the run red", () => checkRed("throws", /throws\.js.*code 1/));
+// Guards against a green run although a test file crashed and some of its tests never ran.
+test("runner: a file that throws while it is loaded makes the run red", () =>
+    assertRed("throws", /throws\.js.*code 1/));
 
 test("runner: a file whose process ends before its last test makes the run red", () =>
-    checkRed("exits", /exits\.js.*code 3/));
+    assertRed("exits", /exits\.js.*code 3/));
 
-test("runner: a file that does not end in time makes the run red", () => checkRed("hangs", /hangs\.js.*timed out/));
+test("runner: a file that exceeds its timeout makes the run red", () => assertRed("hangs", /hangs\.js.*timed out/));
 
-test("runner: a file that is ended by a signal makes the run red", () => checkRed("killed", /killed\.js.*SIGKILL/));
+test("runner: a file whose process is ended by a signal makes the run red", () =>
+    assertRed("killed", /killed\.js.*SIGKILL/));
 
-test("runner: a rejection that nobody handles makes the run red", () => checkRed("rejects", /after the test ended/));
+test("runner: an unhandled rejection makes the run red", () => assertRed("rejects", /after the test ended/));
 
-test("runner: a test that is cancelled makes the run red", () => checkRed("cancelled", /red: one\nred: two/));
+test("runner: a test that is cancelled makes the run red", () => assertRed("cancelled", /red: one\nred: two/));
 
-test("runner: a file without a test makes the run red", () => checkRed("empty", /empty\.js.*no test/));
+test("runner: a file without a test makes the run red", () => assertRed("empty", /empty\.js.*no test/));
 
-test("runner: a listed test passes over neither an early end nor a rejection in its file", async () => {
+test("runner: a listed test hides neither an early end of its file nor an unhandled rejection in it", async () => {
     const knownRed = "two, which fails, its command";
-    await checkRed("redthenexits", /redthenexits\.js.*code 3/, knownRed);
-    await checkRed("redthenrejects", /after the test ended/, knownRed);
+    await assertRed("redthenexits", /redthenexits\.js.*code 3/, knownRed);
+    await assertRed("redthenrejects", /after the test ended/, knownRed);
 });
 
-test("runner: a file that fails only by listed tests passes and prints them, and a stale entry is told", async () => {
+test("runner: a run in which only listed tests fail passes, and prints them and the stale entries", async () => {
     const knownRed = "two, which fails, its command\none, its command\ngone, its command";
     const { code, lines } = await runFixtures(["green", "red"], knownRed);
     assert.equal(code, 0);
--- a/test/runnerfixtures/cancelled.ts
+++ b/test/runnerfixtures/cancelled.ts
@@ -1,4 +1,4 @@
-/** A test file that ends while a test of it waits for nothing. */
+/** A test file that ends while one of its tests waits for a promise that never settles. */
 import { test } from "node:test";
 
 test("one", () => new Promise(() => {}));
--- a/test/runnerfixtures/green.ts
+++ b/test/runnerfixtures/green.ts
@@ -1,4 +1,4 @@
-/** A test file in which all is well. */
+/** A test file in which all tests pass. */
 import { test } from "node:test";
 
 test("one", () => {});
--- a/test/runnerfixtures/hangs.ts
+++ b/test/runnerfixtures/hangs.ts
@@ -1,4 +1,4 @@
-/** A test file that does not end in time. */
+/** A test file that exceeds its timeout. */
 import { test } from "node:test";
 
 test("one", () => {});
--- a/test/runnerfixtures/redthenexits.ts
+++ b/test/runnerfixtures/redthenexits.ts
@@ -1,4 +1,4 @@
-/** A test file with a test that fails, and a process that ends before the next one. */
+/** A test file with a test that fails, whose process ends during the next test. */
 import { test } from "node:test";
 
 test("two, which fails", () => {
--- a/test/runnerfixtures/redthenrejects.ts
+++ b/test/runnerfixtures/redthenrejects.ts
@@ -1,4 +1,4 @@
-/** A test file with a test that fails, and a rejection that nobody handles. */
+/** A test file with a test that fails, and an unhandled rejection after its last test. */
 import { test } from "node:test";
 
 test("two, which fails", () => {
--- a/test/runnerfixtures/rejects.ts
+++ b/test/runnerfixtures/rejects.ts
@@ -1,4 +1,4 @@
-/** A test file with a rejection that nobody handles, after its last test. */
+/** A test file with an unhandled rejection after its last test. */
 import { test } from "node:test";
 
 test("one", () => {});
--- a/test/rush.test.ts
+++ b/test/rush.test.ts
@@ -11,35 +11,41 @@
 const WINDOW_MS = 1000;
 const WINDOWS = 5;
 
-/** The most that a daemon spent a second; between two readings lie at most the first's question and the second's answer. */
-const most = async (mesh: Mesh): Promise<number> => {
-    let worst = 0;
-    let before = await Promise.all(mesh.operators.map(readControlBytes));
+/**
+ * Returns the highest rate of control traffic at any daemon, in bytes per second. The time between two readings is the
+ * longest possible one: from the request of the first to the response of the second.
+ */
+const measureMaxRate = async (mesh: Mesh): Promise<number> => {
+    let maxRate = 0;
+    let previous = await Promise.all(mesh.operators.map(readControlBytes));
     for (let window = 0; window < WINDOWS; window++) {
         await pause(WINDOW_MS);
-        const after = await Promise.all(mesh.operators.map(readControlBytes));
-        const rates = after.map(({ bytes, answeredAt }, at) =>
-            (bytes - before[at]!.bytes) * WINDOW_MS / (answeredAt - before[at]!.askedAt)
+        const current = await Promise.all(mesh.operators.map(readControlBytes));
+        const rates = current.map(({ bytes, respondedAt }, index) =>
+            (bytes - previous[index]!.bytes) * WINDOW_MS / (respondedAt - previous[index]!.requestedAt)
         );
-        worst = Math.max(worst, ...rates);
-        before = after;
+        maxRate = Math.max(maxRate, ...rates);
+        previous = current;
     }
-    return worst;
+    return maxRate;
 };
 
-test("rush: measuring stays within its budget at three times the capacity", async () => {
+test("rush: control traffic stays within its budget at three times the capacity", async () => {
     const settings = { control: { bytesPerSecond: BYTES_PER_SECOND, healthPerSecond: 1 } };
     await withMesh(async mesh => {
         const pages = mesh.hosts.filter(host => host.service === "pages");
         await Promise.all(pages.map(host => control(host.upstream, { meanMs: 30, noiseEveryMs: 200 })));
         const ingresses = (): string[] => mesh.hosts.map(host => host.ingress);
-        const [worst, told] = await Promise.all([
-            most(mesh),
+        const [maxRate, results] = await Promise.all([
+            measureMaxRate(mesh),
             runLoad(mesh.spec, { seed: 3, seconds: 6, ratePerSecond: 1200, ingresses }),
         ]);
-        assert.ok(told.some(item => item.word === "not-run"), "it is a rush");
-        assert.ok(worst <= BYTES_PER_SECOND, `${worst} bytes in the worst second`);
-        const refused = told.filter(item => item.word === "not-run");
-        assert.ok(refused.every(item => mesh.record.runs(item.id) === 0), "what was refused did not run");
+        assert.ok(
+            results.some(item => item.word === "not-run"),
+            "some requests are refused, so the load exceeds the capacity",
+        );
+        assert.ok(maxRate <= BYTES_PER_SECOND, `${maxRate} bytes per second at most`);
+        const notRun = results.filter(item => item.word === "not-run");
+        assert.ok(notRun.every(item => mesh.record.runs(item.id) === 0), "refused requests did not run");
     }, { settings });
 });
--- a/test/silent.test.ts
+++ b/test/silent.test.ts
@@ -12,56 +12,57 @@
 import { withMesh } from "./withmesh.js";
 import { withPlatform } from "./withplatform.js";
 
-/** Milliseconds: what a caller may wait for a request that met a silent connection, and was served all the same. */
-const FOUND_WITHIN_MS = 1500;
+/** Bounds the latency of a request that is served although it was sent on an unresponsive connection. */
+const MAX_LATENCY_MS = 1500;
 
-const silence = async (mesh: Mesh): Promise<void> => {
+/** Makes all connections that are open now unresponsive; later ones work. */
+const muteOpenConnections = async (mesh: Mesh): Promise<void> => {
     await mesh.setFaults([{ links: [], from: [], silent: true }]);
     await mesh.setFaults([]);
 };
 
-test("silent: when all open connections carry nothing any more, twice, hardly a caller notices", async () => {
+test("silent: few callers are affected when all open connections become unresponsive, twice", async () => {
     await withMesh(async mesh => {
-        const { told, counts } = await loaded(mesh, async () => {
+        const { told: results, counts } = await loaded(mesh, async () => {
             await wait(2000);
-            await silence(mesh);
+            await muteOpenConnections(mesh);
             await wait(3000);
-            await silence(mesh);
+            await muteOpenConnections(mesh);
         }, { seconds: 8 });
-        const late = told.filter(item => item.ms > FOUND_WITHIN_MS);
-        const unserved = told.filter(item => item.status !== 200);
-        const pages = unserved.filter(item => !item.once);
-        assert.ok(late.length <= 0.01 * told.length, `${late.length} of ${told.length} late`);
+        const slow = results.filter(item => item.ms > MAX_LATENCY_MS);
+        const unserved = results.filter(item => item.status !== 200);
+        const unservedPages = unserved.filter(item => !item.once);
+        assert.ok(slow.length <= 0.01 * results.length, `${slow.length} of ${results.length} slow`);
         assert.ok(
-            pages.length <= 0.02 * told.length,
-            `${pages.length} of ${told.length} are pages that were not served`,
+            unservedPages.length <= 0.02 * results.length,
+            `${unservedPages.length} of ${results.length} requests are pages that were not served`,
         );
-        assert.ok(unserved.length <= 0.08 * told.length, `${unserved.length} of ${told.length} not served`);
-        assert.equal(counts.cut, 0, "what is not served is told so");
-        const found = await Promise.all(
+        assert.ok(unserved.length <= 0.08 * results.length, `${unserved.length} of ${results.length} not served`);
+        assert.equal(counts.cut, 0, "no caller's connection was cut");
+        const detected = await Promise.all(
             mesh.operators.map(operator => readMetric(operator, "winglock_silent_connections_total")),
         );
-        assert.ok(found.every(count => count > 0), `found by each daemon: ${found}`);
+        assert.ok(detected.every(count => count > 0), `unresponsive connections detected by each daemon: ${detected}`);
     });
 });
 
-const added = { name: "added", host: "site.example", pathPrefix: "/added/", kind: "repeatable", service: "pages" };
+const addedRule = { name: "added", host: "site.example", pathPrefix: "/added/", kind: "repeatable", service: "pages" };
 
-const serves = async (mesh: PlatformMesh, path: string): Promise<boolean> => {
-    const told = await Promise.all(mesh.hosts.map(({ name }) => mesh.send(name, "GET", path, `${name}${path}`)));
-    return told.every(item => item.status === 200);
+const allServe = async (mesh: PlatformMesh, path: string): Promise<boolean> => {
+    const responses = await Promise.all(mesh.hosts.map(({ name }) => mesh.send(name, "GET", path, `${name}${path}`)));
+    return responses.every(item => item.status === 200);
 };
 
-test("silent: watches and leases go on when all open connections to the store carry nothing any more", async () => {
+test("silent: watches and leases survive when all open connections to the store become unresponsive", async () => {
     await withPlatform(async mesh => {
         await mesh.strikeStore({ muteOpen: true });
         await pause(100);
-        await mesh.configure(platformConfiguration(5, [added]));
-        await eventually("the rule serves", () => serves(mesh, "/added/1"), 5000);
+        await mesh.configure(platformConfiguration(5, [addedRule]));
+        await eventually("all daemons serve the added rule", () => allServe(mesh, "/added/1"), 5000);
         for (let second = 0; second < 10; second++) {
-            assert.equal(await countRecords(mesh), mesh.hosts.length, `no lease has run out after ${second} s`);
+            assert.equal(await countRecords(mesh), mesh.hosts.length, `no lease has expired after ${second} s`);
             await pause(1000);
         }
-        assert.equal(await serves(mesh, "/pages/1"), true);
+        assert.equal(await allServe(mesh, "/pages/1"), true);
     });
 });
--- a/test/start.test.ts
+++ b/test/start.test.ts
@@ -7,25 +7,25 @@
 import { Child } from "../demo/child.js";
 import { takeRunNumber } from "../demo/runnumber.js";
 
-const BINARY = new URL("../bin", import.meta.url).pathname;
+const BINARY_FOLDER = new URL("../bin", import.meta.url).pathname;
 const ROOT = new URL("../../", import.meta.url).pathname;
 
-/** Starts a daemon until it is up, ends it, and returns what its first line says of the code cache. */
-const startOnce = async (folder: string, nodeFlags: string[], env: NodeJS.ProcessEnv = {}): Promise<string> => {
+/** Starts a daemon, stops it when it is ready, and returns the field `codeCache` of the log line of its start. */
+const startAndStop = async (folder: string, nodeFlags: string[], env: NodeJS.ProcessEnv = {}): Promise<string> => {
     const lines: string[] = [];
     const args = ["--settings", join(folder, "settings.json")];
     const child = new Child(join(folder, "winglockd.cjs"), args, line => lines.push(line), { nodeFlags, env });
     await child.ready();
     assert.equal(await child.end("SIGTERM"), 0);
-    const up = lines.find(line => line.includes("The daemon is up."))!;
-    return (JSON.parse(up) as { codeCache: string; }).codeCache;
+    const readyLine = lines.find(line => line.includes("The daemon is up."))!;
+    return (JSON.parse(readyLine) as { codeCache: string; }).codeCache;
 };
 
-test("start: a code cache is used by the same flags, and turned down by others", async () => {
+test("start: a code cache is used with the same flags, and rejected with others", async () => {
     const { run, lock } = await takeRunNumber();
     const folder = mkdtempSync(join(tmpdir(), "winglock-start-"));
     try {
-        cpSync(BINARY, folder, { recursive: true });
+        cpSync(BINARY_FOLDER, folder, { recursive: true });
         const settings = {
             host: "h",
             hall: "a",
@@ -39,12 +39,12 @@
         };
         writeFileSync(join(folder, "settings.json"), JSON.stringify(settings));
         const flags = ["--max-semi-space-size=4"];
-        assert.equal(await startOnce(folder, flags, { WINGLOCK_WRITE_CODE_CACHE: "1" }), "none");
+        assert.equal(await startAndStop(folder, flags, { WINGLOCK_WRITE_CODE_CACHE: "1" }), "none");
         assert.ok(existsSync(join(folder, "winglockd.cache")));
-        assert.equal(await startOnce(folder, flags), "used");
-        assert.equal(await startOnce(folder, ["--max-semi-space-size=8"]), "rejected");
+        assert.equal(await startAndStop(folder, flags), "used");
+        assert.equal(await startAndStop(folder, ["--max-semi-space-size=8"]), "rejected");
         writeFileSync(join(folder, "winglockd.cache"), "no cache at all");
-        assert.equal(await startOnce(folder, flags), "rejected");
+        assert.equal(await startAndStop(folder, flags), "rejected");
     }
     finally {
         rmSync(folder, { recursive: true, force: true });
@@ -52,7 +52,7 @@
     }
 });
 
-test("start: the platform's build makes a code cache, by the settings and flags that are deployed", () => {
+test("start: the platform's build creates a code cache with the deployed settings and flags", () => {
     const folder = mkdtempSync(join(tmpdir(), "winglock-warm-"));
     try {
         for (const step of [["build/bundle.js", folder, "platform/main.ts"], ["build/warm.js", folder]]) {
--- a/test/testevent.ts
+++ b/test/testevent.ts
@@ -1,8 +1,8 @@
-/** What the test runner tells of a test, or of a file. */
+/** An event of the test runner about a test or a test file. */
 
 /**
- * `file` is the path of the test's file, and is the name too where the runner tells of the file itself: it does so where the file failed by
- * itself, or has no test. `notice` is a line of the runner's own.
+ * `file` is the path of the test's file. `name` equals `file` if the event is about the file itself: the runner reports
+ * a file that itself failed, or that has no test. A `notice` is a diagnostic line of the runner.
  */
 export type TestEvent =
     | { readonly type: "pass"; readonly name: string; readonly file: string; }
