--- a/test/silent.test.ts
+++ b/test/silent.test.ts
@@ -12,7 +12,7 @@
 import { withMesh } from "./withmesh.js";
 import { withPlatform } from "./withplatform.js";
 
-/** Bounds the latency of a request that is served although it was sent on an unresponsive connection. */
+/** The time within which a request should be served even if it was sent on an unresponsive connection. */
 const MAX_LATENCY_MS = 1500;
 
 /** Makes all connections that are open now unresponsive; later ones work. */
