--- a/test/leaving.test.ts
+++ b/test/leaving.test.ts
@@ -5,7 +5,7 @@
 import { OperatorClient } from "../src/cli/operatorclient.js";
 import { loaded } from "./loaded.js";
 import { pause } from "./pause.js";
-import { platformLoad } from "./platformload.js";
+import { platformLoad } from "./runplatformload.js";
 import type { PlatformMesh } from "./platformmesh.js";
 import { withMesh } from "./withmesh.js";
 import { withPlatform } from "./withplatform.js";
--- a/test/limit.test.ts
+++ b/test/limit.test.ts
@@ -3,7 +3,7 @@
 import { eventually } from "./eventually.js";
 import { pause } from "./pause.js";
 import { platformConfiguration } from "./platformconfiguration.js";
-import { platformLoad } from "./platformload.js";
+import { platformLoad } from "./runplatformload.js";
 import type { PlatformMesh } from "./platformmesh.js";
 import { withPlatform } from "./withplatform.js";
 
