--- a/test/countrecords.ts
+++ b/test/countrecords.ts
@@ -1,9 +1,9 @@
-/** Counts the daemons' records in the store. */
+/** Counts the members' records in the store. */
 import { get } from "node:http";
 import { readJson } from "../standin/readjson.js";
 import type { PlatformMesh } from "./platformmesh.js";
 
-/** Over a connection of its own: those that the test has open may carry nothing more. */
+/** Resolves with the number of records. Uses a new connection: the test may have muted the open ones. */
 export function countRecords(mesh: PlatformMesh): Promise<number> {
     return new Promise((resolve, reject) => {
         const url = `http://${mesh.storeAddress}/api/kv-range?pathPrefix=winglock%2Fmembers%2F`;
--- a/test/leaving.test.ts
+++ b/test/leaving.test.ts
@@ -5,100 +5,107 @@
 import { OperatorClient } from "../src/cli/operatorclient.js";
 import { loaded } from "./loaded.js";
 import { pause } from "./pause.js";
-import { platformLoad } from "./runplatformload.js";
 import type { PlatformMesh } from "./platformmesh.js";
+import { runPlatformLoad } from "./runplatformload.js";
 import { withMesh } from "./withmesh.js";
 import { withPlatform } from "./withplatform.js";
 
-const BOUND_MS = 3000;
-const LIST_LAG_MS = 500;
-/** Work of this many milliseconds is more than one instance serves under the load, so that any other that may be sent some is. */
-const FULL_MS = 100;
-/** With work of this many milliseconds both are used, and one alone would do. */
-const BUSY_MS = 30;
+const NO_NEW_REQUESTS_AFTER_MS = 3000;
+const HOST_LIST_LAG_MS = 500;
+/** Service time with which the load exceeds the capacity of one instance, so that all instances that may be used are. */
+const SATURATING_WORK_MS = 100;
+/** Service time with which the load uses both instances, although one alone could serve it. */
+const MODERATE_WORK_MS = 30;
 
-const checkLeaves = async (mesh: Mesh, upstream: string, leave: () => Promise<unknown>, lagMs = 0): Promise<void> => {
-    let signAt = 0;
+const assertLeaves = async (mesh: Mesh, upstream: string, leave: () => Promise<unknown>, lagMs = 0): Promise<void> => {
+    let announcedAt = 0;
     await loaded(mesh, async () => {
         await pause(1000);
         await leave();
-        signAt = performance.now() + lagMs;
+        announcedAt = performance.now() + lagMs;
     }, { seconds: 7 });
-    const starts = mesh.record.startsAt(upstream);
-    assert.ok(starts.some(at => at < signAt), "it had work before");
-    const late = starts.filter(at => at > signAt + BOUND_MS);
-    assert.deepEqual(late, [], "no new work after the bound");
+    const startTimes = mesh.record.startsAt(upstream);
+    assert.ok(startTimes.some(startedAt => startedAt < announcedAt), "the upstream received requests before");
+    const lateRequests = startTimes.filter(startedAt => startedAt > announcedAt + NO_NEW_REQUESTS_AFTER_MS);
+    assert.deepEqual(lateRequests, [], "no new requests after the bound");
 };
 
-test("leaving: by the operator's call", async () => {
-    await withMesh(mesh => checkLeaves(mesh, "fees-1", () => mesh.cli("drain", "fees-1")));
+test("leaving: an upstream that an operator drains gets no new requests after the bound", async () => {
+    await withMesh(mesh => assertLeaves(mesh, "fees-1", () => mesh.cli("drain", "fees-1")));
 });
 
-test("leaving: by the upstream's word, given only by its health endpoint", async () => {
-    await withMesh(mesh => checkLeaves(mesh, "fees-2", () => control(mesh.host("fees-2").upstream, { leaving: true })));
+test("leaving: an upstream whose health endpoint alone says that it leaves gets no new requests after the bound", async () => {
+    await withMesh(mesh =>
+        assertLeaves(mesh, "fees-2", () => control(mesh.host("fees-2").upstream, { leaving: true }))
+    );
 });
 
-test("leaving: by the platform's list", async () => {
+test("leaving: an upstream that the platform's host list shows as leaving gets no new requests after the bound", async () => {
     await withMesh(mesh => {
         const hosts = [{ name: "fees-3", state: "leaving" }];
-        return checkLeaves(mesh, "fees-3", () => control(mesh.storeAddress, { hosts }), LIST_LAG_MS);
+        return assertLeaves(mesh, "fees-3", () => control(mesh.storeAddress, { hosts }), HOST_LIST_LAG_MS);
     });
 });
 
 test("leaving: by silence, a daemon that stands still gets nothing and holds nothing up", async () => {
     await withMesh(async mesh => {
         const frozen = mesh.host("pages-1");
-        let at = 0;
+        let frozenAt = 0;
         const { told } = await loaded(mesh, async () => {
             await pause(1500);
             mesh.daemons.get(frozen.name)!.signal("SIGSTOP");
-            at = performance.now();
+            frozenAt = performance.now();
         }, { seconds: 6, ingresses: () => mesh.hosts.filter(host => host !== frozen).map(host => host.ingress) });
-        const pages = told.filter(item => !item.once && item.at > at + BOUND_MS);
-        assert.ok(pages.length > 0);
-        assert.ok(pages.every(item => item.word === "answered"));
+        const lateResponses = told.filter(item => !item.once && item.at > frozenAt + NO_NEW_REQUESTS_AFTER_MS);
+        assert.ok(lateResponses.length > 0);
+        assert.ok(lateResponses.every(item => item.word === "answered"));
     });
 });
 
-/** Sends some at once at each host while the upstream begins to leave; resolves with the hosts that have passed its word on. */
-const passOnLeaving = async (mesh: PlatformMesh): Promise<string[]> => {
-    const told = mesh.hosts.flatMap(({ name }) =>
-        Array.from({ length: 3 }, async (_, at) => {
-            const { headers } = await mesh.send(name, "GET", "/pages/1", `first-${name}-${at}`);
+/** Sends concurrent requests from each host while the upstream begins to leave; resolves with the hosts that forwarded its leaving state. */
+const startLeavingUnderLoad = async (mesh: PlatformMesh): Promise<string[]> => {
+    const forwarding = mesh.hosts.flatMap(({ name }) =>
+        Array.from({ length: 3 }, async (_, index) => {
+            const { headers } = await mesh.send(name, "GET", "/pages/1", `first-${name}-${index}`);
             return headers["server-leaving"] === "1" ? [name] : [];
         })
     );
-    await pause(FULL_MS / 2);
+    await pause(SATURATING_WORK_MS / 2);
     await mesh.strikeInstance("pages-1", { leaving: true });
-    return [...new Set((await Promise.all(told)).flat())];
+    return [...new Set((await Promise.all(forwarding)).flat())];
 };
 
-// Guards against sending on to an upstream that says only in its answers that it leaves, also where the daemon beside it has started again since.
-test("leaving: by the word in an upstream's answers alone, hosts that passed it on send nothing there any more", async () => {
+// Guards against further requests to an upstream that reports only in its responses that it leaves, also after its daemon has restarted.
+test("leaving: hosts that forwarded a response in which an upstream says that it leaves send nothing more there", async () => {
     await withPlatform(async mesh => {
-        const slow = ["pages-1", "pages-2"].map(name => mesh.strikeInstance(name, { workMs: FULL_MS }));
-        await Promise.all(slow);
-        const told = (await passOnLeaving(mesh)).filter(name => name !== "pages-1");
-        assert.ok(told.length > 0, "somebody has passed it on");
-        await platformLoad(mesh, { perSecond: 150, forMs: 2000 });
-        const arrived = mesh.runs.filter(line => line.startsWith("V ") && !line.endsWith("health"));
-        assert.ok(arrived.length <= mesh.hosts.length, `${arrived.length} were sent to it after its word`);
+        const slowed = ["pages-1", "pages-2"].map(name => mesh.strikeInstance(name, { workMs: SATURATING_WORK_MS }));
+        await Promise.all(slowed);
+        const informedHosts = (await startLeavingUnderLoad(mesh)).filter(name => name !== "pages-1");
+        assert.ok(informedHosts.length > 0, "a host other than pages-1 has forwarded the state");
+        await runPlatformLoad(mesh, { requestsPerSecond: 150, durationMs: 2000 });
+        const arrivals = mesh.runs.filter(line => line.startsWith("V ") && !line.endsWith("health"));
+        assert.ok(
+            arrivals.length <= mesh.hosts.length,
+            `${arrivals.length} requests reached it after it said that it leaves`,
+        );
         await mesh.daemons.get("pages-1")!.end("SIGKILL");
         await mesh.startDaemon("pages-1").ready();
-        const restartedAt = mesh.runs.length;
-        await platformLoad(mesh, { hosts: told, perSecond: 150, forMs: 4000 });
-        const late = mesh.runs.slice(restartedAt).filter(line => line.startsWith("V ") && !line.endsWith("health"));
-        assert.deepEqual(late, [], "none after its daemon's start");
+        const lineCountAtRestart = mesh.runs.length;
+        await runPlatformLoad(mesh, { hostNames: informedHosts, requestsPerSecond: 150, durationMs: 4000 });
+        const lateRequests = mesh.runs.slice(lineCountAtRestart).filter(line =>
+            line.startsWith("V ") && !line.endsWith("health")
+        );
+        assert.deepEqual(lateRequests, [], "no requests after the restart of its daemon");
     });
 });
 
-test("leaving: where an upstream says so in its answers, the others serve all that it does not take", async () => {
+test("leaving: where an upstream says in its responses that it leaves, the other instances serve what it does not take", async () => {
     await withPlatform(async mesh => {
-        await Promise.all(["pages-1", "pages-2"].map(name => mesh.strikeInstance(name, { workMs: BUSY_MS })));
-        const loaded = platformLoad(mesh, { perSecond: 80, forMs: 4000 });
+        await Promise.all(["pages-1", "pages-2"].map(name => mesh.strikeInstance(name, { workMs: MODERATE_WORK_MS })));
+        const loadResult = runPlatformLoad(mesh, { requestsPerSecond: 80, durationMs: 4000 });
         await pause(1000);
         await mesh.strikeInstance("pages-1", { leaving: true });
-        const { sent, served } = await loaded;
+        const { sent, served } = await loadResult;
         assert.ok(served >= sent * 0.98, `${served} of ${sent}`);
         const client = new OperatorClient([`${mesh.host("fees-2").ip}:7105`]);
         const status = await client.call(operator => operator.getStatus({}));
--- a/test/platformconfiguration.ts
+++ b/test/platformconfiguration.ts
@@ -1,7 +1,7 @@
-/** A configuration in the platform's form, in the names of deploy/wire.toml. */
+/** Builds configurations in the platform's format, with the names of deploy/wire.toml. */
 
-/** Two services, a rule for each, and whatever rules are added. */
-export function platformConfiguration(revision: number, more: readonly object[] = []): object {
+/** Returns a configuration of the services `pages` and `fees`, with a rule for each and the additional rules. */
+export function platformConfiguration(revision: number, additionalRules: readonly object[] = []): object {
     const rule = (name: string, kind: string): object => ({
         name,
         host: "site.example",
@@ -15,7 +15,7 @@
     });
     return {
         revision,
-        rules: [rule("pages", "repeatable"), rule("fees", "once"), ...more],
+        rules: [rule("pages", "repeatable"), rule("fees", "once"), ...additionalRules],
         services: ["pages", "fees"].map(name => ({
             name,
             healthPath: "/health",
--- a/test/platformmesh.ts
+++ b/test/platformmesh.ts
@@ -1,4 +1,4 @@
-/** Daemons as on the users' platform: real processes, a stand-in of its store, one instance beside each daemon. */
+/** Runs daemons as on the users' platform: real processes, a stand-in for its store and one instance for each daemon. */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { request as httpRequest } from "node:http";
 import type { Server } from "node:net";
@@ -12,37 +12,43 @@
 import { platformConfiguration } from "./platformconfiguration.js";
 import type { PlatformTold } from "./platformtold.js";
 
-const script = (path: string): string => new URL(`../${path}`, import.meta.url).pathname;
+const scriptPath = (path: string): string => new URL(`../${path}`, import.meta.url).pathname;
 const HALLS = ["a", "b", "c"];
 
 type Host = { readonly name: string; readonly ip: string; readonly service: string; readonly hall: string; };
 
-/** Starts, strikes and stops its processes, and only those. */
+/** Starts, controls and stops its own processes, and no others. */
 export class PlatformMesh {
     readonly daemons = new Map<string, Child>();
     readonly instances = new Map<string, Child>();
+    /** Lines that the instances have printed, such as `R ID` for each request that they began to run. */
     readonly runs: string[] = [];
+    /** Lines that the daemons have logged. */
     readonly log: string[] = [];
     readonly #folder = mkdtempSync(join(tmpdir(), "winglock-"));
     readonly #store: Child;
 
-    private constructor(private readonly run: number, private readonly lock: Server, readonly hosts: readonly Host[]) {
-        this.#store = new Child(script("standin/storemain.js"), [this.storeAddress], () => {});
+    private constructor(
+        private readonly runNumber: number,
+        private readonly lock: Server,
+        readonly hosts: readonly Host[],
+    ) {
+        this.#store = new Child(scriptPath("standin/storemain.js"), [this.storeAddress], () => {});
     }
 
-    /** One instance of a service on each of so many hosts a service, in these halls by turns. */
+    /** Starts one daemon and one instance for each host; each service's hosts are distributed over the halls in turn. */
     static async start(
         services: readonly string[] = ["pages", "fees"],
-        each = 2,
+        instancesPerService = 2,
         halls: readonly string[] = HALLS,
     ): Promise<PlatformMesh> {
         const { run, lock } = await takeRunNumber();
-        const hosts = services.flatMap((service, at) =>
-            Array.from({ length: each }, (_, number) => ({
-                name: `${service}-${number + 1}`,
-                ip: `127.${run}.2.${1 + at * each + number}`,
+        const hosts = services.flatMap((service, serviceIndex) =>
+            Array.from({ length: instancesPerService }, (_, index) => ({
+                name: `${service}-${index + 1}`,
+                ip: `127.${run}.2.${1 + serviceIndex * instancesPerService + index}`,
                 service,
-                hall: halls[number % halls.length]!,
+                hall: halls[index % halls.length]!,
             }))
         );
         const mesh = new PlatformMesh(run, lock, hosts);
@@ -65,7 +71,7 @@
     }
 
     get storeAddress(): string {
-        return `127.${this.run}.1.1:7300`;
+        return `127.${this.runNumber}.1.1:7300`;
     }
 
     host(name: string): Host {
@@ -73,49 +79,49 @@
     }
 
     startDaemon(name: string): Child {
-        const child = new Child(script("platform/bin/winglockd.cjs"), [], line => this.log.push(line), {
+        const child = new Child(scriptPath("platform/bin/winglockd.cjs"), [], line => this.log.push(line), {
             env: { WINGLOCK_BOOT: this.#settings(this.host(name)) },
         });
         this.daemons.set(name, child);
         return child;
     }
 
-    /** A request with the path `crashPath` ends it. */
+    /** Starts a host's instance, which exits when it runs a request with the path `crashPath`. */
     startInstance(name: string, id: string, crashPath = ""): Child {
         const { ip, service } = this.host(name);
         const args = [id, service, `${ip}:7200`, "4", `${ip}:7106`, crashPath];
-        const child = new Child(script("standin/instancemain.js"), args, line => this.runs.push(line));
+        const child = new Child(scriptPath("standin/instancemain.js"), args, line => this.runs.push(line));
         this.instances.set(name, child);
         return child;
     }
 
-    /** Writes a configuration as the platform's operators do, over a connection of its own. */
+    /** Writes a configuration to the store as the platform's operators do, over a new connection. */
     configure(configuration: object): Promise<void> {
-        return this.operatorPuts("op/config", JSON.stringify(configuration));
+        return this.putAsOperator("op/config", JSON.stringify(configuration));
     }
 
-    /** Asks that nothing new is sent to the upstreams of a hall, as the platform's operators do. */
+    /** Evacuates a hall as the platform's operators do: no new requests go to its upstreams. */
     evacuate(hall: string, body = "{}"): Promise<void> {
-        return this.operatorPuts(`op/evacuate/${hall}`, body);
+        return this.putAsOperator(`op/evacuate/${hall}`, body);
     }
 
-    /** Takes an evacuation back. */
+    /** Ends the evacuation of a hall. */
     readmit(hall: string): Promise<void> {
-        return this.#operatorWrites({ remove: [`op/evacuate/${hall}`] });
+        return this.#writeAsOperator({ remove: [`op/evacuate/${hall}`] });
     }
 
-    operatorPuts(key: string, text: string): Promise<void> {
-        return this.#operatorWrites({ put: [{ key, value: Buffer.from(text).toString("base64") }] });
+    putAsOperator(key: string, text: string): Promise<void> {
+        return this.#writeAsOperator({ put: [{ key, value: Buffer.from(text).toString("base64") }] });
     }
 
-    async #operatorWrites(transaction: object): Promise<void> {
+    async #writeAsOperator(transaction: object): Promise<void> {
         const body = JSON.stringify(transaction);
         await new Promise<void>((resolve, reject) => {
             const url = `http://${this.storeAddress}/api/kv-txn`;
-            const sent = httpRequest(url, { method: "POST", agent: false }, res => {
+            const req = httpRequest(url, { method: "POST", agent: false }, res => {
                 res.resume().on("end", resolve);
             });
-            sent.on("error", reject).end(body);
+            req.on("error", reject).end(body);
         });
     }
 
@@ -131,63 +137,68 @@
         return fetch(`http://${this.host(name).ip}:7102/readyz`).then(res => res.status === 200, () => false);
     }
 
-    /** Sends one request to a host's daemon as a client there would. */
+    /** Sends one request to a host's daemon as a client on that host does; gives up after twice the time limit. */
     send(
         name: string,
         method: string,
         path: string,
         id: string,
-        limitMs = 1000,
-        more: Readonly<Record<string, string>> = {},
+        timeLimitMs = 1000,
+        extraHeaders: Readonly<Record<string, string>> = {},
     ): Promise<PlatformTold> {
-        const headers = { "host": "site.example", "attempt-id": id, "deadline-ms": String(limitMs), ...more };
+        const headers = {
+            "host": "site.example",
+            "attempt-id": id,
+            "deadline-ms": String(timeLimitMs),
+            ...extraHeaders,
+        };
         return new Promise(resolve => {
-            const told = (status: number, text: string, got: Record<string, unknown> = {}): void =>
-                resolve({ status, text, headers: got as PlatformTold["headers"] });
-            const sent = httpRequest(`http://${this.host(name).ip}:7104${path}`, { method, headers }, res => {
+            const finish = (status: number, text: string, responseHeaders: Record<string, unknown> = {}): void =>
+                resolve({ status, text, headers: responseHeaders as PlatformTold["headers"] });
+            const req = httpRequest(`http://${this.host(name).ip}:7104${path}`, { method, headers }, res => {
                 let text = "";
                 res.setEncoding("utf8").on("data", chunk => text += chunk);
-                res.on("close", () => told(res.complete ? res.statusCode! : 0, text, res.headers));
+                res.on("close", () => finish(res.complete ? res.statusCode! : 0, text, res.headers));
                 res.on("error", () => {});
             });
-            sent.setTimeout(limitMs * 2, () => sent.destroy());
-            sent.on("error", () => told(0, ""));
-            sent.end(method === "GET" ? undefined : "body");
+            req.setTimeout(timeLimitMs * 2, () => req.destroy());
+            req.on("error", () => finish(0, ""));
+            req.end(method === "GET" ? undefined : "body");
         });
     }
 
-    /** Sends a request and closes its connection after a time, as a client that gives up does. */
+    /** Sends a request and closes its connection after `afterMs`, as a client that gives up does. */
     leave(name: string, path: string, id: string, afterMs: number): Promise<void> {
         const headers = { "host": "site.example", "attempt-id": id, "deadline-ms": "1000" };
         return new Promise(resolve => {
-            const sent = httpRequest(`http://${this.host(name).ip}:7104${path}`, { headers, agent: false });
-            sent.on("error", () => {
-                // It closes the connection itself.
+            const req = httpRequest(`http://${this.host(name).ip}:7104${path}`, { headers, agent: false });
+            req.on("error", () => {
+                // The client itself closes the connection.
             });
-            sent.on("close", resolve).end();
-            setTimeout(() => sent.destroy(), afterMs);
+            req.on("close", resolve).end();
+            setTimeout(() => req.destroy(), afterMs);
         });
     }
 
-    /** How often the instances ran a request. */
+    /** Returns how often the instances ran the request with this id. */
     runsOf(id: string): number {
         return this.runs.filter(line => line === `R ${id}`).length;
     }
 
     async stop(): Promise<void> {
-        const all = [...this.daemons.values(), ...this.instances.values(), this.#store];
-        await Promise.all(all.map(child => child.end("SIGKILL")));
+        const children = [...this.daemons.values(), ...this.instances.values(), this.#store];
+        await Promise.all(children.map(child => child.end("SIGKILL")));
         this.lock.close();
         rmSync(this.#folder, { recursive: true, force: true });
     }
 
-    /** Writes other settings for a host's daemon; it reads them when it is told to, or at its next start. */
-    changeSettings(name: string, more: object): void {
-        this.#settings(this.host(name), more);
+    /** Rewrites the settings file of a host's daemon; the daemon reads it on SIGHUP or at its next start. */
+    changeSettings(name: string, overrides: object): void {
+        this.#settings(this.host(name), overrides);
     }
 
-    #settings({ name, ip, service, hall }: Host, more: object = {}): string {
-        const file = join(this.#folder, `${name}.json`);
+    #settings({ name, ip, service, hall }: Host, overrides: object = {}): string {
+        const settingsFile = join(this.#folder, `${name}.json`);
         const settings = {
             host: name,
             hall,
@@ -204,9 +215,9 @@
             control: { healthPerSecond: 0 },
             policy: { profile: "frugal", relief: false, limit: "learned", retryBurst: 5 },
             stop: { lingerMs: 1000, limitMs: 2000 },
-            ...more,
+            ...overrides,
         };
-        writeFileSync(file, JSON.stringify(settings));
-        return file;
+        writeFileSync(settingsFile, JSON.stringify(settings));
+        return settingsFile;
     }
 }
--- a/test/platformtold.ts
+++ b/test/platformtold.ts
@@ -1,6 +1,6 @@
-/** What a client of the platform was told. */
+/** The response that a client on the platform received. */
 
-/** Status 0: no whole answer came. */
+/** Status 0 means that no complete response arrived. */
 export type PlatformTold = {
     readonly status: number;
     readonly text: string;
--- a/test/runplatformload.ts
+++ b/test/runplatformload.ts
@@ -1,32 +1,33 @@
-/** A steady load at the daemons of a platform mesh. */
+/** Sends a steady load to the daemons of a platform mesh. */
 import { pause } from "./pause.js";
 import type { PlatformMesh } from "./platformmesh.js";
 
-const SECOND_MS = 1000;
+const MS_PER_SECOND = 1000;
 
-/** Who sends, which requests, how many a second of all together, and for how long. */
-type PlatformLoad = {
-    readonly hosts?: readonly string[];
+/** The rate is that of all hosts together; by default all hosts of the mesh send. */
+type PlatformLoadOptions = {
+    readonly hostNames?: readonly string[];
     readonly path?: string;
-    readonly perSecond: number;
-    readonly forMs: number;
+    readonly requestsPerSecond: number;
+    readonly durationMs: number;
 };
 
-/** Counts of requests. */
-type PlatformLoadEnd = { readonly sent: number; readonly served: number; };
+/** Numbers of requests; a request is served if its response has status 200. */
+type PlatformLoadCounts = { readonly sent: number; readonly served: number; };
 
-/** Sends by turns at each of the hosts, all of the mesh by default; ids are `load-HOST-NUMBER`. */
-export async function platformLoad(
+/** Sends GET requests from the hosts in turn, with the ids `load-HOST-NUMBER`; resolves when all have ended. */
+export async function runPlatformLoad(
     mesh: PlatformMesh,
-    { hosts = mesh.hosts.map(({ name }) => name), path = "/pages/1", perSecond, forMs }: PlatformLoad,
-): Promise<PlatformLoadEnd> {
-    const told: Promise<boolean>[] = [];
+    { hostNames = mesh.hosts.map(({ name }) => name), path = "/pages/1", requestsPerSecond, durationMs }:
+        PlatformLoadOptions,
+): Promise<PlatformLoadCounts> {
+    const outcomes: Promise<boolean>[] = [];
     const startedAt = performance.now();
-    for (let at = 0; performance.now() - startedAt < forMs; at++) {
-        const name = hosts[at % hosts.length]!;
-        told.push(mesh.send(name, "GET", path, `load-${name}-${at}`).then(({ status }) => status === 200));
-        await pause(Math.max(0, startedAt + at * SECOND_MS / perSecond - performance.now()));
+    for (let index = 0; performance.now() - startedAt < durationMs; index++) {
+        const name = hostNames[index % hostNames.length]!;
+        outcomes.push(mesh.send(name, "GET", path, `load-${name}-${index}`).then(({ status }) => status === 200));
+        await pause(Math.max(0, startedAt + index * MS_PER_SECOND / requestsPerSecond - performance.now()));
     }
-    const served = (await Promise.all(told)).filter(Boolean).length;
-    return { sent: told.length, served };
+    const served = (await Promise.all(outcomes)).filter(Boolean).length;
+    return { sent: outcomes.length, served };
 }
