--- a/test/crashfleet.ts
+++ b/test/crashfleet.ts
@@ -1,4 +1,4 @@
-/** Daemons that know of requests that crash upstreams, without a network, for tests. */
+/** Connects the crash guards of several daemons without a network, for tests. */
 import { CrashGuard } from "../src/crashes/crashguard.js";
 import { CrashPropagation } from "../src/crashes/crashpropagation.js";
 import type { Message } from "../src/datagram/message.js";
@@ -10,66 +10,66 @@
 
 type Daemon = { readonly guard: CrashGuard; readonly propagation: CrashPropagation; readonly served: Set<RequestKey>; };
 
-/** True for a datagram that arrives. */
+/** Returns true if the datagram arrives. */
 type IsDelivered = (to: number, message: Message) => boolean;
 
-/** They reach each other by calls; datagrams go where `carries` says so. */
+/** Exchanges between daemons always succeed; `isDelivered` decides which datagrams arrive. */
 export class CrashFleet {
     readonly daemons: Daemon[] = [];
-    /** Records that went over in exchanges, both ways. */
+    /** Number of records that exchanges have transferred, in both directions. */
     exchangedRecordCount = 0;
     #incarnationCount = 0;
-    readonly #all: readonly Address[];
+    readonly #addresses: readonly Address[];
 
     constructor(size: number, private readonly isDelivered: IsDelivered) {
-        this.#all = Array.from({ length: size }, (_, number) => CrashFleet.address(number));
-        this.#all.forEach((_, number) => this.restart(number));
+        this.#addresses = Array.from({ length: size }, (_, index) => CrashFleet.address(index));
+        this.#addresses.forEach((_, index) => this.restart(index));
     }
 
-    static address(number: number): Address {
-        return `10.0.0.${number}:1` as Address;
+    static address(index: number): Address {
+        return `10.0.0.${index}:1` as Address;
     }
 
-    /** A crash that the daemon has seen, with requests under way. */
-    static recordCrash({ guard }: Daemon, crash: number, requests: readonly RequestKey[]): void {
-        guard.recordCrash({ service: "pages" as ServiceName, crash: `crash-${crash}` as CrashId, requests });
+    /** Records a crash that the daemon has observed, with the requests that were in progress. */
+    static recordCrash({ guard }: Daemon, crashNumber: number, requests: readonly RequestKey[]): void {
+        guard.recordCrash({ service: "pages" as ServiceName, crash: `crash-${crashNumber}` as CrashId, requests });
     }
 
-    /** Has a daemon begin a new life, in which it knows nothing. */
-    restart(number: number): void {
+    /** Starts a new incarnation of a daemon, without any records. */
+    restart(index: number): void {
         const served = new Set<RequestKey>();
         const guard = new CrashGuard({ clock: () => 0, hasServed: key => served.has(key), cancel: () => {} });
-        this.daemons[number] = { guard, served, propagation: this.#makeSpread(number, guard) };
+        this.daemons[index] = { guard, served, propagation: this.#createPropagation(index, guard) };
     }
 
-    #makeSpread(number: number, guard: CrashGuard): CrashPropagation {
+    #createPropagation(index: number, guard: CrashGuard): CrashPropagation {
         return new CrashPropagation({
-            self: CrashFleet.address(number),
+            self: CrashFleet.address(index),
             incarnation: `life-${this.#incarnationCount++}` as Incarnation,
             guard,
             random: () => 0,
-            members: () => this.#all,
-            relays: () => this.#all.slice(0, 2),
-            siblings: () => this.#all,
+            members: () => this.#addresses,
+            relays: () => this.#addresses.slice(0, 2),
+            siblings: () => this.#addresses,
             send: (to, message) => {
-                if (this.isDelivered(this.#numberOf(to), message)) {
-                    this.#at(to).propagation.receive(message as Extract<Message, { type: "crash"; }>);
+                if (this.isDelivered(this.#indexOf(to), message)) {
+                    this.#daemonAt(to).propagation.receive(message as Extract<Message, { type: "crash"; }>);
                 }
                 return true;
             },
             exchange: async (peer, changes) => {
-                const answer = this.#at(peer).propagation.handleExchange(changes);
-                this.exchangedRecordCount += changes.records.length + answer.records.length;
-                return answer;
+                const response = this.#daemonAt(peer).propagation.handleExchange(changes);
+                this.exchangedRecordCount += changes.records.length + response.records.length;
+                return response;
             },
         });
     }
 
-    #at(address: Address): Daemon {
-        return this.daemons[this.#numberOf(address)]!;
+    #daemonAt(address: Address): Daemon {
+        return this.daemons[this.#indexOf(address)]!;
     }
 
-    #numberOf(address: Address): number {
-        return this.#all.indexOf(address);
+    #indexOf(address: Address): number {
+        return this.#addresses.indexOf(address);
     }
 }
--- a/test/crashmesh.ts
+++ b/test/crashmesh.ts
@@ -1,103 +1,106 @@
-/** Daemons beside instances that one request ends, each started again a while after its end. */
+/** Runs daemons with instances that one request crashes; each instance is restarted a while after a crash. */
 import { keepRunning } from "./keeprunning.js";
 import { pause } from "./pause.js";
 import { PlatformMesh } from "./platformmesh.js";
 import { runWith } from "./runwith.js";
 import { sendEach } from "./sendeach.js";
 
-type Struck = "pages" | "fees";
-/** As many instances as the users' service has that was struck. */
-const EACH = 4;
-/** Between two callers' tries; milliseconds. Of the recorded day's requests some ten a second were the same. */
-const EVERY_MS = 100;
+type CrashingService = "pages" | "fees";
+/** The number of instances of the users' service in which the crashes occurred. */
+const INSTANCES_PER_SERVICE = 4;
+/** Time between two repeats of the request; on the recorded day about 10 requests a second were the same. */
+const REQUEST_INTERVAL_MS = 100;
 
-/** Until all daemons know all instances; milliseconds. */
+/** Time until all daemons know all instances. */
 const SETTLE_MS = 3000;
 
-type Sent = { readonly id: string; readonly status: number; };
+type SentRequest = { readonly id: string; readonly status: number; };
 
-/** Counts what the instances ran of the request, and when each ended under it. */
+/** Counts the runs of the request and the crashes of the instances. */
 export class CrashMesh {
-    readonly told: Sent[] = [];
-    #ended = 0;
-    #lives = 0;
-    #sent = 0;
+    readonly responses: SentRequest[] = [];
+    #crashCount = 0;
+    #incarnationCount = 0;
+    #sentCount = 0;
     #isOver = false;
 
-    private constructor(readonly mesh: PlatformMesh, private readonly struck: Struck) {}
+    private constructor(readonly mesh: PlatformMesh, private readonly crashingService: CrashingService) {}
 
-    /** Runs the body with two services, of which one has instances that the request ends; those of `fees` run a request once. */
-    static async with(body: (crash: CrashMesh) => Promise<void>, struck: Struck = "pages"): Promise<void> {
-        await runWith(await PlatformMesh.start(["pages", "fees"], EACH), async mesh => {
-            const crash = new CrashMesh(mesh, struck);
-            const hosts = mesh.hosts.filter(host => host.service === struck).map(host => host.name);
-            await Promise.all(hosts.map(async name => {
+    /** Runs the body with two services, and crashing instances in one of them. Requests to `fees` may run only once. */
+    static async with(
+        body: (crashMesh: CrashMesh) => Promise<void>,
+        crashingService: CrashingService = "pages",
+    ): Promise<void> {
+        await runWith(await PlatformMesh.start(["pages", "fees"], INSTANCES_PER_SERVICE), async mesh => {
+            const crashMesh = new CrashMesh(mesh, crashingService);
+            const hostNames = mesh.hosts.filter(host => host.service === crashingService).map(host => host.name);
+            await Promise.all(hostNames.map(async name => {
                 await mesh.instances.get(name)!.end("SIGKILL");
-                await crash.#start(name);
+                await crashMesh.#start(name);
             }));
-            const kept = hosts.map(name => crash.#keep(name));
+            const restarting = hostNames.map(name => crashMesh.#restartAfterCrashes(name));
             await pause(SETTLE_MS);
             try {
-                await body(crash);
+                await body(crashMesh);
             }
             finally {
-                crash.#isOver = true;
-                await Promise.all(kept);
+                crashMesh.#isOver = true;
+                await Promise.all(restarting);
             }
         });
     }
 
-    /** Ends each instance that begins to run it. */
+    /** The path of the request, which crashes each instance that runs it. */
     get #path(): string {
-        return `/${this.struck}/ends-its-instance`;
+        return `/${this.crashingService}/ends-its-instance`;
     }
 
-    /** How many instances have ended. */
-    get ended(): number {
-        return this.#ended;
+    /** The number of instances that have crashed. */
+    get crashCount(): number {
+        return this.#crashCount;
     }
 
-    /** How often the instances have begun to run the request. */
-    get runs(): number {
+    /** The number of times that instances have begun to run the request. */
+    get runCount(): number {
         return this.mesh.runs.filter(line => line.startsWith("R crash-")).length;
     }
 
-    /** Sends the request at all hosts in turn for so long. */
-    async sendFor(ms: number): Promise<void> {
+    /** Sends the request from all hosts in turn for `durationMs`. */
+    async sendFor(durationMs: number): Promise<void> {
         const { hosts } = this.mesh;
-        await sendEach(ms, EVERY_MS, () => this.send(hosts[this.#sent % hosts.length]!.name));
+        await sendEach(durationMs, REQUEST_INTERVAL_MS, () => this.send(hosts[this.#sentCount % hosts.length]!.name));
     }
 
-    /** Sends the request once, as a caller does that comes again: the path is the same, the id is not. */
+    /** Sends the request once, as a caller that repeats it does: with the same path and another id. */
     async send(host: string): Promise<void> {
-        this.#sent += 1;
-        const id = `crash-${this.#sent}`;
-        const { status } = await this.mesh.send(host, this.struck === "fees" ? "POST" : "GET", this.#path, id);
-        this.told.push({ id, status });
+        this.#sentCount += 1;
+        const id = `crash-${this.#sentCount}`;
+        const { status } = await this.mesh.send(host, this.crashingService === "fees" ? "POST" : "GET", this.#path, id);
+        this.responses.push({ id, status });
     }
 
-    /** Asks for another page of the service at all hosts in turn for so long. */
-    async countServed(ms: number): Promise<{ readonly sent: number; readonly ok: number; }> {
+    /** Sends requests for another page of the service from all hosts in turn; resolves with the numbers that were sent and served. */
+    async countServed(durationMs: number): Promise<{ readonly sent: number; readonly served: number; }> {
         const { hosts } = this.mesh;
-        const told = await sendEach(
-            ms,
-            EVERY_MS / 2,
-            at => this.mesh.send(hosts[at % hosts.length]!.name, "GET", "/pages/1", `proper-${at}`),
+        const responses = await sendEach(
+            durationMs,
+            REQUEST_INTERVAL_MS / 2,
+            index => this.mesh.send(hosts[index % hosts.length]!.name, "GET", "/pages/1", `proper-${index}`),
         );
-        return { sent: told.length, ok: told.filter(({ status }) => status === 200).length };
+        return { sent: responses.length, served: responses.filter(({ status }) => status === 200).length };
     }
 
-    #keep(name: string): Promise<void> {
+    #restartAfterCrashes(name: string): Promise<void> {
         return keepRunning({
             isRunning: () => this.mesh.instances.get(name)!.running,
             restart: () => this.#start(name),
-            onEnd: () => this.#ended += 1,
+            onEnd: () => this.#crashCount += 1,
             isOver: () => this.#isOver,
         });
     }
 
     async #start(name: string): Promise<void> {
-        this.#lives += 1;
-        await this.mesh.startInstance(name, `i-${name}-${this.#lives}`, this.#path).ready();
+        this.#incarnationCount += 1;
+        await this.mesh.startInstance(name, `i-${name}-${this.#incarnationCount}`, this.#path).ready();
     }
 }
