--- a/test/crashing.test.ts
+++ b/test/crashing.test.ts
@@ -1,10 +1,10 @@
 /**
  * Guards against a request that crashes every instance that runs it, while callers repeat it at all hosts.
  *
- * In one case 33 instances of a service crashed within 70 s, 13 of them under the same request, and two thirds of the service's callers
- * were not served. Each repeat was placed like any other request, and an attempt that a crash cut off was retried at another instance:
- * daemons kept records of crashed instances, but not of the requests that these were running. The daemons' log lines about crashed
- * instances name the same request each time.
+ * In one case 33 instances of a service crashed within 70 s, 13 of them under the same request, and two thirds of the
+ * service's callers were not served. Each repeat was placed like any other request, and an attempt that a crash cut off
+ * was retried at another instance: daemons kept records of crashed instances, but not of the requests that these were
+ * running. The daemons' log lines about crashed instances name the same request each time.
  */
 import assert from "node:assert/strict";
 import { test, type TestContext } from "node:test";
@@ -16,7 +16,10 @@
 import { sendEach } from "./sendeach.js";
 import { withMesh } from "./withmesh.js";
 
-/** The operators' bound: from this time after the third crash on, connected daemons send the request to at most three more instances. */
+/**
+ * The operators' bound: from this time after the third crash on, connected daemons send the request to at most three
+ * more instances.
+ */
 const QUARANTINE_BOUND_MS = 3000;
 const MAX_RUNS_AFTER_BOUND = 3;
 /** Long enough for many crashes if instances still received the request. */
--- a/test/crashmesh.ts
+++ b/test/crashmesh.ts
@@ -79,7 +79,10 @@
         this.responses.push({ id, status });
     }
 
-    /** Sends requests for another page of the service from all hosts in turn; resolves with the numbers that were sent and served. */
+    /**
+     * Sends requests for another page of the service from all hosts in turn; resolves with the numbers that were sent
+     * and served.
+     */
     async countServed(durationMs: number): Promise<{ readonly sent: number; readonly served: number; }> {
         const { hosts } = this.mesh;
         const responses = await sendEach(
--- a/test/evacuation.test.ts
+++ b/test/evacuation.test.ts
@@ -11,14 +11,17 @@
 
 /** Signatures of the instances in hall a, which are the first of each service. */
 const IN_HALL_A = ["of-i-pages-1", "of-i-fees-1"];
-/** The users' bound on the time from the store's response to the operator's write to the last request that reaches the hall. */
+/**
+ * The users' bound on the time from the store's response to the operator's write to the last request that reaches the
+ * hall.
+ */
 const IN_FORCE_BOUND_MS = 5000;
 
 const hostNames = (mesh: PlatformMesh): string[] => mesh.hosts.map(({ name }) => name);
 
 /**
- * Sends three rounds of requests for both services to each daemon, `concurrency` of them at once, and returns the set of outcomes: the
- * signature of the instance that served a request, or the status if none did.
+ * Sends three rounds of requests for both services to each daemon, `concurrency` of them at once, and returns the set
+ * of outcomes: the signature of the instance that served a request, or the status if none did.
  */
 const collectOutcomes = async (
     mesh: PlatformMesh,
--- a/test/followers.test.ts
+++ b/test/followers.test.ts
@@ -13,14 +13,17 @@
 
 const HALL = "a";
 const INSTANCES_PER_SERVICE = 4;
-/** Time for daemons to start and know each other, and for surplus watchers to stop: a start, a round of heartbeats and a heartbeat timeout. */
+/**
+ * Time for daemons to start and know each other, and for surplus watchers to stop: a start, a round of heartbeats and a
+ * heartbeat timeout.
+ */
 const SETTLE_MS = 6000;
 const addedRule = { name: "added", host: "site.example", pathPrefix: "/added/", kind: "repeatable", service: "pages" };
 
 /** Runs the body with eight daemons in one hall that know each other and have settled which of them watch the store. */
 const withHall = async (body: (mesh: PlatformMesh) => Promise<void>): Promise<void> => {
     await runWith(await PlatformMesh.start(["pages", "fees"], INSTANCES_PER_SERVICE, [HALL]), async mesh => {
-        await eventually("all serve both services", () => allServe(mesh, "/pages/1"), 5000);
+        await eventually("all daemons serve pages", () => allServe(mesh, "/pages/1"), 5000);
         await pause(SETTLE_MS);
         await body(mesh);
     });
--- a/test/leaving.test.ts
+++ b/test/leaving.test.ts
@@ -12,7 +12,9 @@
 
 const NO_NEW_REQUESTS_AFTER_MS = 3000;
 const HOST_LIST_LAG_MS = 500;
-/** Service time with which the load exceeds the capacity of one instance, so that all instances that may be used are. */
+/**
+ * Service time with which the load exceeds the capacity of one instance, so that all instances that may be used are.
+ */
 const SATURATING_WORK_MS = 100;
 /** Service time with which the load uses both instances, although one alone could serve it. */
 const MODERATE_WORK_MS = 30;
@@ -56,13 +58,16 @@
             mesh.daemons.get(frozen.name)!.signal("SIGSTOP");
             frozenAt = performance.now();
         }, { seconds: 6, ingresses: () => mesh.hosts.filter(host => host !== frozen).map(host => host.ingress) });
-        const lateResponses = told.filter(item => !item.once && item.at > frozenAt + NO_NEW_REQUESTS_AFTER_MS);
+        const lateResponses = told.filter(outcome => !outcome.once && outcome.at > frozenAt + NO_NEW_REQUESTS_AFTER_MS);
         assert.ok(lateResponses.length > 0);
-        assert.ok(lateResponses.every(item => item.word === "answered"));
+        assert.ok(lateResponses.every(outcome => outcome.word === "answered"));
     });
 });
 
-/** Sends concurrent requests from each host while the upstream begins to leave; resolves with the hosts that forwarded its leaving state. */
+/**
+ * Sends concurrent requests from each host while the upstream begins to leave; resolves with the hosts that forwarded
+ * its leaving state.
+ */
 const startLeavingUnderLoad = async (mesh: PlatformMesh): Promise<string[]> => {
     const forwarding = mesh.hosts.flatMap(({ name }) =>
         Array.from({ length: 3 }, async (_, index) => {
@@ -75,7 +80,8 @@
     return [...new Set((await Promise.all(forwarding)).flat())];
 };
 
-// Guards against further requests to an upstream that reports only in its responses that it leaves, also after its daemon has restarted.
+// Guards against further requests to an upstream that reports only in its responses that it leaves, also after its
+// daemon has restarted.
 test("leaving: hosts that forwarded a response in which an upstream says that it leaves send nothing more there", async () => {
     await withPlatform(async mesh => {
         const slowed = ["pages-1", "pages-2"].map(name => mesh.strikeInstance(name, { workMs: SATURATING_WORK_MS }));
--- a/test/limit.test.ts
+++ b/test/limit.test.ts
@@ -105,7 +105,8 @@
     });
 });
 
-// Guards against a restarted daemon that no longer knows the limit and exceeds it, while the hosts that forwarded it are bound by it.
+// Guards against a restarted daemon that no longer knows the limit and exceeds it, while the hosts that forwarded it
+// are bound by it.
 test("limit: it holds beside a daemon that was killed and has started again, as often as that happens", async () => {
     await withPlatform(async mesh => {
         const hostNames = mesh.hosts.map(({ name }) => name).filter(name => name !== "pages-1");
--- a/test/platformmesh.ts
+++ b/test/platformmesh.ts
@@ -1,4 +1,6 @@
-/** Runs daemons as on the users' platform: real processes, a stand-in for its store and one instance for each daemon. */
+/**
+ * Runs daemons as on the users' platform: real processes, a stand-in for its store and one instance for each daemon.
+ */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { request as httpRequest } from "node:http";
 import type { Server } from "node:net";
@@ -36,7 +38,9 @@
         this.#store = new Child(scriptPath("standin/storemain.js"), [this.storeAddress], () => {});
     }
 
-    /** Starts one daemon and one instance for each host; each service's hosts are distributed over the halls in turn. */
+    /**
+     * Starts one daemon and one instance for each host; each service's hosts are distributed over the halls in turn.
+     */
     static async start(
         services: readonly string[] = ["pages", "fees"],
         instancesPerService = 2,
--- a/test/storecopy.test.ts
+++ b/test/storecopy.test.ts
@@ -73,7 +73,10 @@
         };
         const isHallAUnused = async (): Promise<boolean> =>
             (await collectSignatures(1)).every(name => name === "of-i-pages-2");
-        /** Sends three times as many concurrent requests as one instance has slots, so that no instance can serve them all. */
+        /**
+         * Sends three times as many concurrent requests as one instance has slots, so that no instance can serve them
+         * all.
+         */
         const isHallAUsed = async (): Promise<boolean> => (await collectSignatures(3)).includes("of-i-pages-1");
         await mesh.strikeStore({ makeCopy: true });
         await mesh.evacuate("a");
