--- a/demo/audit.ts
+++ b/demo/audit.ts
@@ -1,5 +1,5 @@
 /** Holds what callers were told against the upstreams' own record. */
-import type { RunRecord } from "./record.js";
+import type { RunRecord } from "./runrecord.js";
 import type { Told } from "./told.js";
 
 /** Counts; the last five must be 0. */
--- a/demo/mesh.ts
+++ b/demo/mesh.ts
@@ -9,7 +9,7 @@
 import { meshDocument } from "./meshdocument.js";
 import type { MeshSpec } from "./meshspec.js";
 import { planHosts } from "./planhosts.js";
-import { RunRecord } from "./record.js";
+import { RunRecord } from "./runrecord.js";
 import { runCli } from "./runcli.js";
 import { takeRunNumber } from "./runnumber.js";
 
