--- a/demo/admissions.ts
+++ b/demo/admissions.ts
@@ -1,7 +1,7 @@
-/** The mesh of school admissions, at today's size. */
+/** Mesh of a school admissions service, at its present size. */
 import type { MeshSpec } from "./meshspec.js";
 
-/** Three data halls in Sapporo, 13 instances of 6 slots. */
+/** Has 13 instances of 6 slots each in three data halls in Sapporo. */
 export const admissions: MeshSpec = {
     name: "admissions",
     region: "sapporo",
--- a/demo/audit.ts
+++ b/demo/audit.ts
@@ -1,34 +1,40 @@
-/** Holds what callers were told against the upstreams' own record. */
+/** Compares the results that callers received with the record of what the upstreams ran. */
 import type { RunRecord } from "./runrecord.js";
 import type { Told } from "./told.js";
 
-/** Counts; the last five must be 0. */
+/**
+ * Numbers of requests, and of periods for `overLimit`. `onceRunTwice`, `falseNotRun`, `wrongAnswer` and `overLimit`
+ * must be 0, and so must `cut` where no fault breaks connections.
+ */
 type Audit = {
     readonly sent: number;
     readonly answered: number;
     readonly notRun: number;
     readonly unknown: number;
     readonly cut: number;
+    /** Requests that may run only once and ran more often. */
     readonly onceRunTwice: number;
+    /** Requests that were reported as not run, and did run. */
     readonly falseNotRun: number;
+    /** Responses with status 200 whose body does not belong to the request or is damaged. */
     readonly wrongAnswer: number;
-    /** Spells in which an upstream got more than the limit that it stated allows. */
+    /** Periods in which an upstream received more requests than its stated rate limit allows. */
     readonly overLimit: number;
 };
 
-/** A request that no daemon took counts as not run. */
-export function audit(told: readonly Told[], record: RunRecord): Audit {
-    const count = (test: (item: Told) => boolean): number => told.filter(test).length;
-    const isNotRun = (item: Told): boolean => item.word === "not-run" || item.word === "refused";
+/** Returns the counts. A request whose connection every daemon refused counts as not run. */
+export function audit(results: readonly Told[], runRecord: RunRecord): Audit {
+    const count = (predicate: (result: Told) => boolean): number => results.filter(predicate).length;
+    const isNotRun = (result: Told): boolean => result.word === "not-run" || result.word === "refused";
     return {
-        sent: told.length,
-        answered: count(item => item.word === "answered"),
+        sent: results.length,
+        answered: count(result => result.word === "answered"),
         notRun: count(isNotRun),
-        unknown: count(item => item.word === "unknown"),
-        cut: count(item => item.word === "cut"),
-        onceRunTwice: count(item => item.once && record.runs(item.id) > 1),
-        falseNotRun: count(item => isNotRun(item) && record.runs(item.id) > 0),
-        wrongAnswer: count(item => item.wrong),
-        overLimit: record.spellsOverLimit(),
+        unknown: count(result => result.word === "unknown"),
+        cut: count(result => result.word === "cut"),
+        onceRunTwice: count(result => result.once && runRecord.runs(result.id) > 1),
+        falseNotRun: count(result => isNotRun(result) && runRecord.runs(result.id) > 0),
+        wrongAnswer: count(result => result.wrong),
+        overLimit: runRecord.countPeriodsOverLimit(),
     };
 }
--- a/demo/behoun.ts
+++ b/demo/behoun.ts
@@ -1,7 +1,7 @@
-/** The mesh of race results, at today's size. */
+/** Mesh of a race results service, at its present size. */
 import type { MeshSpec } from "./meshspec.js";
 
-/** Three data halls in Prague, 13 instances of 12 slots. */
+/** Has 13 instances of 12 slots each in three data halls in Prague. */
 export const behoun: MeshSpec = {
     name: "behoun",
     region: "prague",
--- a/demo/caller.ts
+++ b/demo/caller.ts
@@ -1,10 +1,10 @@
-/** A plain HTTP/1.1 client, as callers have. */
+/** HTTP/1.1 client that sends the requests of the load and classifies their results. */
 import { Agent, type IncomingMessage, request as httpRequest } from "node:http";
 import type { Told } from "./told.js";
 
 const TIMEOUT_MS = 20_000;
 
-/** One request to send. */
+/** Request to send. `kind` is the name of its `RequestSpec`; `once` means that it may run only once. */
 type CallerRequest = {
     readonly id: string;
     readonly kind: string;
@@ -13,70 +13,74 @@
     readonly once: boolean;
 };
 
-type Got = { readonly res: IncomingMessage; readonly body: string; readonly complete: boolean; };
+/** `complete` is false if the connection closed before the end of the response. */
+type ReceivedResponse = { readonly res: IncomingMessage; readonly body: string; readonly complete: boolean; };
 
-const isRefused = (err: unknown): boolean => (err as { code?: string; }).code === "ECONNREFUSED";
+const isConnectionRefused = (err: unknown): boolean => (err as { code?: string; }).code === "ECONNREFUSED";
 
-/** Sends to any daemon; when one refuses the connection nothing was sent, and the next is tried. */
+/**
+ * Sends each request to a random daemon. If the daemon refuses the connection, nothing was sent, so the request goes to
+ * the next daemon.
+ */
 export class Caller {
     readonly #agent = new Agent({ keepAlive: true, maxSockets: Infinity, timeout: TIMEOUT_MS });
 
     constructor(private readonly random: () => number) {}
 
-    /** Resolves with what the caller was told; `dueAt` is when it was meant to be sent. */
+    /** Resolves with the result of the request, and never rejects. `dueAt` is the due time in milliseconds. */
     async send(req: CallerRequest, ingresses: readonly string[], dueAt: number): Promise<Told> {
         const start = Math.floor(this.random() * ingresses.length);
         for (let step = 0; step < ingresses.length; step++) {
             const ingress = ingresses[(start + step) % ingresses.length]!;
             try {
-                return this.#read(req, await this.#request(req, ingress), dueAt);
+                return this.#toResult(req, await this.#request(req, ingress), dueAt);
             }
             catch (err) {
-                if (!isRefused(err)) {
-                    return this.#told(req, "cut", 0, false, dueAt);
+                if (!isConnectionRefused(err)) {
+                    return this.#makeResult(req, "cut", 0, false, dueAt);
                 }
             }
         }
-        return this.#told(req, "refused", 0, false, dueAt);
+        return this.#makeResult(req, "refused", 0, false, dueAt);
     }
 
     close(): void {
         this.#agent.destroy();
     }
 
-    #read(req: CallerRequest, got: Got, dueAt: number): Told {
-        const { res, body, complete } = got;
+    #toResult(req: CallerRequest, received: ReceivedResponse, dueAt: number): Told {
+        const { res, body, complete } = received;
         const status = res.statusCode ?? 0;
         const outcome = res.headers["winglock-outcome"];
         if (!complete) {
-            return this.#told(req, "cut", status, false, dueAt);
+            return this.#makeResult(req, "cut", status, false, dueAt);
         }
         if (outcome !== undefined) {
-            return this.#told(req, outcome as "not-run", status, false, dueAt);
+            return this.#makeResult(req, outcome as "not-run", status, false, dueAt);
         }
-        const wrong = status === 200 && !this.#isOwn(req.id, body);
+        const wrong = status === 200 && !this.#isOwnResponse(req.id, body);
         const foreign = wrong && !body.startsWith(`{"id":"${req.id}"`);
-        return { ...this.#told(req, "answered", status, wrong, dueAt), foreign };
+        return { ...this.#makeResult(req, "answered", status, wrong, dueAt), foreign };
     }
 
-    #isOwn(id: string, body: string): boolean {
+    #isOwnResponse(id: string, body: string): boolean {
         try {
-            const { id: answered, pad } = JSON.parse(body) as { id: string; pad: string; };
-            return answered === id && pad.length === 200;
+            const { id: bodyId, pad } = JSON.parse(body) as { id: string; pad: string; };
+            return bodyId === id && pad.length === 200;
         }
         catch {
             return false;
         }
     }
 
-    #told(req: CallerRequest, word: Told["word"], status: number, wrong: boolean, dueAt: number): Told {
+    #makeResult(req: CallerRequest, outcome: Told["word"], status: number, wrong: boolean, dueAt: number): Told {
         const { id, kind, once } = req;
-        return { id, kind, once, word, status, wrong, ms: performance.now() - dueAt, at: dueAt };
+        return { id, kind, once, word: outcome, status, wrong, ms: performance.now() - dueAt, at: dueAt };
     }
 
-    #request(req: CallerRequest, ingress: string): Promise<Got> {
+    #request(req: CallerRequest, ingress: string): Promise<ReceivedResponse> {
         return new Promise((resolve, reject) => {
-            const sent = httpRequest(`http://${ingress}${req.path}`, {
+            const clientRequest = httpRequest(`http://${ingress}${req.path}`, {
                 method: req.method,
                 agent: this.#agent,
                 headers: { "x-load-id": req.id, "content-type": "application/json" },
@@ -87,9 +91,9 @@
                 res.on("close", () => resolve({ res, body, complete: res.complete }));
                 res.on("error", () => {});
             });
-            sent.setTimeout(TIMEOUT_MS, () => sent.destroy(new Error("timed out")));
-            sent.on("error", reject);
-            sent.end(req.method === "POST" ? JSON.stringify({ id: req.id }) : undefined);
+            clientRequest.setTimeout(TIMEOUT_MS, () => clientRequest.destroy(new Error("request timed out")));
+            clientRequest.on("error", reject);
+            clientRequest.end(req.method === "POST" ? JSON.stringify({ id: req.id }) : undefined);
         });
     }
 }
--- a/demo/child.ts
+++ b/demo/child.ts
@@ -1,15 +1,18 @@
-/** A process that this run started. */
+/** Child process of a mesh or a test. */
 import { type ChildProcess, spawn } from "node:child_process";
 import { once } from "node:events";
 import { createInterface } from "node:readline";
 
-/** Node's own flags for a child, such as the heap's size, and its environment. */
+/** `nodeFlags` are command-line flags of Node, such as the heap size. `env` extends the environment of this process. */
 type ChildOptions = { readonly env?: NodeJS.ProcessEnv; readonly nodeFlags?: readonly string[]; };
 
-/** What a stand-in, or a daemon in its log, prints when it serves. */
+/** Matches the line with which a stand-in or the log of a daemon reports that the process is ready. */
 const READY = /^ready$|"ready":\s*true/;
 
-/** Reads its lines, sends it signals, and waits for its end. */
+/**
+ * Starts a Node process, passes on each line of its standard output, collects those of its standard error, sends it
+ * signals and waits for its exit.
+ */
 export class Child {
     readonly errors: string[] = [];
     readonly #process: ChildProcess;
@@ -26,7 +29,10 @@
             lines.on("line", line => READY.test(line) && resolve());
             this.#process.once(
                 "exit",
-                code => reject(new Error(`${script} ended with ${code}: ${this.errors.join("\n")}`)),
+                code =>
+                    reject(
+                        new Error(`${script} exited with code ${code} before it was ready: ${this.errors.join("\n")}`),
+                    ),
             );
         });
         this.#ready.catch(() => {});
@@ -41,7 +47,7 @@
         return this.#process.exitCode === null && this.#process.signalCode === null;
     }
 
-    /** Resolves when it has printed that it serves, rejects when the process ends before that. */
+    /** Resolves when the process has reported that it is ready. Rejects if the process exits before that. */
     ready(): Promise<void> {
         return this.#ready;
     }
@@ -50,7 +56,10 @@
         this.#process.kill(name);
     }
 
-    /** Sends the signal and resolves with the exit code when the process has ended; kills it after `limitMs`. */
+    /**
+     * Sends the signal and resolves with the exit code once the process has exited, or null if a signal ended it. Kills
+     * the process after `limitMs`.
+     */
     async end(signal: NodeJS.Signals = "SIGTERM", limitMs = 15_000): Promise<number | null> {
         if (!this.running) {
             return this.#process.exitCode;
--- a/demo/control.ts
+++ b/demo/control.ts
@@ -1,7 +1,7 @@
-/** Sets what a stand-in does. */
+/** Control of the stand-ins. */
 import { request } from "undici";
 
-/** Posts the value to the stand-in's `/control`. */
+/** Sends a control message to `/control` of the stand-in or proxy at `address`, and ignores the status. */
 export async function control(address: string, value: unknown): Promise<void> {
     const { body } = await request(`http://${address}/control`, { method: "POST", body: JSON.stringify(value) });
     await body.dump();
--- a/demo/faultkind.ts
+++ b/demo/faultkind.ts
@@ -1,9 +1,9 @@
-/** What a soak does to a mesh. */
+/** Kind of fault that a soak injects into a mesh. */
 import type { Mesh } from "./mesh.js";
 
-/** One kind of fault, with its own way back. `random` is from 0 up to 1. */
+/** Injects faults of one kind. `name` is the key of their count in the output of the soak. */
 export abstract class FaultKind {
     abstract readonly name: string;
-    /** Does the fault, lasts a while, and undoes it. */
-    abstract happen(mesh: Mesh, random: () => number): Promise<void>;
+    /** Injects the fault, waits, and lifts it. `random` returns numbers from 0 up to 1. */
+    abstract inject(mesh: Mesh, random: () => number): Promise<void>;
 }
--- a/demo/faultkinds.ts
+++ b/demo/faultkinds.ts
@@ -1,4 +1,4 @@
-/** Every fault that a soak chooses from. */
+/** Kinds of faults from which a soak picks. */
 import { setTimeout as wait } from "node:timers/promises";
 import { control } from "./control.js";
 import { FaultKind } from "./faultkind.js";
@@ -7,116 +7,116 @@
 
 type Random = () => number;
 
-const pick = (mesh: Mesh, random: Random): HostPlan => mesh.hosts[Math.floor(random() * mesh.hosts.length)]!;
+const pickHost = (mesh: Mesh, random: Random): HostPlan => mesh.hosts[Math.floor(random() * mesh.hosts.length)]!;
 
-/** What an upstream that states a limit may get is counted over such a time. */
-const LIMIT_WINDOW_MS = 4000;
+/** Window over which `RunRecord` compares the arrivals at an upstream with its stated rate limit. */
+const RATE_LIMIT_WINDOW_MS = 4000;
 
-const lastMs = (random: Random): number => 300 + 2500 * random();
+const randomDurationMs = (random: Random): number => 300 + 2500 * random();
 
-const makeKind = (name: string, happen: (mesh: Mesh, random: Random) => Promise<void>): FaultKind =>
+const makeFaultKind = (name: string, inject: (mesh: Mesh, random: Random) => Promise<void>): FaultKind =>
     new class extends FaultKind {
         readonly name = name;
-        happen = happen;
+        inject = inject;
     }();
 
-/** An upstream is told to behave badly for a while. */
-const misbehave = (name: string, bad: object, good: object): FaultKind =>
-    makeKind(name, async (mesh, random) => {
-        const { upstream } = pick(mesh, random);
-        await control(upstream, bad);
-        await wait(lastMs(random));
-        await control(upstream, good);
+/** Sends the control message `faulty` to a random upstream, waits, and sends `normal`. */
+const makeUpstreamFault = (name: string, faulty: object, normal: object): FaultKind =>
+    makeFaultKind(name, async (mesh, random) => {
+        const { upstream } = pickHost(mesh, random);
+        await control(upstream, faulty);
+        await wait(randomDurationMs(random));
+        await control(upstream, normal);
     });
 
-/** Two streams of faults may pick the same host: it is restarted by one of them at a time. */
-const restarting = new Set<HostPlan>();
+/** Two concurrent streams of faults may pick the same host; only one of them restarts its daemon at a time. */
+const hostsBeingRestarted = new Set<HostPlan>();
 
-const restart = async (mesh: Mesh, host: HostPlan, signal: NodeJS.Signals, downMs: number): Promise<void> => {
-    if (restarting.has(host)) {
+const restartDaemon = async (mesh: Mesh, host: HostPlan, signal: NodeJS.Signals, downMs: number): Promise<void> => {
+    if (hostsBeingRestarted.has(host)) {
         return;
     }
-    restarting.add(host);
+    hostsBeingRestarted.add(host);
     try {
         await mesh.daemons.get(host.name)!.end(signal);
         await wait(downMs);
         await mesh.startDaemon(host).ready();
     }
     finally {
-        restarting.delete(host);
+        hostsBeingRestarted.delete(host);
     }
 };
 
-/** By the names in the soak's last line. */
+/** Names are keys in the JSON that the soak prints. */
 export const faultKinds: readonly FaultKind[] = [
-    makeKind("daemonKilled", async (mesh, random) => {
-        await restart(mesh, pick(mesh, random), "SIGKILL", lastMs(random));
+    makeFaultKind("daemonKilled", async (mesh, random) => {
+        await restartDaemon(mesh, pickHost(mesh, random), "SIGKILL", randomDurationMs(random));
     }),
-    makeKind("daemonStopped", async (mesh, random) => {
-        await restart(mesh, pick(mesh, random), "SIGTERM", 0);
+    makeFaultKind("daemonStopped", async (mesh, random) => {
+        await restartDaemon(mesh, pickHost(mesh, random), "SIGTERM", 0);
     }),
-    makeKind("daemonPaused", async (mesh, random) => {
-        const daemon = mesh.daemons.get(pick(mesh, random).name)!;
+    makeFaultKind("daemonPaused", async (mesh, random) => {
+        const daemon = mesh.daemons.get(pickHost(mesh, random).name)!;
         daemon.signal("SIGSTOP");
-        await wait(2 * lastMs(random));
+        await wait(2 * randomDurationMs(random));
         daemon.signal("SIGCONT");
     }),
-    makeKind("upstreamKilled", async (mesh, random) => {
-        const host = pick(mesh, random);
+    makeFaultKind("upstreamKilled", async (mesh, random) => {
+        const host = pickHost(mesh, random);
         await mesh.upstreams.get(host.name)!.end("SIGKILL");
-        await wait(lastMs(random));
+        await wait(randomDurationMs(random));
         await mesh.startUpstream(host).ready();
     }),
-    makeKind("upstreamStopped", async (mesh, random) => {
-        const host = pick(mesh, random);
+    makeFaultKind("upstreamStopped", async (mesh, random) => {
+        const host = pickHost(mesh, random);
         await mesh.upstreams.get(host.name)!.end("SIGTERM");
         await mesh.startUpstream(host).ready();
     }),
-    makeKind("storeDown", async (mesh, random) => {
+    makeFaultKind("storeDown", async (mesh, random) => {
         await control(mesh.storeAddress, { down: true });
-        await wait(2 * lastMs(random));
+        await wait(2 * randomDurationMs(random));
         await control(mesh.storeAddress, { down: false });
     }),
-    makeKind("hallCut", async (mesh, random) => {
-        const { place } = pick(mesh, random);
-        const others = [1, 2, 3].filter(other => other !== place);
-        const links = (test: (host: HostPlan) => boolean): string[] =>
-            mesh.hosts.filter(test).map(host => host.peerProxy);
+    makeFaultKind("hallCut", async (mesh, random) => {
+        const { place } = pickHost(mesh, random);
+        const otherPlaces = [1, 2, 3].filter(other => other !== place);
+        const selectLinks = (predicate: (host: HostPlan) => boolean): string[] =>
+            mesh.hosts.filter(predicate).map(host => host.peerProxy);
         await mesh.setFaults([
-            { links: links(host => host.place === place), from: others, cut: true },
-            { links: [...links(host => host.place !== place), mesh.storeProxy], from: [place], cut: true },
+            { links: selectLinks(host => host.place === place), from: otherPlaces, cut: true },
+            { links: [...selectLinks(host => host.place !== place), mesh.storeProxy], from: [place], cut: true },
         ]);
-        await wait(lastMs(random));
+        await wait(randomDurationMs(random));
         await mesh.setFaults([]);
     }),
-    makeKind("linkSlow", async (mesh, random) => {
-        await mesh.setFaults([{ links: [pick(mesh, random).peerProxy], from: [], delayMs: 200 }]);
-        await wait(lastMs(random));
+    makeFaultKind("linkSlow", async (mesh, random) => {
+        await mesh.setFaults([{ links: [pickHost(mesh, random).peerProxy], from: [], delayMs: 200 }]);
+        await wait(randomDurationMs(random));
         await mesh.setFaults([]);
     }),
-    makeKind("answersLost", async (mesh, random) => {
-        await mesh.setFaults([{ links: [pick(mesh, random).peerProxy], from: [], lose: "back" }]);
-        await wait(lastMs(random));
+    makeFaultKind("answersLost", async (mesh, random) => {
+        await mesh.setFaults([{ links: [pickHost(mesh, random).peerProxy], from: [], lose: "back" }]);
+        await wait(randomDurationMs(random));
         await mesh.setFaults([]);
     }),
-    makeKind("drained", async (mesh, random) => {
-        const { name } = pick(mesh, random);
+    makeFaultKind("drained", async (mesh, random) => {
+        const { name } = pickHost(mesh, random);
         await mesh.cli("drain", name);
-        await wait(lastMs(random));
+        await wait(randomDurationMs(random));
         await mesh.cli("undrain", name);
     }),
-    misbehave("upstreamSlow", { slowdown: 10 }, { slowdown: 1 }),
-    misbehave("upstreamFailing", { failing: 0.8 }, { failing: 0 }),
-    misbehave("upstreamSheds", { shed: "said" }, { shed: "no" }),
-    misbehave("upstreamLimited", { limitPerSecond: 3 }, { limitPerSecond: 0 }),
-    makeKind("upstreamLimitedLong", async (mesh, random) => {
-        const { upstream } = pick(mesh, random);
+    makeUpstreamFault("upstreamSlow", { slowdown: 10 }, { slowdown: 1 }),
+    makeUpstreamFault("upstreamFailing", { failing: 0.8 }, { failing: 0 }),
+    makeUpstreamFault("upstreamSheds", { shed: "said" }, { shed: "no" }),
+    makeUpstreamFault("upstreamLimited", { limitPerSecond: 3 }, { limitPerSecond: 0 }),
+    makeFaultKind("upstreamLimitedLong", async (mesh, random) => {
+        const { upstream } = pickHost(mesh, random);
         await control(upstream, { limitPerSecond: 0.5 + 2 * random() });
-        await wait(2 * LIMIT_WINDOW_MS);
+        await wait(2 * RATE_LIMIT_WINDOW_MS);
         await control(upstream, { limitPerSecond: 0 });
     }),
-    misbehave("upstreamLeaves", { leaving: true }, { leaving: false }),
-    misbehave("answersCut", { answerFault: "cut", faultShare: 0.3 }, { answerFault: "none" }),
-    misbehave("answersDoubled", { answerFault: "doubled", faultShare: 0.3 }, { answerFault: "none" }),
-    misbehave("answersForeign", { answerFault: "foreign", faultShare: 0.3 }, { answerFault: "none" }),
+    makeUpstreamFault("upstreamLeaves", { leaving: true }, { leaving: false }),
+    makeUpstreamFault("answersCut", { answerFault: "cut", faultShare: 0.3 }, { answerFault: "none" }),
+    makeUpstreamFault("answersDoubled", { answerFault: "doubled", faultShare: 0.3 }, { answerFault: "none" }),
+    makeUpstreamFault("answersForeign", { answerFault: "foreign", faultShare: 0.3 }, { answerFault: "none" }),
 ];
--- a/demo/faults.ts
+++ b/demo/faults.ts
@@ -1,4 +1,7 @@
-/** `npm run faults -- --minutes N --seed S`: a bounded soak with random faults over both meshes. */
+/**
+ * Runs a bounded soak with random faults on both meshes: `npm run faults -- --minutes N --seed S`. Prints the counts as
+ * JSON, and exits with 1 if a guarantee was broken or a daemon exited by itself.
+ */
 import { setTimeout as wait } from "node:timers/promises";
 import { parseArgs } from "node:util";
 import { seededRandom } from "../standin/seededrandom.js";
@@ -10,42 +13,55 @@
 import { Mesh } from "./mesh.js";
 import type { MeshSpec } from "./meshspec.js";
 
-const RATE = 150;
+const REQUESTS_PER_SECOND = 150;
 const MAX_MINUTES = 60;
-const REST_MS = 400;
+const MAX_PAUSE_MS = 400;
 
 const { values: flags } = parseArgs({
     options: { minutes: { type: "string", default: "1" }, seed: { type: "string", default: "1" } },
 });
 
-type Counts = ReturnType<typeof audit> & { readonly diedAlone: number; };
+type SoakCounts = ReturnType<typeof audit> & { readonly diedAlone: number; };
 
-/** Two streams of faults at once, so that they come in pairs and the same twice. */
-const disturb = async (mesh: Mesh, random: () => number, endAt: number, faults: Map<string, number>): Promise<void> => {
+/**
+ * Injects random faults one after the other until `endAt`. Each soak runs two of these streams at once, so that faults
+ * overlap, also two of the same kind.
+ */
+const injectFaults = async (
+    mesh: Mesh,
+    random: () => number,
+    endAt: number,
+    faultCounts: Map<string, number>,
+): Promise<void> => {
     while (performance.now() < endAt) {
         const kind = faultKinds[Math.floor(random() * faultKinds.length)]!;
-        faults.set(kind.name, (faults.get(kind.name) ?? 0) + 1);
-        await kind.happen(mesh, random);
-        await wait(REST_MS * random());
+        faultCounts.set(kind.name, (faultCounts.get(kind.name) ?? 0) + 1);
+        await kind.inject(mesh, random);
+        await wait(MAX_PAUSE_MS * random());
     }
 };
 
-const soak = async (spec: MeshSpec, seconds: number, seed: number, faults: Map<string, number>): Promise<Counts> => {
+const soak = async (
+    spec: MeshSpec,
+    seconds: number,
+    seed: number,
+    faultCounts: Map<string, number>,
+): Promise<SoakCounts> => {
     const mesh = await Mesh.start(spec, { seed });
     try {
         const endAt = performance.now() + seconds * 1000;
-        const streams = [1, 2].map(stream => disturb(mesh, seededRandom(seed * 10 + stream), endAt, faults));
+        const streams = [1, 2].map(stream => injectFaults(mesh, seededRandom(seed * 10 + stream), endAt, faultCounts));
         const load = runLoad(spec, {
             seed,
             seconds,
-            ratePerSecond: RATE,
+            ratePerSecond: REQUESTS_PER_SECOND,
             ingresses: () => mesh.hosts.map(host => host.ingress),
-            onProgress: told => process.stderr.write(`${spec.name}: ${told.length} told\n`),
+            onProgress: results => process.stderr.write(`${spec.name}: ${results.length} requests finished\n`),
         });
-        const [told] = await Promise.all([load, ...streams]);
-        const diedAlone = [...mesh.daemons.values()].filter(child => !child.running);
-        diedAlone.forEach(child => process.stderr.write(`${child.errors.join("\n")}\n`));
-        return { ...audit(told, mesh.record), diedAlone: diedAlone.length };
+        const [results] = await Promise.all([load, ...streams]);
+        const exitedDaemons = [...mesh.daemons.values()].filter(child => !child.running);
+        exitedDaemons.forEach(child => process.stderr.write(`${child.errors.join("\n")}\n`));
+        return { ...audit(results, mesh.record), diedAlone: exitedDaemons.length };
     }
     finally {
         await mesh.stop();
@@ -54,12 +70,12 @@
 
 const minutes = Math.min(MAX_MINUTES, Number(flags.minutes));
 const seed = Number(flags.seed);
-const faults = new Map<string, number>();
-const counts: Counts[] = [];
+const faultCounts = new Map<string, number>();
+const counts: SoakCounts[] = [];
 for (const spec of [behoun, admissions]) {
-    counts.push(await soak(spec, minutes * 30, seed, faults));
+    counts.push(await soak(spec, minutes * 30, seed, faultCounts));
 }
-const sum = (name: keyof Counts): number => counts.reduce((total, one) => total + one[name], 0);
+const sum = (name: keyof SoakCounts): number => counts.reduce((total, item) => total + item[name], 0);
 const violations = {
     onceRunTwice: sum("onceRunTwice"),
     falseNotRun: sum("falseNotRun"),
@@ -74,5 +90,5 @@
     unknown: sum("unknown"),
     cut: sum("cut"),
 };
-console.log(JSON.stringify({ requests, faults: Object.fromEntries(faults), violations }));
+console.log(JSON.stringify({ requests, faults: Object.fromEntries(faultCounts), violations }));
 process.exit(Object.values(violations).every(count => count === 0) ? 0 : 1);
--- a/demo/hostplan.ts
+++ b/demo/hostplan.ts
@@ -1,6 +1,9 @@
-/** Where one host's processes listen. */
+/** Addresses of the processes of a host. */
 
-/** All on loopback; `peer` and `upstream` are reached by others through the proxy. */
+/**
+ * Addresses are IP:PORT on loopback. Other processes reach `peer` at `peerProxy`, and the gate reaches `upstream` at
+ * `upstreamProxy`, through the proxy that injects faults. `place` is the number of the data hall, from 1.
+ */
 export type HostPlan = {
     readonly name: string;
     readonly service: string;
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -1,14 +1,18 @@
-/** `npm run demo -- [--mesh behoun|admissions] [--seconds N] [--rate N] [--json]`. */
+/**
+ * Runs a mesh under load while an upstream is drained and a daemon restarted, and prints the results:
+ * `npm run demo -- [--mesh behoun|admissions] [--seconds N] [--rate N] [--json]`. Exits with 1 if a connection broke, a
+ * guarantee was broken or a daemon exited with an error.
+ */
 import { parseArgs } from "node:util";
 import { table } from "../src/cli/table.js";
 import { admissions } from "./admissions.js";
 import { audit } from "./audit.js";
 import { behoun } from "./behoun.js";
-import { controlBytes } from "./readcontrolbytes.js";
 import { runLoad } from "./load.js";
-import { measureAdded } from "./measureaddedlatency.js";
+import { measureAddedLatency } from "./measureaddedlatency.js";
 import { Mesh } from "./mesh.js";
 import { quantile } from "./quantile.js";
+import { readControlBytes } from "./readcontrolbytes.js";
 import type { Told } from "./told.js";
 
 const { values: flags } = parseArgs({
@@ -20,7 +24,7 @@
     },
 });
 
-const say = (text: string): void => {
+const print = (text: string): void => {
     if (!flags.json) {
         console.log(text);
     }
@@ -28,38 +32,39 @@
 
 const wait = (ms: number): Promise<void> => new Promise(resolve => setTimeout(resolve, ms));
 
-const sortedMs = (told: readonly Told[]): number[] =>
-    told.filter(item => item.word === "answered").map(item => item.ms).sort((a, b) => a - b);
+const sortedLatenciesMs = (results: readonly Told[]): number[] =>
+    results.filter(result => result.word === "answered").map(result => result.ms).sort((a, b) => a - b);
 
-const round = (value: number): number => Math.round(value * 100) / 100;
+const roundToHundredths = (value: number): number => Math.round(value * 100) / 100;
 
-const disturb = async (mesh: Mesh, seconds: number): Promise<void> => {
+const drainAndRestart = async (mesh: Mesh, seconds: number): Promise<void> => {
     await wait(seconds * 300);
     const drained = mesh.hosts[0]!;
     const { stdout } = await mesh.cli("drain", drained.name);
-    say(`drain ${drained.name}: ${stdout.split("\n")[0]}`);
+    print(`drain ${drained.name}: ${stdout.split("\n")[0]}`);
     await wait(seconds * 200);
     const restarted = mesh.hosts[5]!;
     const code = await mesh.daemons.get(restarted.name)!.end();
     await mesh.startDaemon(restarted).ready();
-    say(`daemon beside ${restarted.name} stopped by plan (exit ${code}) and started again`);
+    print(`daemon of ${restarted.name} stopped gracefully (exit code ${code}) and restarted`);
 };
 
-const summary = (told: readonly Told[]): string => {
-    const kinds = [...new Set(told.map(item => item.kind))].sort();
+const summarize = (results: readonly Told[]): string => {
+    const kinds = [...new Set(results.map(result => result.kind))].sort();
     const rows = kinds.map(kind => {
-        const its = told.filter(item => item.kind === kind);
-        const ms = sortedMs(its);
-        const count = (word: Told["word"]): string => String(its.filter(item => item.word === word).length);
-        const times = [0.5, 0.99].map(share => quantile(ms, share).toFixed(1));
+        const ofKind = results.filter(result => result.kind === kind);
+        const latenciesMs = sortedLatenciesMs(ofKind);
+        const count = (outcome: Told["word"]): string =>
+            String(ofKind.filter(result => result.word === outcome).length);
+        const quantiles = [0.5, 0.99].map(share => quantile(latenciesMs, share).toFixed(1));
         return [
             kind,
-            String(its.length),
+            String(ofKind.length),
             count("answered"),
             count("not-run"),
             count("unknown"),
             count("cut"),
-            ...times,
+            ...quantiles,
         ];
     });
     return table(["request", "sent", "answered", "not run", "unknown", "cut", "p50 ms", "p99 ms"], rows);
@@ -67,43 +72,43 @@
 
 const seconds = Number(flags.seconds);
 const spec = flags.mesh === "admissions" ? admissions : behoun;
-say(`starting the ${spec.name} mesh`);
+print(`starting the ${spec.name} mesh`);
 const mesh = await Mesh.start(spec);
-let ok = false;
+let succeeded = false;
 try {
-    say((await mesh.cli("status")).stdout);
-    const added = await measureAdded(mesh);
-    const before = await Promise.all(mesh.operators.map(controlBytes));
-    const beganAt = performance.now();
-    const [told] = await Promise.all([
+    print((await mesh.cli("status")).stdout);
+    const addedLatency = await measureAddedLatency(mesh);
+    const bytesBefore = await Promise.all(mesh.operators.map(readControlBytes));
+    const startedAt = performance.now();
+    const [results] = await Promise.all([
         runLoad(spec, {
             seed: 7,
             seconds,
             ratePerSecond: Number(flags.rate),
             ingresses: () => mesh.hosts.map(host => host.ingress),
-            onProgress: sofar => say(`${sofar.length} requests answered or refused`),
+            onProgress: finished => print(`${finished.length} requests finished`),
         }),
-        disturb(mesh, seconds),
+        drainAndRestart(mesh, seconds),
     ]);
-    const elapsedS = (performance.now() - beganAt) / 1000;
-    const after = await Promise.all(mesh.operators.map(controlBytes));
-    const rates = after.map((bytes, at) => Math.max(0, bytes - before[at]!) / elapsedS);
-    const counts = audit(told, mesh.record);
-    const ms = sortedMs(told);
-    say(summary(told));
-    const codes = await mesh.stop();
-    const line = {
+    const elapsedS = (performance.now() - startedAt) / 1000;
+    const bytesAfter = await Promise.all(mesh.operators.map(readControlBytes));
+    const bytesPerSecond = bytesAfter.map((bytes, index) => Math.max(0, bytes - bytesBefore[index]!) / elapsedS);
+    const counts = audit(results, mesh.record);
+    const latenciesMs = sortedLatenciesMs(results);
+    print(summarize(results));
+    const exitCodes = await mesh.stop();
+    const report = {
         ...counts,
-        p50Ms: round(quantile(ms, 0.5)),
-        p99Ms: round(quantile(ms, 0.99)),
-        addedP99Ms: round(added.twoHopsP99Ms),
-        measureBytesPerSecond: Math.round(Math.max(...rates)),
+        p50Ms: roundToHundredths(quantile(latenciesMs, 0.5)),
+        p99Ms: roundToHundredths(quantile(latenciesMs, 0.99)),
+        addedP99Ms: roundToHundredths(addedLatency.twoHopsP99Ms),
+        measureBytesPerSecond: Math.round(Math.max(...bytesPerSecond)),
     };
-    console.log(JSON.stringify(line));
-    const faults = counts.cut + counts.onceRunTwice + counts.falseNotRun + counts.wrongAnswer + counts.overLimit;
-    ok = faults === 0 && codes.every(code => code === 0);
+    console.log(JSON.stringify(report));
+    const violations = counts.cut + counts.onceRunTwice + counts.falseNotRun + counts.wrongAnswer + counts.overLimit;
+    succeeded = violations === 0 && exitCodes.every(code => code === 0);
 }
 finally {
     await mesh.stop();
 }
-process.exit(ok ? 0 : 1);
+process.exit(succeeded ? 0 : 1);
--- a/demo/mesh.ts
+++ b/demo/mesh.ts
@@ -1,4 +1,4 @@
-/** A whole mesh of real processes on loopback: store, proxy, upstreams and daemons. */
+/** Runs a mesh of real processes on loopback: store, proxy, upstreams and daemons. */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import type { Server } from "node:net";
 import { tmpdir } from "node:os";
@@ -9,60 +9,63 @@
 import { meshDocument } from "./meshdocument.js";
 import type { MeshSpec } from "./meshspec.js";
 import { planHosts } from "./planhosts.js";
-import { RunRecord } from "./runrecord.js";
 import { runCli } from "./runcli.js";
 import { takeRunNumber } from "./runnumber.js";
+import { RunRecord } from "./runrecord.js";
 
-const script = (path: string): string => new URL(`../${path}`, import.meta.url).pathname;
-const KEPT_LOG_LINES = 100_000;
+const resolveScript = (path: string): string => new URL(`../${path}`, import.meta.url).pathname;
+const MAX_LOG_LINES = 100_000;
 const PEER_KEY = "demo-key-of-no-secrecy";
 
-/** `settings` is laid over every daemon's; `direct` and `directPeers` leave the proxy out. */
+/**
+ * `settings` overrides the settings of every daemon. With `direct`, daemons connect to their upstreams without the
+ * proxy, and with `directPeers` to one another.
+ */
 type MeshOptions = {
     readonly settings?: object;
     readonly direct?: boolean;
     readonly directPeers?: boolean;
     readonly seed?: number;
-    /** False leaves the store empty. */
+    /** Whether the configuration of the mesh is applied at the start, by default true; otherwise the store is empty. */
     readonly configured?: boolean;
-    /** Flags of Node for the daemons, to profile them. */
+    /** Command-line flags of Node for the daemons, such as those for profiling. */
     readonly daemonFlags?: readonly string[];
 };
 
-/** Starts, faults and stops its processes, and only those. */
+/** Starts the processes of the mesh, injects faults and stops the processes. Affects no other process. */
 export class Mesh {
     readonly record = new RunRecord();
-    /** The daemons' newest log lines. */
+    /** Newest log lines of all daemons. */
     readonly log: string[] = [];
     readonly daemons = new Map<string, Child>();
     readonly upstreams = new Map<string, Child>();
     readonly hosts: readonly HostPlan[];
     readonly #folder = mkdtempSync(join(tmpdir(), "winglock-"));
-    readonly #others: Child[] = [];
+    readonly #proxies: Child[] = [];
     store: Child | undefined;
 
     private constructor(
         readonly spec: MeshSpec,
-        private readonly run: number,
-        private readonly lock: Server,
+        private readonly runNumber: number,
+        private readonly runNumberLock: Server,
         private readonly options: MeshOptions,
     ) {
-        const hosts = planHosts(spec, run);
+        const hosts = planHosts(spec, runNumber);
         this.hosts = options.directPeers ? hosts.map(host => ({ ...host, peerProxy: host.peer })) : hosts;
     }
 
-    /** Starts everything and applies the mesh's configuration with the real command. */
+    /** Starts all processes and applies the configuration with the `winglock` command. */
     static async start(spec: MeshSpec, options: MeshOptions = {}): Promise<Mesh> {
-        const { run, lock } = await takeRunNumber();
-        const mesh = new Mesh(spec, run, lock, options);
+        const { run: runNumber, lock } = await takeRunNumber();
+        const mesh = new Mesh(spec, runNumber, lock, options);
         try {
-            await mesh.#startPlatform();
+            await mesh.#startProxyAndStore();
             mesh.hosts.forEach(host => mesh.startUpstream(host));
             mesh.hosts.forEach(host => mesh.startDaemon(host));
-            const all = [...mesh.upstreams.values(), ...mesh.daemons.values()];
-            await Promise.all(all.map(child => child.ready()));
+            const children = [...mesh.upstreams.values(), ...mesh.daemons.values()];
+            await Promise.all(children.map(child => child.ready()));
             if (options.configured ?? true) {
-                await mesh.#configure();
+                await mesh.#applyConfiguration();
             }
             return mesh;
         }
@@ -73,15 +76,15 @@
     }
 
     get storeAddress(): string {
-        return `127.${this.run}.0.1:7300`;
+        return `127.${this.runNumber}.0.1:7300`;
     }
 
     get storeProxy(): string {
-        return `127.${this.run}.0.1:7301`;
+        return `127.${this.runNumber}.0.1:7301`;
     }
 
     get proxyControl(): string {
-        return `127.${this.run}.0.1:7400`;
+        return `127.${this.runNumber}.0.1:7400`;
     }
 
     get operators(): string[] {
@@ -97,16 +100,16 @@
     }
 
     startStore(): Child {
-        this.store = new Child(script("standin/storemain.js"), [this.storeAddress], () => {});
+        this.store = new Child(resolveScript("standin/storemain.js"), [this.storeAddress], () => {});
         return this.store;
     }
 
     startUpstream(host: HostPlan): Child {
         const seed = (this.options.seed ?? 1) * 1000 + this.hosts.indexOf(host);
         const child = new Child(
-            script("standin/upstreammain.js"),
+            resolveScript("standin/upstreammain.js"),
             [host.upstream, String(this.spec.slots), String(seed)],
-            line => this.record.read(host.name, line, performance.now()),
+            line => this.record.recordLine(host.name, line, performance.now()),
         );
         this.upstreams.set(host.name, child);
         return child;
@@ -115,21 +118,26 @@
     startDaemon(host: HostPlan): Child {
         const file = join(this.#folder, `${host.name}.json`);
         writeFileSync(file, JSON.stringify(this.#settings(host)));
-        const child = new Child(script("bin/winglockd.cjs"), ["--settings", file], line => this.#keep(line), {
-            nodeFlags: this.options.daemonFlags,
-        });
+        const child = new Child(
+            resolveScript("bin/winglockd.cjs"),
+            ["--settings", file],
+            line => this.#appendLog(line),
+            {
+                nodeFlags: this.options.daemonFlags,
+            },
+        );
         this.daemons.set(host.name, child);
         return child;
     }
 
-    #keep(line: string): void {
+    #appendLog(line: string): void {
         this.log.push(line);
-        if (this.log.length > KEPT_LOG_LINES) {
-            this.log.splice(0, KEPT_LOG_LINES / 2);
+        if (this.log.length > MAX_LOG_LINES) {
+            this.log.splice(0, MAX_LOG_LINES / 2);
         }
     }
 
-    /** Lays the faults on the proxy, in place of those before. */
+    /** Replaces the faults that the proxy injects. */
     async setFaults(faults: readonly object[]): Promise<void> {
         await control(this.proxyControl, faults);
     }
@@ -138,20 +146,25 @@
         return runCli(this.operators, args);
     }
 
-    /** Stops daemons by plan, then the rest; resolves with the daemons' exit codes. */
+    /** Stops the daemons gracefully, then kills the other processes. Resolves with the exit codes of the daemons. */
     async stop(): Promise<(number | null)[]> {
         const daemons = [...this.daemons.values()];
+        // A daemon that a test paused would not handle SIGTERM.
         daemons.forEach(child => child.signal("SIGCONT"));
-        const codes = await Promise.all(daemons.map(child => child.end()));
-        const rest = [...this.upstreams.values(), ...this.#others, ...(this.store === undefined ? [] : [this.store])];
-        await Promise.all(rest.map(child => child.end("SIGKILL")));
-        this.lock.close();
+        const exitCodes = await Promise.all(daemons.map(child => child.end()));
+        const otherChildren = [
+            ...this.upstreams.values(),
+            ...this.#proxies,
+            ...(this.store === undefined ? [] : [this.store]),
+        ];
+        await Promise.all(otherChildren.map(child => child.end("SIGKILL")));
+        this.runNumberLock.close();
         rmSync(this.#folder, { recursive: true, force: true });
-        return codes;
+        return exitCodes;
     }
 
-    async #startPlatform(): Promise<void> {
-        const links = planHosts(this.spec, this.run).flatMap(host => [
+    async #startProxyAndStore(): Promise<void> {
+        const links = planHosts(this.spec, this.runNumber).flatMap(host => [
             { listen: host.peerProxy, target: host.peer, place: host.place },
             { listen: host.upstreamProxy, target: host.upstream, place: host.place },
         ]);
@@ -161,17 +174,17 @@
             JSON.stringify([...links, { listen: this.storeProxy, target: this.storeAddress, place: 0 }]),
         );
         const args = [this.proxyControl, String(this.spec.betweenMs), file];
-        const proxy = new Child(script("standin/proxymain.js"), args, () => {});
-        this.#others.push(proxy);
+        const proxy = new Child(resolveScript("standin/proxymain.js"), args, () => {});
+        this.#proxies.push(proxy);
         await Promise.all([proxy.ready(), this.startStore().ready()]);
     }
 
-    async #configure(): Promise<void> {
+    async #applyConfiguration(): Promise<void> {
         const document = meshDocument(this.spec, this.hosts, this.options.direct ?? false);
         writeFileSync(this.configurationFile, JSON.stringify(document, undefined, 4));
         const { code, stderr } = await this.cli("apply", this.configurationFile);
         if (code !== 0) {
-            throw new Error(`the configuration was not accepted: ${stderr}`);
+            throw new Error(`winglock apply did not accept the configuration of the mesh: ${stderr}`);
         }
         const controls = this.hosts.map(host => control(host.upstream, { meanMs: this.spec.meanMs }));
         await Promise.all(controls);
--- a/demo/meshdocument.ts
+++ b/demo/meshdocument.ts
@@ -1,8 +1,8 @@
-/** The configuration of a mesh, as a file for `winglock apply`. */
+/** Configuration of a mesh, in the form that `winglock apply` reads. */
 import type { HostPlan } from "./hostplan.js";
 import type { MeshSpec } from "./meshspec.js";
 
-/** Every upstream is reached by its gate only; `direct` leaves the proxy between gate and upstream out. */
+/** Returns the document. With `direct`, the gate of an upstream connects to the upstream without the proxy. */
 export function meshDocument(spec: MeshSpec, hosts: readonly HostPlan[], direct: boolean): object {
     return {
         services: spec.services.map(({ name }) => ({ name })),
--- a/demo/meshspec.ts
+++ b/demo/meshspec.ts
@@ -1,9 +1,9 @@
-/** What a mesh is made of. */
+/** Specification of a mesh. */
 
-/** A service and how many instances it has. */
+/** Service and its number of instances. */
 type ServiceSpec = { readonly name: string; readonly instances: number; };
 
-/** A kind of request that callers send; `share` of all requests. */
+/** Kind of request that callers send. `share` is its share of all requests; `once` means that it may run only once. */
 type RequestSpec = {
     readonly name: string;
     readonly method: "GET" | "POST";
@@ -12,7 +12,10 @@
     readonly once: boolean;
 };
 
-/** Times in milliseconds; `betweenMs` is one way between data halls. */
+/**
+ * Services, rules and load of a mesh. `betweenMs` is the one-way delay between data halls and `meanMs` the mean service
+ * time of an instance, both in milliseconds. `slots` is the number of requests that an instance runs at once.
+ */
 export type MeshSpec = {
     readonly name: string;
     readonly region: string;
--- a/demo/planhosts.ts
+++ b/demo/planhosts.ts
@@ -1,20 +1,20 @@
-/** Lays a mesh out over loopback addresses: the second number is the run, the third the hall, the fourth the host. */
+/** Assigns loopback addresses to the hosts of a mesh: 127.RUN.HALL.HOST, each a number. */
 import type { HostPlan } from "./hostplan.js";
 import type { MeshSpec } from "./meshspec.js";
 
-const FIRST_HOST = 10;
+const FIRST_HOST_NUMBER = 10;
 
-/** One host for each instance, the halls in turn. */
-export function planHosts(spec: MeshSpec, run: number): HostPlan[] {
-    const names = spec.services.flatMap(service =>
+/** Returns one host for each instance, with the data halls in turn. */
+export function planHosts(spec: MeshSpec, runNumber: number): HostPlan[] {
+    const instances = spec.services.flatMap(service =>
         Array.from(
             { length: service.instances },
-            (_, at) => ({ name: `${service.name}-${at + 1}`, service: service.name }),
+            (_, index) => ({ name: `${service.name}-${index + 1}`, service: service.name }),
         )
     );
-    return names.map(({ name, service }, at) => {
-        const place = at % spec.halls.length + 1;
-        const ip = `127.${run}.${place}.${FIRST_HOST + at}`;
+    return instances.map(({ name, service }, index) => {
+        const place = index % spec.halls.length + 1;
+        const ip = `127.${runNumber}.${place}.${FIRST_HOST_NUMBER + index}`;
         return {
             name,
             service,
--- a/demo/readcontrolbytes.ts
+++ b/demo/readcontrolbytes.ts
@@ -1,13 +1,15 @@
-/** Reads how many bytes a daemon has spent for control. */
+/** Reads how many bytes of control traffic a daemon has sent and received. */
 import { readMetric } from "./readmetric.js";
 
-/** The bytes since the daemon started; 0 when it does not answer. */
-export async function controlBytes(operator: string): Promise<number> {
+/** Resolves with the number of bytes since the daemon started, or 0 if the daemon does not respond. */
+export async function readControlBytes(operator: string): Promise<number> {
     try {
         return await readMetric(operator, "winglock_control_bytes_total");
     }
     catch (err) {
-        console.error(`The daemon at ${operator} told no metrics: ${(err as Error).message}`);
+        console.error(
+            `no metrics from the daemon at ${operator}, control traffic counted as 0 bytes: ${(err as Error).message}`,
+        );
         return 0;
     }
 }
--- a/demo/readmetric.ts
+++ b/demo/readmetric.ts
@@ -1,7 +1,10 @@
-/** Reads one of a daemon's counters. */
+/** Reads a metric of a daemon. */
 import { request } from "undici";
 
-/** The sum over all series, or those whose labels hold `label`; rejects when the daemon does not answer. */
+/**
+ * Resolves with the sum over the series of the metric whose labels contain `label`, by default all. Rejects if the daemon
+ * does not respond.
+ */
 export async function readMetric(operator: string, name: string, label = ""): Promise<number> {
     const line = new RegExp(`^${name}(?:\\{.*${label}.*\\})? (\\d+(?:\\.\\d+)?)$`, "gm");
     const { body } = await request(`http://${operator}/metrics`);
--- a/demo/runcli.ts
+++ b/demo/runcli.ts
@@ -1,12 +1,12 @@
-/** Runs the real `winglock` command. */
+/** Runs the `winglock` command as a process. */
 import { execFile } from "node:child_process";
 
 const SCRIPT = new URL("../src/cli/winglock.js", import.meta.url).pathname;
 
-/** What the command printed and ended with. */
+/** Output and exit code of the command. */
 type CliResult = { readonly code: number; readonly stdout: string; readonly stderr: string; };
 
-/** Resolves whatever the exit code. */
+/** Resolves with the result, also if the command fails. */
 export function runCli(daemons: readonly string[], args: readonly string[]): Promise<CliResult> {
     const env = { ...process.env, WINGLOCK_DAEMONS: daemons.join(",") };
     return new Promise(resolve => {
--- a/demo/runnumber.ts
+++ b/demo/runnumber.ts
@@ -1,19 +1,19 @@
-/** Gives each run on this machine loopback addresses of its own. */
+/** Reserves a range of loopback addresses, 127.RUN.0.0/16, for each run on this machine. */
 import { once } from "node:events";
 import { createServer, type Server } from "node:net";
 
 const LOCK_PORT = 7999;
-const FIRST = 10;
-const LAST = 250;
+const FIRST_RUN_NUMBER = 10;
+const LAST_RUN_NUMBER = 250;
 
-/** The second number of the run's addresses, and the lock that keeps other runs off while it is open. */
+/** Second number of the addresses of a run, and the server that reserves this number as long as it listens. */
 type RunNumber = { readonly run: number; readonly lock: Server; };
 
-/** Tries numbers from a random one on until one is free. */
+/** Reserves the first free number from a random one on. Rejects if all numbers are in use. */
 export async function takeRunNumber(): Promise<RunNumber> {
-    const start = Math.floor(Math.random() * (LAST - FIRST));
-    for (let step = 0; step < LAST - FIRST; step++) {
-        const run = FIRST + (start + step) % (LAST - FIRST);
+    const start = Math.floor(Math.random() * (LAST_RUN_NUMBER - FIRST_RUN_NUMBER));
+    for (let step = 0; step < LAST_RUN_NUMBER - FIRST_RUN_NUMBER; step++) {
+        const run = FIRST_RUN_NUMBER + (start + step) % (LAST_RUN_NUMBER - FIRST_RUN_NUMBER);
         const lock = createServer();
         const listening = once(lock, "listening");
         lock.listen(LOCK_PORT, `127.${run}.0.1`);
@@ -25,5 +25,5 @@
             lock.close();
         }
     }
-    throw new Error("no loopback addresses are free");
+    throw new Error("no run number is free: the loopback addresses of all runs are in use");
 }
--- a/demo/runrecord.ts
+++ b/demo/runrecord.ts
@@ -1,92 +1,97 @@
-/** The upstreams' own record of what they received and ran. */
+/** Record of the requests that upstreams received and ran, as printed by their stand-ins. */
 
-/** `at` in milliseconds. */
-type Arrived = { readonly upstream: string; readonly id: string; readonly at: number; };
+/** Arrival of a request at an upstream. `receivedAt` is in milliseconds. */
+type Arrival = { readonly upstream: string; readonly id: string; readonly receivedAt: number; };
 
-/** Arrivals beyond the first of their request, and first ones in the same span. */
-type Beyond = { readonly beyond: number; readonly requests: number; };
+/** Within one window: `beyond` counts the arrivals after the first of their request, `requests` the first arrivals. */
+type RepeatCounts = { readonly beyond: number; readonly requests: number; };
 
-/** Requests a second that it stated, and when requests arrived. */
-type LimitedSpell = { readonly perSecond: number; readonly times: number[]; };
+/** Period in which an upstream stated a rate limit, with the times in milliseconds at which requests arrived. */
+type LimitedPeriod = { readonly limitPerSecond: number; readonly arrivalTimes: number[]; };
 
-/** Milliseconds. */
 const MS_PER_SECOND = 1000;
-/** In any so many seconds an upstream may get so many times its limit, and so many requests more. */
+/** In any window of this length, an upstream may receive its stated rate limit times the factor, plus the requests. */
 const LIMIT_WINDOW_S = 4;
-const LIMIT_OVERAGE = 1.5;
-const LIMIT_SLACK = 5;
+const LIMIT_BURST_FACTOR = 1.5;
+const LIMIT_BURST_REQUESTS = 5;
 
-const countWithin = (arrivals: readonly Arrived[], from: number, windowMs: number): number =>
-    arrivals.filter(({ at }) => at >= from && at < from + windowMs).length;
+const countInWindow = (arrivals: readonly Arrival[], from: number, windowMs: number): number =>
+    arrivals.filter(({ receivedAt }) => receivedAt >= from && receivedAt < from + windowMs).length;
 
-/** Counts runs by the id that the load gave its requests; the lines outlive the process that wrote them. */
+/**
+ * Records the lines that the stand-ins print, so that the record outlives a stand-in that is killed. Requests are
+ * identified by the id that the load gave them.
+ */
 export class RunRecord {
-    readonly #runs = new Map<string, number>();
-    readonly #lastStart = new Map<string, number>();
-    readonly #byUpstream = new Map<string, number[]>();
-    readonly #arrivals: Arrived[] = [];
-    readonly #limited = new Map<string, LimitedSpell>();
+    readonly #runCounts = new Map<string, number>();
+    readonly #lastStartAt = new Map<string, number>();
+    readonly #startsByUpstream = new Map<string, number[]>();
+    readonly #arrivals: Arrival[] = [];
+    readonly #limitedPeriods = new Map<string, LimitedPeriod>();
 
-    /** Records one line of a stand-in. */
-    read(upstream: string, line: string, now: number): void {
+    /** Records a line that the stand-in of `upstream` printed at `now`, in milliseconds. */
+    recordLine(upstream: string, line: string, now: number): void {
         if (line.startsWith("A ")) {
-            this.#arrivals.push({ upstream, id: line.slice(2), at: now });
+            this.#arrivals.push({ upstream, id: line.slice(2), receivedAt: now });
         }
         if (line.startsWith("L ")) {
-            this.#readLimited(upstream, line, now);
+            this.#recordLimitedArrival(upstream, line, now);
         }
         if (line.startsWith("R ")) {
             const id = line.slice(2);
-            this.#runs.set(id, (this.#runs.get(id) ?? 0) + 1);
-            this.#lastStart.set(id, now);
-            const times = this.#byUpstream.get(upstream) ?? [];
-            times.push(now);
-            this.#byUpstream.set(upstream, times);
+            this.#runCounts.set(id, (this.#runCounts.get(id) ?? 0) + 1);
+            this.#lastStartAt.set(id, now);
+            const startTimes = this.#startsByUpstream.get(upstream) ?? [];
+            startTimes.push(now);
+            this.#startsByUpstream.set(upstream, startTimes);
         }
     }
 
-    /** Arrivals beyond the first of each request, at one service's upstreams, in the worst span of `windowMs`. */
-    worstBeyondFirst(isOfService: (upstream: string) => boolean, windowMs: number): Beyond {
+    /** Returns the counts of the window of `windowMs` with the most repeats at the upstreams that the filter selects. */
+    worstBeyondFirst(isOfService: (upstream: string) => boolean, windowMs: number): RepeatCounts {
         const arrivals = this.#arrivals.filter(({ upstream }) => isOfService(upstream));
-        const seen = new Set<string>();
-        const later = arrivals.filter(({ id }) => seen.has(id) || !seen.add(id));
-        const spans = later.map(({ at }) => ({
-            beyond: countWithin(later, at, windowMs),
-            requests: countWithin(arrivals, at, windowMs) - countWithin(later, at, windowMs),
+        const seenIds = new Set<string>();
+        const repeats = arrivals.filter(({ id }) => seenIds.has(id) || !seenIds.add(id));
+        const windows = repeats.map(({ receivedAt }) => ({
+            beyond: countInWindow(repeats, receivedAt, windowMs),
+            requests: countInWindow(arrivals, receivedAt, windowMs) - countInWindow(repeats, receivedAt, windowMs),
         }));
-        return spans.reduce((worst, span) => span.beyond > worst.beyond ? span : worst, { beyond: 0, requests: 0 });
+        return windows.reduce((worst, window) => window.beyond > worst.beyond ? window : worst, {
+            beyond: 0,
+            requests: 0,
+        });
     }
 
-    /** Spells in which an upstream that stated a limit got more than is allowed in some 4 s. */
-    spellsOverLimit(): number {
-        return [...this.#limited.values()].filter(({ perSecond, times }) => {
-            const allowed = perSecond * LIMIT_WINDOW_S * LIMIT_OVERAGE + LIMIT_SLACK;
-            const inWindow = (from: number): number =>
-                times.filter(at => at >= from && at <= from + LIMIT_WINDOW_S * MS_PER_SECOND).length;
-            return times.some(from => inWindow(from) > allowed);
+    /** Returns the number of periods with a window in which the upstream received more than its rate limit allows. */
+    countPeriodsOverLimit(): number {
+        return [...this.#limitedPeriods.values()].filter(({ limitPerSecond, arrivalTimes }) => {
+            const allowed = limitPerSecond * LIMIT_WINDOW_S * LIMIT_BURST_FACTOR + LIMIT_BURST_REQUESTS;
+            const countFrom = (from: number): number =>
+                arrivalTimes.filter(time => time >= from && time <= from + LIMIT_WINDOW_S * MS_PER_SECOND).length;
+            return arrivalTimes.some(from => countFrom(from) > allowed);
         }).length;
     }
 
-    #readLimited(upstream: string, line: string, now: number): void {
-        const [, spell, perSecond] = line.split(" ");
-        const key = `${upstream} ${spell}`;
-        const known = this.#limited.get(key) ?? { perSecond: Number(perSecond), times: [] };
-        known.times.push(now);
-        this.#limited.set(key, known);
+    #recordLimitedArrival(upstream: string, line: string, now: number): void {
+        const [, periodId, limitPerSecond] = line.split(" ");
+        const key = `${upstream} ${periodId}`;
+        const period = this.#limitedPeriods.get(key) ?? { limitPerSecond: Number(limitPerSecond), arrivalTimes: [] };
+        period.arrivalTimes.push(now);
+        this.#limitedPeriods.set(key, period);
     }
 
-    /** How often a request ran. */
+    /** Returns how often the request ran. */
     runs(id: string): number {
-        return this.#runs.get(id) ?? 0;
+        return this.#runCounts.get(id) ?? 0;
     }
 
-    /** True when a request was started after a time. */
-    startedAfter(id: string, at: number): boolean {
-        return (this.#lastStart.get(id) ?? 0) > at;
+    /** Returns whether the request started to run after `timeMs`. */
+    startedAfter(id: string, timeMs: number): boolean {
+        return (this.#lastStartAt.get(id) ?? 0) > timeMs;
     }
 
-    /** When an upstream started requests, in the order of the lines. */
+    /** Returns the times in milliseconds at which the upstream started to run requests, in order. */
     startsAt(upstream: string): readonly number[] {
-        return this.#byUpstream.get(upstream) ?? [];
+        return this.#startsByUpstream.get(upstream) ?? [];
     }
 }
--- a/demo/told.ts
+++ b/demo/told.ts
@@ -1,17 +1,24 @@
-/** What a caller was told of one request. */
+/** Result of a request, as its caller sees it. */
 
-/** `cut`: the connection broke with the answer begun or the request sent; `refused`: no daemon took it. */
-type Word = "answered" | "not-run" | "unknown" | "cut" | "refused";
+/**
+ * `not-run` and `unknown` are stated by the response. `cut`: the connection broke or timed out after the request was
+ * sent or within the response. `refused`: every daemon refused the connection.
+ */
+type Outcome = "answered" | "not-run" | "unknown" | "cut" | "refused";
 
-/** Times in milliseconds from when the request was meant to be sent. */
+/**
+ * `at` is the due time and `ms` the latency from the due time, both in milliseconds. `kind` is the name of the
+ * `RequestSpec`, `once` means that the request may run only once, and `status` is 0 without a response.
+ */
 export type Told = {
     readonly id: string;
     readonly kind: string;
     readonly once: boolean;
-    readonly word: Word;
+    readonly word: Outcome;
     readonly status: number;
+    /** The status is 200, but the body does not belong to the request or is damaged. */
     readonly wrong: boolean;
-    /** The answer begins as another request's does. */
+    /** The body is wrong and does not begin with the id of the request. */
     readonly foreign?: boolean;
     readonly ms: number;
     readonly at: number;
