--- a/demo/mesh.ts
+++ b/demo/mesh.ts
@@ -122,9 +122,7 @@
             resolveScript("bin/winglockd.cjs"),
             ["--settings", file],
             line => this.#appendLog(line),
-            {
-                nodeFlags: this.options.daemonFlags,
-            },
+            { nodeFlags: this.options.daemonFlags },
         );
         this.daemons.set(host.name, child);
         return child;
@@ -149,7 +147,7 @@
     /** Stops the daemons gracefully, then kills the other processes. Resolves with the exit codes of the daemons. */
     async stop(): Promise<(number | null)[]> {
         const daemons = [...this.daemons.values()];
-        // A daemon that a test paused would not handle SIGTERM.
+        // Resumes paused daemons, which would not handle SIGTERM.
         daemons.forEach(child => child.signal("SIGCONT"));
         const exitCodes = await Promise.all(daemons.map(child => child.end()));
         const otherChildren = [
--- a/demo/readcontrolbytes.ts
+++ b/demo/readcontrolbytes.ts
@@ -1,7 +1,7 @@
-/** Reads how many bytes of control traffic a daemon has sent and received. */
+/** Reads how many bytes of control traffic a daemon has sent. */
 import { readMetric } from "./readmetric.js";
 
-/** Resolves with the number of bytes since the daemon started, or 0 if the daemon does not respond. */
+/** Resolves with the number of bytes sent since the daemon started, or 0 if the daemon does not respond. */
 export async function readControlBytes(operator: string): Promise<number> {
     try {
         return await readMetric(operator, "winglock_control_bytes_total");
--- a/demo/runrecord.ts
+++ b/demo/runrecord.ts
@@ -10,7 +10,10 @@
 type LimitedPeriod = { readonly limitPerSecond: number; readonly arrivalTimes: number[]; };
 
 const MS_PER_SECOND = 1000;
-/** In any window of this length, an upstream may receive its stated rate limit times the factor, plus the requests. */
+/**
+ * In any window of `LIMIT_WINDOW_S`, an upstream may receive `LIMIT_BURST_FACTOR` times the number of requests that its
+ * stated rate limit allows, plus `LIMIT_BURST_REQUESTS`.
+ */
 const LIMIT_WINDOW_S = 4;
 const LIMIT_BURST_FACTOR = 1.5;
 const LIMIT_BURST_REQUESTS = 5;
@@ -29,7 +32,10 @@
     readonly #arrivals: Arrival[] = [];
     readonly #limitedPeriods = new Map<string, LimitedPeriod>();
 
-    /** Records a line that the stand-in of `upstream` printed at `now`, in milliseconds. */
+    /**
+     * Records a line of the stand-in of `upstream`, received at `now` in milliseconds: `A id` for the arrival of a
+     * request, `R id` for its start, and `L period limit id` for an arrival while a rate limit is stated.
+     */
     recordLine(upstream: string, line: string, now: number): void {
         if (line.startsWith("A ")) {
             this.#arrivals.push({ upstream, id: line.slice(2), receivedAt: now });
@@ -47,7 +53,10 @@
         }
     }
 
-    /** Returns the counts of the window of `windowMs` with the most repeats at the upstreams that the filter selects. */
+    /**
+     * Returns the counts of the window of `windowMs` with the most repeats at the upstreams of a service, where a repeat
+     * is an arrival after the first of its request.
+     */
     worstBeyondFirst(isOfService: (upstream: string) => boolean, windowMs: number): RepeatCounts {
         const arrivals = this.#arrivals.filter(({ upstream }) => isOfService(upstream));
         const seenIds = new Set<string>();
