--- a/bench/pathmesh.ts
+++ b/bench/pathmesh.ts
@@ -6,7 +6,7 @@
     name: "path",
     region: "here",
     halls: ["a"],
-    betweenMs: 0,
+    interHallDelayMs: 0,
     slots: 100,
     meanMs: 1,
     services: [{ name: "target", instances: 1 }, { name: "neighbour", instances: 1 }],
--- a/demo/admissions.ts
+++ b/demo/admissions.ts
@@ -6,7 +6,7 @@
     name: "admissions",
     region: "sapporo",
     halls: ["a", "b", "c"],
-    betweenMs: 0.5,
+    interHallDelayMs: 0.5,
     slots: 6,
     meanMs: 10,
     services: [
--- a/demo/audit.ts
+++ b/demo/audit.ts
@@ -1,6 +1,6 @@
 /** Compares the results that callers received with the record of what the upstreams ran. */
+import type { RequestResult } from "./requestresult.js";
 import type { RunRecord } from "./runrecord.js";
-import type { Told } from "./told.js";
 
 /**
  * Numbers of requests, and of periods for `overLimit`. `onceRunTwice`, `falseNotRun`, `wrongAnswer` and `overLimit`
@@ -23,17 +23,17 @@
 };
 
 /** Returns the counts. A request whose connection every daemon refused counts as not run. */
-export function audit(results: readonly Told[], runRecord: RunRecord): Audit {
-    const count = (predicate: (result: Told) => boolean): number => results.filter(predicate).length;
-    const isNotRun = (result: Told): boolean => result.word === "not-run" || result.word === "refused";
+export function audit(results: readonly RequestResult[], runRecord: RunRecord): Audit {
+    const count = (predicate: (result: RequestResult) => boolean): number => results.filter(predicate).length;
+    const isNotRun = (result: RequestResult): boolean => result.outcome === "not-run" || result.outcome === "refused";
     return {
         sent: results.length,
-        answered: count(result => result.word === "answered"),
+        answered: count(result => result.outcome === "answered"),
         notRun: count(isNotRun),
-        unknown: count(result => result.word === "unknown"),
-        cut: count(result => result.word === "cut"),
-        onceRunTwice: count(result => result.once && runRecord.runs(result.id) > 1),
-        falseNotRun: count(result => isNotRun(result) && runRecord.runs(result.id) > 0),
+        unknown: count(result => result.outcome === "unknown"),
+        cut: count(result => result.outcome === "cut"),
+        onceRunTwice: count(result => result.once && runRecord.countRuns(result.id) > 1),
+        falseNotRun: count(result => isNotRun(result) && runRecord.countRuns(result.id) > 0),
         wrongAnswer: count(result => result.wrong),
         overLimit: runRecord.countPeriodsOverLimit(),
     };
--- a/demo/behoun.ts
+++ b/demo/behoun.ts
@@ -6,7 +6,7 @@
     name: "behoun",
     region: "prague",
     halls: ["a", "b", "c"],
-    betweenMs: 1,
+    interHallDelayMs: 1,
     slots: 12,
     meanMs: 10,
     services: [
--- a/demo/caller.ts
+++ b/demo/caller.ts
@@ -1,6 +1,6 @@
 /** HTTP/1.1 client that sends the requests of the load and classifies their results. */
 import { Agent, type IncomingMessage, request as httpRequest } from "node:http";
-import type { Told } from "./told.js";
+import type { RequestResult } from "./requestresult.js";
 
 const TIMEOUT_MS = 20_000;
 
@@ -28,7 +28,7 @@
     constructor(private readonly random: () => number) {}
 
     /** Resolves with the result of the request, and never rejects. `dueAt` is the due time in milliseconds. */
-    async send(req: CallerRequest, ingresses: readonly string[], dueAt: number): Promise<Told> {
+    async send(req: CallerRequest, ingresses: readonly string[], dueAt: number): Promise<RequestResult> {
         const start = Math.floor(this.random() * ingresses.length);
         for (let step = 0; step < ingresses.length; step++) {
             const ingress = ingresses[(start + step) % ingresses.length]!;
@@ -48,7 +48,7 @@
         this.#agent.destroy();
     }
 
-    #toResult(req: CallerRequest, received: ReceivedResponse, dueAt: number): Told {
+    #toResult(req: CallerRequest, received: ReceivedResponse, dueAt: number): RequestResult {
         const { res, body, complete } = received;
         const status = res.statusCode ?? 0;
         const outcome = res.headers["winglock-outcome"];
@@ -73,9 +73,15 @@
         }
     }
 
-    #makeResult(req: CallerRequest, outcome: Told["word"], status: number, wrong: boolean, dueAt: number): Told {
+    #makeResult(
+        req: CallerRequest,
+        outcome: RequestResult["outcome"],
+        status: number,
+        wrong: boolean,
+        dueAt: number,
+    ): RequestResult {
         const { id, kind, once } = req;
-        return { id, kind, once, word: outcome, status, wrong, ms: performance.now() - dueAt, at: dueAt };
+        return { id, kind, once, outcome, status, wrong, latencyMs: performance.now() - dueAt, at: dueAt };
     }
 
     #request(req: CallerRequest, ingress: string): Promise<ReceivedResponse> {
--- a/demo/faults.ts
+++ b/demo/faults.ts
@@ -9,9 +9,9 @@
 import { audit } from "./audit.js";
 import { behoun } from "./behoun.js";
 import { faultKinds } from "./faultkinds.js";
-import { runLoad } from "./load.js";
 import { Mesh } from "./mesh.js";
 import type { MeshSpec } from "./meshspec.js";
+import { runLoad } from "./runload.js";
 
 const REQUESTS_PER_SECOND = 150;
 const MAX_MINUTES = 60;
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -8,12 +8,12 @@
 import { admissions } from "./admissions.js";
 import { audit } from "./audit.js";
 import { behoun } from "./behoun.js";
-import { runLoad } from "./load.js";
 import { measureAddedLatency } from "./measureaddedlatency.js";
 import { Mesh } from "./mesh.js";
 import { quantile } from "./quantile.js";
 import { readControlBytes } from "./readcontrolbytes.js";
-import type { Told } from "./told.js";
+import type { RequestResult } from "./requestresult.js";
+import { runLoad } from "./runload.js";
 
 const { values: flags } = parseArgs({
     options: {
@@ -32,8 +32,8 @@
 
 const wait = (ms: number): Promise<void> => new Promise(resolve => setTimeout(resolve, ms));
 
-const sortedLatenciesMs = (results: readonly Told[]): number[] =>
-    results.filter(result => result.word === "answered").map(result => result.ms).sort((a, b) => a - b);
+const sortedLatenciesMs = (results: readonly RequestResult[]): number[] =>
+    results.filter(result => result.outcome === "answered").map(result => result.latencyMs).sort((a, b) => a - b);
 
 const roundToHundredths = (value: number): number => Math.round(value * 100) / 100;
 
@@ -49,13 +49,13 @@
     print(`daemon of ${restarted.name} stopped gracefully (exit code ${code}) and restarted`);
 };
 
-const summarize = (results: readonly Told[]): string => {
+const summarize = (results: readonly RequestResult[]): string => {
     const kinds = [...new Set(results.map(result => result.kind))].sort();
     const rows = kinds.map(kind => {
         const ofKind = results.filter(result => result.kind === kind);
         const latenciesMs = sortedLatenciesMs(ofKind);
-        const count = (outcome: Told["word"]): string =>
-            String(ofKind.filter(result => result.word === outcome).length);
+        const count = (outcome: RequestResult["outcome"]): string =>
+            String(ofKind.filter(result => result.outcome === outcome).length);
         const quantiles = [0.5, 0.99].map(share => quantile(latenciesMs, share).toFixed(1));
         return [
             kind,
--- a/demo/mesh.ts
+++ b/demo/mesh.ts
@@ -10,8 +10,8 @@
 import type { MeshSpec } from "./meshspec.js";
 import { planHosts } from "./planhosts.js";
 import { runCli } from "./runcli.js";
-import { takeRunNumber } from "./runnumber.js";
 import { RunRecord } from "./runrecord.js";
+import { takeRunNumber } from "./takerunnumber.js";
 
 const resolveScript = (path: string): string => new URL(`../${path}`, import.meta.url).pathname;
 const MAX_LOG_LINES = 100_000;
@@ -171,7 +171,7 @@
             file,
             JSON.stringify([...links, { listen: this.storeProxy, target: this.storeAddress, place: 0 }]),
         );
-        const args = [this.proxyControl, String(this.spec.betweenMs), file];
+        const args = [this.proxyControl, String(this.spec.interHallDelayMs), file];
         const proxy = new Child(resolveScript("standin/proxymain.js"), args, () => {});
         this.#proxies.push(proxy);
         await Promise.all([proxy.ready(), this.startStore().ready()]);
--- a/demo/meshspec.ts
+++ b/demo/meshspec.ts
@@ -20,7 +20,7 @@
     readonly name: string;
     readonly region: string;
     readonly halls: readonly string[];
-    readonly betweenMs: number;
+    readonly interHallDelayMs: number;
     readonly slots: number;
     readonly meanMs: number;
     readonly services: readonly ServiceSpec[];
--- a/demo/told.ts
+++ b/demo/requestresult.ts
@@ -10,16 +10,16 @@
  * `at` is the due time and `ms` the latency from the due time, both in milliseconds. `kind` is the name of the
  * `RequestSpec`, `once` means that the request may run only once, and `status` is 0 without a response.
  */
-export type Told = {
+export type RequestResult = {
     readonly id: string;
     readonly kind: string;
     readonly once: boolean;
-    readonly word: Outcome;
+    readonly outcome: Outcome;
     readonly status: number;
     /** The status is 200, but the body does not belong to the request or is damaged. */
     readonly wrong: boolean;
     /** The body is wrong and does not begin with the id of the request. */
     readonly foreign?: boolean;
-    readonly ms: number;
+    readonly latencyMs: number;
     readonly at: number;
 };
--- a/demo/load.ts
+++ b/demo/runload.ts
@@ -3,7 +3,7 @@
 import { seededRandom } from "../standin/seededrandom.js";
 import { Caller } from "./caller.js";
 import type { MeshSpec } from "./meshspec.js";
-import type { Told } from "./told.js";
+import type { RequestResult } from "./requestresult.js";
 
 /** `ratePerSecond` is an average, with exponential gaps. The list that `ingresses` returns may change during the load. */
 type LoadOptions = {
@@ -11,7 +11,7 @@
     readonly seconds: number;
     readonly ratePerSecond: number;
     readonly ingresses: () => readonly string[];
-    readonly onProgress?: (results: readonly Told[]) => void;
+    readonly onProgress?: (results: readonly RequestResult[]) => void;
 };
 
 const PROGRESS_INTERVAL_MS = 1000;
@@ -29,10 +29,10 @@
 };
 
 /** Resolves with the results of all requests once the last one has finished. */
-export async function runLoad(spec: MeshSpec, options: LoadOptions): Promise<Told[]> {
+export async function runLoad(spec: MeshSpec, options: LoadOptions): Promise<RequestResult[]> {
     const random = seededRandom(options.seed);
     const caller = new Caller(random);
-    const results: Told[] = [];
+    const results: RequestResult[] = [];
     const pending: Promise<unknown>[] = [];
     const startAt = performance.now();
     const endAt = startAt + options.seconds * 1000;
--- a/demo/runrecord.ts
+++ b/demo/runrecord.ts
@@ -57,7 +57,7 @@
      * Returns the counts of the window of `windowMs` with the most repeats at the upstreams of a service, where a repeat
      * is an arrival after the first of its request.
      */
-    worstBeyondFirst(isOfService: (upstream: string) => boolean, windowMs: number): RepeatCounts {
+    worstRepeats(isOfService: (upstream: string) => boolean, windowMs: number): RepeatCounts {
         const arrivals = this.#arrivals.filter(({ upstream }) => isOfService(upstream));
         const seenIds = new Set<string>();
         const repeats = arrivals.filter(({ id }) => seenIds.has(id) || !seenIds.add(id));
@@ -90,7 +90,7 @@
     }
 
     /** Returns how often the request ran. */
-    runs(id: string): number {
+    countRuns(id: string): number {
         return this.#runCounts.get(id) ?? 0;
     }
 
@@ -100,7 +100,7 @@
     }
 
     /** Returns the times in milliseconds at which the upstream started to run requests, in order. */
-    startsAt(upstream: string): readonly number[] {
+    startTimes(upstream: string): readonly number[] {
         return this.#startsByUpstream.get(upstream) ?? [];
     }
 }
--- a/src/peer/peerserver.test.ts
+++ b/src/peer/peerserver.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { setTimeout as wait } from "node:timers/promises";
 import { Worker } from "node:worker_threads";
-import { takeRunNumber } from "../../demo/runnumber.js";
+import { takeRunNumber } from "../../demo/takerunnumber.js";
 import { LinkEnds } from "../../test/linkends.js";
 import type { GateCall } from "../hop/gatecall.js";
 import { frameType } from "../link/frametype.js";
--- a/standin/instancemain.ts
+++ b/standin/instancemain.ts
@@ -1,5 +1,5 @@
 /** Runs the instance stand-in: `instancemain ID SERVICE IP:PORT SLOTS DAEMON [CRASH-PATH]`. */
-import { InstanceStandin } from "./instance.js";
+import { InstanceStandin } from "./instancestandin.js";
 import { listenOn } from "./listenon.js";
 
 const [id, service, address, slots, daemon, crashPath = ""] = process.argv.slice(2) as [
--- a/standin/upstreammain.ts
+++ b/standin/upstreammain.ts
@@ -1,7 +1,7 @@
 /** Runs the upstream stand-in: `upstreammain IP:PORT SLOTS SEED`. On SIGTERM it leaves, and exits when it is idle. */
 import { listenOn } from "./listenon.js";
 import { seededRandom } from "./seededrandom.js";
-import { UpstreamStandin } from "./upstream.js";
+import { UpstreamStandin } from "./upstreamstandin.js";
 
 const EXIT_CHECK_EVERY_MS = 2500;
 
--- a/test/answers.test.ts
+++ b/test/answers.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { control } from "../demo/control.js";
-import { runLoad } from "../demo/load.js";
-import { loaded } from "./loaded.js";
+import { runLoad } from "../demo/runload.js";
 import { pause } from "./pause.js";
+import { runLoadWithFault } from "./runloadwithfault.js";
 import { withMesh } from "./withmesh.js";
 
 /**
@@ -21,10 +21,10 @@
                 control(host.upstream, { answerFault: faults[index % faults.length], faultShare: 0.3 })
             ),
         );
-        const { told: results, counts } = await loaded(mesh, async () => {}, { seconds: 5 });
+        const { results, counts } = await runLoadWithFault(mesh, async () => {}, { seconds: 5 });
         assert.equal(counts.cut, 0, "a broken response leads to a retry or to a clean error");
         const pages = results.filter(result => !result.once);
-        const answered = pages.filter(result => result.word === "answered");
+        const answered = pages.filter(result => result.outcome === "answered");
         assert.ok(answered.length > pages.length * 0.9, "repeatable requests are retried");
     });
 });
@@ -35,7 +35,7 @@
         const seconds = 3;
         const ingresses = (): string[] => mesh.hosts.map(host => host.ingress);
         const results = await runLoad(mesh.spec, { seed: 5, seconds, ratePerSecond: 150, ingresses });
-        const answered = results.filter(result => result.word === "answered" && !result.wrong);
+        const answered = results.filter(result => result.outcome === "answered" && !result.wrong);
         assert.ok(answered.length > results.length / 2);
         assert.ok(results.every(result => result.foreign !== true), "no caller receives bytes of another response");
         assert.ok([...mesh.daemons.values()].every(child => child.running));
@@ -46,12 +46,12 @@
     await withMesh(async mesh => {
         await pause(FIRST_REPEATS_AFTER_MS);
         await control(mesh.host("fees-1").upstream, { shed: "said" });
-        const reported = await loaded(mesh, async () => {}, { seconds: 2 });
+        const reported = await runLoadWithFault(mesh, async () => {}, { seconds: 2 });
         assert.equal(reported.counts.answered, reported.counts.sent);
-        assert.ok(reported.told.every(result => result.status === 200));
+        assert.ok(reported.results.every(result => result.status === 200));
         await control(mesh.host("fees-1").upstream, { shed: "unsaid" });
-        const unreported = await loaded(mesh, async () => {}, { seconds: 2, seed: 12 });
-        const returned = unreported.told.filter(result => result.once && result.status === 503);
+        const unreported = await runLoadWithFault(mesh, async () => {}, { seconds: 2, seed: 12 });
+        const returned = unreported.results.filter(result => result.once && result.status === 503);
         assert.ok(returned.length > 0, "a payment that may have run is not repeated");
     });
 });
--- a/test/callers.test.ts
+++ b/test/callers.test.ts
@@ -3,7 +3,7 @@
 import { eventually } from "./eventually.js";
 import { platformConfiguration } from "./platformconfiguration.js";
 import type { PlatformMesh } from "./platformmesh.js";
-import type { PlatformTold } from "./platformtold.js";
+import type { PlatformResponse } from "./platformresponse.js";
 import { withPlatform } from "./withplatform.js";
 
 const REQUESTS = 200;
@@ -26,7 +26,7 @@
     priority: 1,
 };
 
-const serviceOf = (response: PlatformTold): string =>
+const serviceOf = (response: PlatformResponse): string =>
     /^of-i-(\w+)-/.exec(String(response.headers["server-signature"] ?? ""))?.[1] ?? "none";
 
 /** Sends requests for the split rule, one to each daemon at a time; returns the share that each service answered. */
@@ -59,7 +59,7 @@
             JSON.stringify(even),
         );
         const pages = mesh.hosts.filter(({ service }) => service === "pages");
-        await Promise.all(pages.map(({ name }) => mesh.strikeInstance(name, { workMs: 5000 })));
+        await Promise.all(pages.map(({ name }) => mesh.controlInstance(name, { workMs: 5000 })));
         const saturated = await measureShares(mesh, "short");
         assert.equal(saturated.pages, 0);
         assert.ok(
@@ -72,23 +72,27 @@
 test("callers: no request reaches an upstream later than half a second after its client has disconnected", async () => {
     await withPlatform(async mesh => {
         const pages = mesh.hosts.filter(({ service }) => service === "pages");
-        await Promise.all(pages.map(({ name }) => mesh.strikeInstance(name, { workMs: 800 })));
+        await Promise.all(pages.map(({ name }) => mesh.controlInstance(name, { workMs: 800 })));
         const disconnected = Array.from(
             { length: 24 },
-            (_, index) => mesh.leave("fees-1", "/pages/1", `gone-${index}`, 100),
+            (_, index) => mesh.sendAndAbort("fees-1", "/pages/1", `gone-${index}`, 100),
         );
         await Promise.all(disconnected);
         await new Promise(resolve => setTimeout(resolve, 500));
-        const runCount = mesh.runs.length;
+        const runCount = mesh.instanceLines.length;
         await new Promise(resolve => setTimeout(resolve, 1500));
-        assert.equal(mesh.runs.length, runCount, "no request starts half a second after the clients have disconnected");
+        assert.equal(
+            mesh.instanceLines.length,
+            runCount,
+            "no request starts half a second after the clients have disconnected",
+        );
     });
 });
 
 test("callers: a ready daemon accepts many new connections at once, also while its service is saturated", async () => {
     await withPlatform(async mesh => {
         const pages = mesh.hosts.filter(({ service }) => service === "pages");
-        await Promise.all(pages.map(({ name }) => mesh.strikeInstance(name, { workMs: 2000 })));
+        await Promise.all(pages.map(({ name }) => mesh.controlInstance(name, { workMs: 2000 })));
         for (let round = 0; round < 3; round++) {
             const sentAt = performance.now();
             const responses = await Promise.all(
--- a/test/chain.test.ts
+++ b/test/chain.test.ts
@@ -4,7 +4,7 @@
 import { Caller } from "../demo/caller.js";
 import { control } from "../demo/control.js";
 import type { Mesh } from "../demo/mesh.js";
-import type { Told } from "../demo/told.js";
+import type { RequestResult } from "../demo/requestresult.js";
 import { seededRandom } from "../standin/seededrandom.js";
 import { chainMesh } from "./chainmesh.js";
 import { withMesh } from "./withmesh.js";
@@ -50,9 +50,9 @@
  * exceed what the slots can serve on a slow machine that takes 0.9 s for a chain, and gates would rightly refuse the
  * excess.
  */
-const sendClosedLoop = async (mesh: Mesh, seed: number): Promise<Told[]> => {
+const sendClosedLoop = async (mesh: Mesh, seed: number): Promise<RequestResult[]> => {
     const caller = new Caller(seededRandom(seed));
-    const results: Told[] = [];
+    const results: RequestResult[] = [];
     const { name: kind, method, path, once } = mesh.spec.requests[0]!;
     const ingresses = mesh.hosts.map(host => host.ingress);
     const workers = Array.from({ length: CONCURRENCY }, async (_, worker) => {
--- a/test/chainmesh.ts
+++ b/test/chainmesh.ts
@@ -9,7 +9,7 @@
     name: "chain",
     region: "here",
     halls: ["a", "b"],
-    betweenMs: 0.5,
+    interHallDelayMs: 0.5,
     slots: 8,
     meanMs: 2,
     services: names.map(name => ({ name, instances: 2 })),
--- a/test/cold.test.ts
+++ b/test/cold.test.ts
@@ -49,7 +49,7 @@
 
 /** Returns when requests reached the instance while it was cold, in ms of its own clock. */
 const arrivalsWhileCold = (mesh: PlatformMesh): number[] =>
-    mesh.runs.filter(line => line.startsWith("C ")).map(line => Number(line.slice(2)));
+    mesh.instanceLines.filter(line => line.startsWith("C ")).map(line => Number(line.slice(2)));
 
 const maxArrivalsInSecond = (times: readonly number[]): number =>
     Math.max(
@@ -62,16 +62,16 @@
         await applyConfiguration(mesh, 5);
         const loadResult = runLoad(mesh, 5000);
         await pause(1000);
-        await mesh.strikeInstance("pages-1", { coldMs: 3000 });
+        await mesh.controlInstance("pages-1", { coldMs: 3000 });
         const { sent, served } = await loadResult;
         const times = arrivalsWhileCold(mesh);
         assert.ok(times.length >= COLD_PER_SECOND * 2, `${times.length} reached the cold instance`);
         assert.ok(maxArrivalsInSecond(times) <= MAX_COLD_PER_SECOND, `${maxArrivalsInSecond(times)} in a second`);
         assert.ok(served >= sent * 0.98, `${served} of ${sent}`);
-        const lineCountBefore = mesh.runs.length;
+        const lineCountBefore = mesh.instanceLines.length;
         await runLoad(mesh, 1500);
         assert.ok(
-            mesh.runs.length - lineCountBefore >= LOAD_PER_SECOND,
+            mesh.instanceLines.length - lineCountBefore >= LOAD_PER_SECOND,
             "the instance is used as before once it is warm",
         );
     });
@@ -90,10 +90,10 @@
         await mesh.daemons.get("pages-1")!.end("SIGKILL");
         await mesh.startDaemon("pages-1").ready();
         await Promise.all(
-            ["pages-1", "pages-2"].map(name => mesh.strikeInstance(name, { workMs: NEAR_CAPACITY_WORK_MS })),
+            ["pages-1", "pages-2"].map(name => mesh.controlInstance(name, { workMs: NEAR_CAPACITY_WORK_MS })),
         );
         const loadResult = runLoad(mesh, 4500);
-        await mesh.strikeInstance("pages-1", { coldMs: 4000 });
+        await mesh.controlInstance("pages-1", { coldMs: 4000 });
         await mesh.readmit("a");
         await loadResult;
         const times = arrivalsWhileCold(mesh);
--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -4,12 +4,12 @@
 import type { Mesh } from "../demo/mesh.js";
 import { eventually } from "./eventually.js";
 import { pause } from "./pause.js";
-import { revisions } from "./revisions.js";
+import { readRevisions } from "./readrevisions.js";
 import { withMesh } from "./withmesh.js";
 
 const waitForRevision = (mesh: Mesh, revision: number): Promise<void> =>
     eventually(`all daemons have revision ${revision}`, async () => {
-        const current = [...(await revisions(mesh)).values()];
+        const current = [...(await readRevisions(mesh)).values()];
         return current.length === mesh.hosts.length && current.every(other => other === revision);
     });
 
@@ -61,7 +61,7 @@
         await mesh.daemons.get(host.name)!.end("SIGKILL");
         await mesh.startDaemon(host).ready();
         assert.equal(
-            (await revisions(mesh)).get(host.name),
+            (await readRevisions(mesh)).get(host.name),
             2,
             "a restarted daemon receives the revision from its peers",
         );
--- a/test/crashing.test.ts
+++ b/test/crashing.test.ts
@@ -11,9 +11,9 @@
 import type { Mesh } from "../demo/mesh.js";
 import { CrashMesh } from "./crashmesh.js";
 import { eventually } from "./eventually.js";
-import { keepRunning } from "./keeprunning.js";
 import { pause } from "./pause.js";
-import { sendEach } from "./sendeach.js";
+import { restartOnExit } from "./restartonexit.js";
+import { sendPeriodically } from "./sendperiodically.js";
 import { withMesh } from "./withmesh.js";
 
 /**
@@ -82,7 +82,7 @@
 test("crashing: the quarantine holds while the store is down, also at daemons that have restarted or been suspended", async t => {
     await CrashMesh.with(async crashMesh => {
         const { mesh } = crashMesh;
-        await mesh.strikeStore({ down: true });
+        await mesh.controlStore({ down: true });
         mesh.daemons.get("fees-1")!.signal("SIGSTOP");
         await sendUntilQuarantined(crashMesh);
         mesh.daemons.get("fees-1")!.signal("SIGCONT");
@@ -90,7 +90,7 @@
         await mesh.startDaemon("pages-1").ready();
         await pause(QUARANTINE_BOUND_MS);
         await assertQuarantined(crashMesh, t);
-        await mesh.strikeStore({ down: false });
+        await mesh.controlStore({ down: false });
     });
 });
 
@@ -100,12 +100,12 @@
         const sendAll = (): Promise<{ readonly status: number; }[]> =>
             Promise.all(mesh.hosts.map(({ name }) => mesh.send(name, "GET", "/pages/1", "often", 2000)));
         await eventually("all daemons serve it", async () => (await sendAll()).every(({ status }) => status === 200));
-        await Promise.all(pagesHosts.map(name => mesh.strikeInstance(name, { workMs: 300 })));
+        await Promise.all(pagesHosts.map(name => mesh.controlInstance(name, { workMs: 300 })));
         const inFlight = sendAll();
         await pause(150);
         await Promise.all(pagesHosts.slice(0, 3).map(name => mesh.instances.get(name)!.end("SIGKILL")));
         await inFlight;
-        await mesh.strikeInstance(pagesHosts[3]!, { workMs: 5 });
+        await mesh.controlInstance(pagesHosts[3]!, { workMs: 5 });
         await eventually(
             "it is served again",
             async () => (await sendAll()).every(({ status }) => status === 200),
@@ -133,7 +133,7 @@
 const restartCrashedUpstreams = async (mesh: Mesh, onEnd: () => void, isOver: () => boolean): Promise<void> => {
     const hosts = mesh.hosts.filter(host => host.service === "pages");
     await Promise.all(hosts.map(host =>
-        keepRunning({
+        restartOnExit({
             isRunning: () => mesh.upstreams.get(host.name)!.running,
             restart: () => mesh.startUpstream(host).ready(),
             onEnd,
@@ -150,7 +150,7 @@
 
 /** Sends the crashing request from all hosts in turn; resolves with the statuses of the responses. */
 const sendCrashingRequests = (mesh: Mesh, durationMs: number): Promise<number[]> =>
-    sendEach(
+    sendPeriodically(
         durationMs,
         REQUEST_INTERVAL_MS,
         index => statusOf(mesh.hosts[index % mesh.hosts.length]!.ingress, "/pages/crash"),
--- a/test/crashmesh.ts
+++ b/test/crashmesh.ts
@@ -1,9 +1,9 @@
 /** Runs daemons with instances that one request crashes; each instance is restarted a while after a crash. */
-import { keepRunning } from "./keeprunning.js";
 import { pause } from "./pause.js";
 import { PlatformMesh } from "./platformmesh.js";
+import { restartOnExit } from "./restartonexit.js";
 import { runWith } from "./runwith.js";
-import { sendEach } from "./sendeach.js";
+import { sendPeriodically } from "./sendperiodically.js";
 
 type CrashingService = "pages" | "fees";
 /** The number of instances of the users' service in which the crashes occurred. */
@@ -62,13 +62,17 @@
 
     /** The number of times that instances have begun to run the request. */
     get runCount(): number {
-        return this.mesh.runs.filter(line => line.startsWith("R crash-")).length;
+        return this.mesh.instanceLines.filter(line => line.startsWith("R crash-")).length;
     }
 
     /** Sends the request from all hosts in turn for `durationMs`. */
     async sendFor(durationMs: number): Promise<void> {
         const { hosts } = this.mesh;
-        await sendEach(durationMs, REQUEST_INTERVAL_MS, () => this.send(hosts[this.#sentCount % hosts.length]!.name));
+        await sendPeriodically(
+            durationMs,
+            REQUEST_INTERVAL_MS,
+            () => this.send(hosts[this.#sentCount % hosts.length]!.name),
+        );
     }
 
     /** Sends the request once, as a caller that repeats it does: with the same path and another id. */
@@ -85,7 +89,7 @@
      */
     async countServed(durationMs: number): Promise<{ readonly sent: number; readonly served: number; }> {
         const { hosts } = this.mesh;
-        const responses = await sendEach(
+        const responses = await sendPeriodically(
             durationMs,
             REQUEST_INTERVAL_MS / 2,
             index => this.mesh.send(hosts[index % hosts.length]!.name, "GET", "/pages/1", `proper-${index}`),
@@ -94,7 +98,7 @@
     }
 
     #restartAfterCrashes(name: string): Promise<void> {
-        return keepRunning({
+        return restartOnExit({
             isRunning: () => this.mesh.instances.get(name)!.running,
             restart: () => this.#start(name),
             onEnd: () => this.#crashCount += 1,
--- a/test/evacuation.test.ts
+++ b/test/evacuation.test.ts
@@ -5,7 +5,7 @@
 import { pause } from "./pause.js";
 import { platformConfiguration } from "./platformconfiguration.js";
 import type { PlatformMesh } from "./platformmesh.js";
-import type { PlatformTold } from "./platformtold.js";
+import type { PlatformResponse } from "./platformresponse.js";
 import { withMesh } from "./withmesh.js";
 import { withPlatform } from "./withplatform.js";
 
@@ -28,7 +28,7 @@
     daemons = hostNames(mesh),
     concurrency = 1,
 ): Promise<Set<string>> => {
-    const responses: PlatformTold[] = [];
+    const responses: PlatformResponse[] = [];
     const senders = Array.from({ length: concurrency }, () => daemons).flat();
     for (let round = 0; round < 3; round++) {
         responses.push(
@@ -57,7 +57,7 @@
 
 test("evacuation: no daemon, not even one that the store refuses, sends new requests to the hall's instances until the hall is readmitted", async () => {
     await withPlatform(async mesh => {
-        await mesh.strikeStore({ refuse: 503, from: [mesh.host("pages-1").ip] });
+        await mesh.controlStore({ refuse: 503, from: [mesh.host("pages-1").ip] });
         await mesh.evacuate("a");
         await eventually("no daemon sends requests to the hall", () => isHallAUnused(mesh), IN_FORCE_BOUND_MS);
         for (let round = 0; round < 5; round++) {
@@ -82,17 +82,17 @@
     await withPlatform(async mesh => {
         await mesh.evacuate("a");
         await eventually("no daemon sends requests to the hall", () => isHallAUnused(mesh), IN_FORCE_BOUND_MS);
-        await mesh.strikeStore({ refuse: 503 });
+        await mesh.controlStore({ refuse: 503 });
         await mesh.daemons.get("pages-2")!.end("SIGKILL");
         await mesh.startDaemon("pages-2").ready();
         await eventually("the restarted daemon is ready", () => mesh.isReady("pages-2"), 6000);
         await eventually("the restarted daemon serves", () => isHallAUnused(mesh, ["pages-2"]), 3000);
-        await mesh.strikeStore({ refuse: 0 });
+        await mesh.controlStore({ refuse: 0 });
         await pause(2000);
-        await mesh.strikeStore({ forget: true });
+        await mesh.controlStore({ forget: true });
         await mesh.readmit("a");
         await mesh.evacuate("b");
-        await mesh.strikeStore({ forget: true });
+        await mesh.controlStore({ forget: true });
         const isOnlyHallAUsed = async (): Promise<boolean> =>
             [...await collectOutcomes(mesh)].sort().join() === IN_HALL_A.sort().join();
         await eventually("only hall a is used", isOnlyHallAUsed, IN_FORCE_BOUND_MS);
@@ -129,7 +129,7 @@
 
 test("evacuation: queued requests are handed back and served elsewhere, and running requests complete", async () => {
     await withPlatform(async mesh => {
-        await Promise.all(mesh.hosts.map(({ name }) => mesh.strikeInstance(name, { workMs: 300 })));
+        await Promise.all(mesh.hosts.map(({ name }) => mesh.controlInstance(name, { workMs: 300 })));
         const responses = Promise.all(
             Array.from({ length: 12 }, (_, index) => mesh.send("fees-1", "POST", "/fees/1", `waits-${index}`)),
         );
--- a/test/followers.test.ts
+++ b/test/followers.test.ts
@@ -66,9 +66,9 @@
     await withHall(async mesh => {
         const names = mesh.hosts.map(host => host.name);
         const callsBefore = await Promise.all(names.map(name => countWatchCalls(mesh, name)));
-        await mesh.strikeInstance("pages-1", { state: "draining" });
+        await mesh.controlInstance("pages-1", { state: "draining" });
         await eventually("all daemons know that the instance drains", () => isUnused(mesh, "i-pages-1", names), 3000);
-        await mesh.strikeInstance("pages-1", { state: "ready" });
+        await mesh.controlInstance("pages-1", { state: "ready" });
         await pause(2000);
         const callsAfter = await Promise.all(names.map(name => countWatchCalls(mesh, name)));
         const activeWatchers = names.filter((_, index) => callsAfter[index]! > callsBefore[index]!);
@@ -102,10 +102,10 @@
 test("followers: when both watchers are cut off from the store, others take over, and the former watchers still learn of changes", async () => {
     await withHall(async mesh => {
         const refusedIps = rankedHostNames(mesh).slice(0, 2).map(name => mesh.host(name).ip);
-        await mesh.strikeStore({ refuse: 503, from: refusedIps });
+        await mesh.controlStore({ refuse: 503, from: refusedIps });
         await mesh.configure(platformConfiguration(5, [addedRule]));
         await eventually("the rule is in force at all daemons", () => allServe(mesh, "/added/1"), 8000);
-        await mesh.strikeInstance("pages-1", { state: "draining" });
+        await mesh.controlInstance("pages-1", { state: "draining" });
         const names = mesh.hosts.map(host => host.name);
         await eventually("all daemons know that the instance drains", () => isUnused(mesh, "i-pages-1", names), 4000);
     });
@@ -113,13 +113,13 @@
 
 test("followers: while the store is down, a change of an instance reaches all daemons", async () => {
     await withHall(async mesh => {
-        await mesh.strikeStore({ refuse: 503 });
+        await mesh.controlStore({ refuse: 503 });
         await pause(1000);
-        await mesh.strikeInstance("pages-1", { state: "draining" });
+        await mesh.controlInstance("pages-1", { state: "draining" });
         const names = mesh.hosts.map(host => host.name);
         await eventually("all daemons know that the instance drains", () => isUnused(mesh, "i-pages-1", names), 4000);
-        await mesh.strikeStore({ refuse: 0 });
-        await mesh.strikeStore({ forget: true });
+        await mesh.controlStore({ refuse: 0 });
+        await mesh.controlStore({ forget: true });
         await mesh.configure(platformConfiguration(5, [addedRule]));
         await eventually("a rule is in force after the store is back", () => allServe(mesh, "/added/1"), 5000);
     });
--- a/test/freeze.test.ts
+++ b/test/freeze.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { control } from "../demo/control.js";
-import { loaded } from "./loaded.js";
 import { pause } from "./pause.js";
+import { runLoadWithFault } from "./runloadwithfault.js";
 import { withMesh } from "./withmesh.js";
 
 /** Longer than the time limit of each request in the load. */
@@ -14,7 +14,7 @@
         const others = (): string[] => mesh.hosts.filter(host => host !== gate).map(host => host.ingress);
         await control(gate.upstream, { meanMs: 60 });
         let resumedAt = 0;
-        const { told: results } = await loaded(mesh, async () => {
+        const { results } = await runLoadWithFault(mesh, async () => {
             await pause(1000);
             mesh.daemons.get(gate.name)!.signal("SIGSTOP");
             await pause(FREEZE_MS);
@@ -23,7 +23,7 @@
             await pause(500);
         }, { seconds: 6, rate: 200, ingresses: others });
         const endedBefore = results.filter(result =>
-            result.once && result.word !== "answered" && result.at + result.ms < resumedAt
+            result.once && result.outcome !== "answered" && result.at + result.latencyMs < resumedAt
         );
         const startedAfter = endedBefore.filter(result => mesh.record.startedAfter(result.id, resumedAt));
         assert.deepEqual(startedAfter, [], "no request starts after the resume whose caller had a response before it");
@@ -34,7 +34,7 @@
     await withMesh(async mesh => {
         const ingress = mesh.host("pages-2");
         await control(mesh.host("fees-1").upstream, { meanMs: 40 });
-        await loaded(mesh, async () => {
+        await runLoadWithFault(mesh, async () => {
             for (let round = 0; round < 2; round++) {
                 await pause(700);
                 mesh.daemons.get(ingress.name)!.signal("SIGSTOP");
--- a/test/leaving.test.ts
+++ b/test/leaving.test.ts
@@ -3,9 +3,9 @@
 import { control } from "../demo/control.js";
 import type { Mesh } from "../demo/mesh.js";
 import { OperatorClient } from "../src/cli/operatorclient.js";
-import { loaded } from "./loaded.js";
 import { pause } from "./pause.js";
 import type { PlatformMesh } from "./platformmesh.js";
+import { runLoadWithFault } from "./runloadwithfault.js";
 import { runPlatformLoad } from "./runplatformload.js";
 import { withMesh } from "./withmesh.js";
 import { withPlatform } from "./withplatform.js";
@@ -21,12 +21,12 @@
 
 const assertLeaves = async (mesh: Mesh, upstream: string, leave: () => Promise<unknown>, lagMs = 0): Promise<void> => {
     let announcedAt = 0;
-    await loaded(mesh, async () => {
+    await runLoadWithFault(mesh, async () => {
         await pause(1000);
         await leave();
         announcedAt = performance.now() + lagMs;
     }, { seconds: 7 });
-    const startTimes = mesh.record.startsAt(upstream);
+    const startTimes = mesh.record.startTimes(upstream);
     assert.ok(startTimes.some(startedAt => startedAt < announcedAt), "the upstream received requests before");
     const lateRequests = startTimes.filter(startedAt => startedAt > announcedAt + NO_NEW_REQUESTS_AFTER_MS);
     assert.deepEqual(lateRequests, [], "no new requests after the bound");
@@ -53,14 +53,14 @@
     await withMesh(async mesh => {
         const frozen = mesh.host("pages-1");
         let frozenAt = 0;
-        const { told } = await loaded(mesh, async () => {
+        const { results: told } = await runLoadWithFault(mesh, async () => {
             await pause(1500);
             mesh.daemons.get(frozen.name)!.signal("SIGSTOP");
             frozenAt = performance.now();
         }, { seconds: 6, ingresses: () => mesh.hosts.filter(host => host !== frozen).map(host => host.ingress) });
         const lateResponses = told.filter(outcome => !outcome.once && outcome.at > frozenAt + NO_NEW_REQUESTS_AFTER_MS);
         assert.ok(lateResponses.length > 0);
-        assert.ok(lateResponses.every(outcome => outcome.word === "answered"));
+        assert.ok(lateResponses.every(outcome => outcome.outcome === "answered"));
     });
 });
 
@@ -76,7 +76,7 @@
         })
     );
     await pause(SATURATING_WORK_MS / 2);
-    await mesh.strikeInstance("pages-1", { leaving: true });
+    await mesh.controlInstance("pages-1", { leaving: true });
     return [...new Set((await Promise.all(forwarding)).flat())];
 };
 
@@ -84,21 +84,21 @@
 // daemon has restarted.
 test("leaving: hosts that forwarded a response in which an upstream says that it leaves send nothing more there", async () => {
     await withPlatform(async mesh => {
-        const slowed = ["pages-1", "pages-2"].map(name => mesh.strikeInstance(name, { workMs: SATURATING_WORK_MS }));
+        const slowed = ["pages-1", "pages-2"].map(name => mesh.controlInstance(name, { workMs: SATURATING_WORK_MS }));
         await Promise.all(slowed);
         const informedHosts = (await startLeavingUnderLoad(mesh)).filter(name => name !== "pages-1");
         assert.ok(informedHosts.length > 0, "a host other than pages-1 has forwarded the state");
         await runPlatformLoad(mesh, { requestsPerSecond: 150, durationMs: 2000 });
-        const arrivals = mesh.runs.filter(line => line.startsWith("V ") && !line.endsWith("health"));
+        const arrivals = mesh.instanceLines.filter(line => line.startsWith("V ") && !line.endsWith("health"));
         assert.ok(
             arrivals.length <= mesh.hosts.length,
             `${arrivals.length} requests reached it after it said that it leaves`,
         );
         await mesh.daemons.get("pages-1")!.end("SIGKILL");
         await mesh.startDaemon("pages-1").ready();
-        const lineCountAtRestart = mesh.runs.length;
+        const lineCountAtRestart = mesh.instanceLines.length;
         await runPlatformLoad(mesh, { hostNames: informedHosts, requestsPerSecond: 150, durationMs: 4000 });
-        const lateRequests = mesh.runs.slice(lineCountAtRestart).filter(line =>
+        const lateRequests = mesh.instanceLines.slice(lineCountAtRestart).filter(line =>
             line.startsWith("V ") && !line.endsWith("health")
         );
         assert.deepEqual(lateRequests, [], "no requests after the restart of its daemon");
@@ -107,10 +107,10 @@
 
 test("leaving: where an upstream says in its responses that it leaves, the other instances serve what it does not take", async () => {
     await withPlatform(async mesh => {
-        await Promise.all(["pages-1", "pages-2"].map(name => mesh.strikeInstance(name, { workMs: MODERATE_WORK_MS })));
+        await Promise.all(["pages-1", "pages-2"].map(name => mesh.controlInstance(name, { workMs: MODERATE_WORK_MS })));
         const loadResult = runPlatformLoad(mesh, { requestsPerSecond: 80, durationMs: 4000 });
         await pause(1000);
-        await mesh.strikeInstance("pages-1", { leaving: true });
+        await mesh.controlInstance("pages-1", { leaving: true });
         const { sent, served } = await loadResult;
         assert.ok(served >= sent * 0.98, `${served} of ${sent}`);
         const client = new OperatorClient([`${mesh.host("fees-2").ip}:7105`]);
--- a/test/limit.test.ts
+++ b/test/limit.test.ts
@@ -28,7 +28,7 @@
 
 /** Returns when requests and health checks reached the instance while it stated a limit, in ms of its own clock. */
 const arrivalsWhileLimited = (mesh: PlatformMesh): number[] =>
-    mesh.runs.filter(line => line.startsWith("L ")).map(line => Number(line.split(" ")[1]));
+    mesh.instanceLines.filter(line => line.startsWith("L ")).map(line => Number(line.split(" ")[1]));
 
 /** Returns true if no gap is longer than the window, so that the daemons would learn that the limit has ended. */
 const arriveInEachWindow = (times: readonly number[]): boolean =>
@@ -60,7 +60,8 @@
     );
 
 const assertWithinBound = (mesh: PlatformMesh, limit = LIMIT_PER_SECOND): number[] => {
-    const statedAtMs = mesh.runs.filter(line => line.startsWith("S ")).map(line => Number(line.split(" ")[1]))[0];
+    const statedAtMs =
+        mesh.instanceLines.filter(line => line.startsWith("S ")).map(line => Number(line.split(" ")[1]))[0];
     assert.ok(statedAtMs !== undefined, "the instance has stated its limit in a response");
     const arrivals = arrivalsWhileLimited(mesh).filter(timeMs => timeMs > statedAtMs + GRACE_MS);
     const allowed = limit * BOUND_WINDOW_MS / 1000 * OVERAGE_FACTOR + SLACK_REQUESTS;
@@ -71,10 +72,10 @@
 // Guards against exceeding the rate limit that an upstream states in its responses: no daemon read the header.
 test("limit: an upstream that states one under load gets no more from all hosts together, and the others serve the rest", async () => {
     await withPlatform(async mesh => {
-        await Promise.all(["pages-1", "pages-2"].map(name => mesh.strikeInstance(name, { workMs: MODERATE_WORK_MS })));
+        await Promise.all(["pages-1", "pages-2"].map(name => mesh.controlInstance(name, { workMs: MODERATE_WORK_MS })));
         const loadResult = runPlatformLoad(mesh, { requestsPerSecond: LOAD_PER_SECOND, durationMs: 8000 });
         await pause(1000);
-        await mesh.strikeInstance("pages-1", { limit: String(LIMIT_PER_SECOND) });
+        await mesh.controlInstance("pages-1", { limit: String(LIMIT_PER_SECOND) });
         const { sent, served } = await loadResult;
         const times = assertWithinBound(mesh);
         assert.ok(arriveInEachWindow(times), `requests arrive in each window: ${times.join()}`);
@@ -85,11 +86,11 @@
 test("limit: where the others have no room for the rest, it gets nearly all that it takes, and what is refused is told when to come back", async () => {
     await withPlatform(async mesh => {
         await Promise.all(
-            ["pages-1", "pages-2"].map(name => mesh.strikeInstance(name, { workMs: SATURATING_WORK_MS })),
+            ["pages-1", "pages-2"].map(name => mesh.controlInstance(name, { workMs: SATURATING_WORK_MS })),
         );
         const loadResult = runPlatformLoad(mesh, { requestsPerSecond: LOAD_PER_SECOND, durationMs: 8000 });
         await pause(1000);
-        await mesh.strikeInstance("pages-1", { limit: String(LIMIT_PER_SECOND) });
+        await mesh.controlInstance("pages-1", { limit: String(LIMIT_PER_SECOND) });
         await pause(3000);
         const responses = await Promise.all(
             Array.from({ length: 40 }, (_, index) => mesh.send("pages-2", "GET", "/pages/1", `more-${index}`)),
@@ -110,10 +111,10 @@
 test("limit: it holds beside a daemon that was killed and has started again, as often as that happens", async () => {
     await withPlatform(async mesh => {
         const hostNames = mesh.hosts.map(({ name }) => name).filter(name => name !== "pages-1");
-        await mesh.strikeInstance("pages-2", { workMs: LONG_WORK_MS });
+        await mesh.controlInstance("pages-2", { workMs: LONG_WORK_MS });
         const loadResult = runPlatformLoad(mesh, { hostNames, requestsPerSecond: LOAD_PER_SECOND, durationMs: 9000 });
         await pause(1000);
-        await mesh.strikeInstance("pages-1", { limit: String(LOW_LIMIT_PER_SECOND), workMs: LONG_WORK_MS });
+        await mesh.controlInstance("pages-1", { limit: String(LOW_LIMIT_PER_SECOND), workMs: LONG_WORK_MS });
         await pause(1500);
         for (let restart = 0; restart < 3; restart++) {
             await pause(500);
@@ -134,7 +135,7 @@
             async () => (await mesh.send("pages-1", "GET", "/first/1", "first")).status === 200,
         );
         await Promise.all(
-            ["pages-1", "pages-2"].map(name => mesh.strikeInstance(name, { limit: String(LIMIT_PER_SECOND) })),
+            ["pages-1", "pages-2"].map(name => mesh.controlInstance(name, { limit: String(LIMIT_PER_SECOND) })),
         );
         await runPlatformLoad(mesh, { requestsPerSecond: 20, durationMs: 1500 });
         const [urgent, other] = await Promise.all(
@@ -159,12 +160,12 @@
 
 test("limit: values that can't be read are named in the log, and what was stated before holds until an answer without one", async () => {
     await withPlatform(async mesh => {
-        await Promise.all(["pages-1", "pages-2"].map(name => mesh.strikeInstance(name, { workMs: MODERATE_WORK_MS })));
-        await mesh.strikeInstance("pages-1", { limit: String(LIMIT_PER_SECOND) });
+        await Promise.all(["pages-1", "pages-2"].map(name => mesh.controlInstance(name, { workMs: MODERATE_WORK_MS })));
+        await mesh.controlInstance("pages-1", { limit: String(LIMIT_PER_SECOND) });
         await runPlatformLoad(mesh, { requestsPerSecond: LOAD_PER_SECOND, durationMs: 1000 });
         const loadResult = runPlatformLoad(mesh, { requestsPerSecond: LOAD_PER_SECOND, durationMs: 8000 });
         for (const limit of ["abc", "-1", "1e999", "7.8;9"]) {
-            await mesh.strikeInstance("pages-1", { limit });
+            await mesh.controlInstance("pages-1", { limit });
             await pause(2000);
         }
         await loadResult;
@@ -175,7 +176,7 @@
                 && unreadableLimitLines.every(line => line.includes("\"field\":\"server-limit\"")),
             `${unreadableLimitLines.length} lines; each must name the field server-limit`,
         );
-        await mesh.strikeInstance("pages-1", { limit: "" });
+        await mesh.controlInstance("pages-1", { limit: "" });
         await runPlatformLoad(mesh, { requestsPerSecond: LOAD_PER_SECOND, durationMs: 4000 });
         assert.ok(mesh.log.some(line => line.includes("The upstream no longer states a rate limit")));
     });
@@ -183,20 +184,20 @@
 
 test("limit: one that states 0 gets no more than what finds out that it takes requests again", async () => {
     await withPlatform(async mesh => {
-        await Promise.all(["pages-1", "pages-2"].map(name => mesh.strikeInstance(name, { workMs: MODERATE_WORK_MS })));
+        await Promise.all(["pages-1", "pages-2"].map(name => mesh.controlInstance(name, { workMs: MODERATE_WORK_MS })));
         const loadResult = runPlatformLoad(mesh, { requestsPerSecond: LOAD_PER_SECOND, durationMs: 9000 });
         await pause(500);
-        await mesh.strikeInstance("pages-1", { limit: "0" });
+        await mesh.controlInstance("pages-1", { limit: "0" });
         await pause(6000);
         assert.ok(arrivalsWhileLimited(mesh).length > 0, "the instance has stated the limit 0");
         assertWithinBound(mesh, 0);
-        await mesh.strikeInstance("pages-1", { limit: "", saysOnHealth: true });
+        await mesh.controlInstance("pages-1", { limit: "", saysOnHealth: true });
         const { sent, served } = await loadResult;
         assert.ok(served >= sent * 0.98, `${served} of ${sent}`);
         await eventually("the instance is used again", async () => {
-            const lineCountBefore = mesh.runs.length;
+            const lineCountBefore = mesh.instanceLines.length;
             await runPlatformLoad(mesh, { requestsPerSecond: LOAD_PER_SECOND, durationMs: 1000 });
-            return mesh.runs.length - lineCountBefore >= LOAD_PER_SECOND * 0.95 && isLimitEnded(mesh);
+            return mesh.instanceLines.length - lineCountBefore >= LOAD_PER_SECOND * 0.95 && isLimitEnded(mesh);
         }, 2000);
     });
 });
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -5,12 +5,12 @@
 import { eventually } from "./eventually.js";
 import { pause } from "./pause.js";
 import { platformConfiguration } from "./platformconfiguration.js";
-import type { PlatformTold } from "./platformtold.js";
+import type { PlatformResponse } from "./platformresponse.js";
 import { withPlatform } from "./withplatform.js";
 
 const addedRule = { name: "added", host: "site.example", pathPrefix: "/added/", kind: "repeatable", service: "pages" };
 
-const isFromFirstInstance = (response: PlatformTold): boolean =>
+const isFromFirstInstance = (response: PlatformResponse): boolean =>
     response.headers["server-signature"] === "of-i-pages-1";
 
 test("platform: a request keeps its id and path, and carries the service of its host", async () => {
@@ -31,7 +31,7 @@
 
 test("platform: a configuration comes into force at every daemon, also at one that the store refuses", async () => {
     await withPlatform(async mesh => {
-        await mesh.strikeStore({ refuse: 503, from: [mesh.host("pages-1").ip] });
+        await mesh.controlStore({ refuse: 503, from: [mesh.host("pages-1").ip] });
         await mesh.configure(platformConfiguration(5, [addedRule]));
         await eventually(
             "the rule is in force at the other daemons",
@@ -50,19 +50,19 @@
 
 test("platform: a change comes into force also after the store has discarded its history", async () => {
     await withPlatform(async mesh => {
-        await mesh.strikeStore({ forget: true });
+        await mesh.controlStore({ forget: true });
         await mesh.configure(platformConfiguration(5, [addedRule]));
-        await mesh.strikeStore({ forget: true });
+        await mesh.controlStore({ forget: true });
         await eventually("the rule is in force", () => allServe(mesh, "/added/1"), 2000);
     });
 });
 
 test("platform: an unresponsive store interrupts no requests, and is watched again once it responds", async () => {
     await withPlatform(async mesh => {
-        await mesh.strikeStore({ silent: true });
+        await mesh.controlStore({ silent: true });
         await pause(4000);
         assert.equal(await allServe(mesh, "/pages/1"), true);
-        await mesh.strikeStore({ silent: false });
+        await mesh.controlStore({ silent: false });
         await pause(3000);
         await mesh.configure(platformConfiguration(5, [addedRule]));
         await eventually("the rule is in force", () => allServe(mesh, "/added/1"), 2000);
@@ -71,7 +71,7 @@
 
 test("platform: revoked leases interrupt no requests, and the records are registered again", async () => {
     await withPlatform(async mesh => {
-        await mesh.strikeStore({ revoke: true });
+        await mesh.controlStore({ revoke: true });
         await pause(200);
         assert.equal(await allServe(mesh, "/pages/1"), true);
         await pause(3500);
@@ -81,7 +81,7 @@
 
 test("platform: a daemon that starts while the store is down learns the configuration and the members from its peers", async () => {
     await withPlatform(async mesh => {
-        await mesh.strikeStore({ refuse: 503 });
+        await mesh.controlStore({ refuse: 503 });
         await mesh.daemons.get("fees-1")!.end("SIGKILL");
         await mesh.startDaemon("fees-1").ready();
         await eventually("the restarted daemon is ready", () => mesh.isReady("fees-1"), 6000);
@@ -104,20 +104,20 @@
 
 test("platform: a draining instance receives no new requests once its daemon has acknowledged the state", async () => {
     await withPlatform(async mesh => {
-        await mesh.strikeInstance("pages-1", { state: "draining" });
-        const lineCountBefore = mesh.runs.length;
+        await mesh.controlInstance("pages-1", { state: "draining" });
+        const lineCountBefore = mesh.instanceLines.length;
         for (let index = 0; index < 20; index++) {
             const response = await mesh.send("pages-1", "GET", "/pages/1", `drain-${index}`);
             assert.equal(response.headers["server-signature"], "of-i-pages-2");
         }
-        assert.equal(mesh.runs.length - lineCountBefore, 20);
+        assert.equal(mesh.instanceLines.length - lineCountBefore, 20);
     });
 });
 
 test("platform: a request that may run only once runs once, whatever fault its response has", async () => {
     await withPlatform(async mesh => {
         for (const fault of ["lost", "foreign", "short", "unframed-reset"] as const) {
-            await Promise.all(["fees-1", "fees-2"].map(name => mesh.strikeInstance(name, { fault })));
+            await Promise.all(["fees-1", "fees-2"].map(name => mesh.controlInstance(name, { fault })));
             const response = await mesh.send("pages-1", "POST", "/fees/1", `once-${fault}`);
             assert.equal(response.status, 502, fault);
             assert.equal(mesh.runsOf(`once-${fault}`), 1, fault);
@@ -127,7 +127,7 @@
 
 test("platform: a response that ends with its connection is forwarded that way, and looks no more complete than it was", async () => {
     await withPlatform(async mesh => {
-        await Promise.all(["pages-1", "pages-2"].map(name => mesh.strikeInstance(name, { fault: "unframed-end" })));
+        await Promise.all(["pages-1", "pages-2"].map(name => mesh.controlInstance(name, { fault: "unframed-end" })));
         for (const name of ["pages-1", "fees-1"]) {
             const { status, headers } = await mesh.send(name, "GET", "/pages/1", `unframed-${name}`);
             assert.equal(status, 200);
@@ -162,11 +162,11 @@
 
 test("platform: a restarted daemon finds its instance before the instance announces itself", async () => {
     await withPlatform(async mesh => {
-        await Promise.all(["pages-1", "pages-2"].map(name => mesh.strikeInstance(name, { silent: true })));
+        await Promise.all(["pages-1", "pages-2"].map(name => mesh.controlInstance(name, { silent: true })));
         await Promise.all(["pages-1", "pages-2"].map(name => mesh.daemons.get(name)!.end("SIGKILL")));
         await Promise.all(["pages-1", "pages-2"].map(name => mesh.startDaemon(name).ready()));
         await eventually("the restarted daemons serve", () => allServe(mesh, "/pages/1"), 1500);
-        await mesh.strikeInstance("pages-1", { silent: false, state: "left" });
+        await mesh.controlInstance("pages-1", { silent: false, state: "left" });
         await pause(100);
         const response = await mesh.send("pages-1", "GET", "/pages/1", "after-leave");
         assert.equal(response.headers["server-signature"], "of-i-pages-2");
@@ -175,7 +175,7 @@
 
 test("platform: a slow instance receives no requests while a fast one has free slots", async () => {
     await withPlatform(async mesh => {
-        await mesh.strikeInstance("pages-1", { pace: 400 });
+        await mesh.controlInstance("pages-1", { pace: 400 });
         await mesh.send("pages-1", "GET", "/pages/1", "learn");
         await pause(50);
         const responses = await Promise.all(
@@ -190,8 +190,8 @@
 
 test("platform: the instance of a stopping daemon serves requests until callers use another instance", async () => {
     await withPlatform(async mesh => {
-        await mesh.strikeInstance("pages-2", { state: "left" });
-        const sendAll = (prefix: string): Promise<PlatformTold[]> =>
+        await mesh.controlInstance("pages-2", { state: "left" });
+        const sendAll = (prefix: string): Promise<PlatformResponse[]> =>
             Promise.all(
                 Array.from({ length: 5 }, (_, index) => mesh.send("fees-1", "GET", "/pages/1", `${prefix}-${index}`)),
             );
--- a/test/platformmesh.ts
+++ b/test/platformmesh.ts
@@ -8,11 +8,11 @@
 import { join } from "node:path";
 import { Child } from "../demo/child.js";
 import { control } from "../demo/control.js";
-import { takeRunNumber } from "../demo/runnumber.js";
+import { takeRunNumber } from "../demo/takerunnumber.js";
 import type { InstanceControl } from "../standin/instancecontrol.js";
 import type { StoreControl } from "../standin/storecontrol.js";
 import { platformConfiguration } from "./platformconfiguration.js";
-import type { PlatformTold } from "./platformtold.js";
+import type { PlatformResponse } from "./platformresponse.js";
 
 const scriptPath = (path: string): string => new URL(`../${path}`, import.meta.url).pathname;
 const HALLS = ["a", "b", "c"];
@@ -24,7 +24,7 @@
     readonly daemons = new Map<string, Child>();
     readonly instances = new Map<string, Child>();
     /** Lines that the instances have printed, such as `R ID` for each request that they began to run. */
-    readonly runs: string[] = [];
+    readonly instanceLines: string[] = [];
     /** Lines that the daemons have logged. */
     readonly log: string[] = [];
     readonly #folder = mkdtempSync(join(tmpdir(), "winglock-"));
@@ -94,7 +94,7 @@
     startInstance(name: string, id: string, crashPath = ""): Child {
         const { ip, service } = this.host(name);
         const args = [id, service, `${ip}:7200`, "4", `${ip}:7106`, crashPath];
-        const child = new Child(scriptPath("standin/instancemain.js"), args, line => this.runs.push(line));
+        const child = new Child(scriptPath("standin/instancemain.js"), args, line => this.instanceLines.push(line));
         this.instances.set(name, child);
         return child;
     }
@@ -129,11 +129,11 @@
         });
     }
 
-    strikeStore(value: Partial<StoreControl>): Promise<void> {
+    controlStore(value: Partial<StoreControl>): Promise<void> {
         return control(this.storeAddress, value);
     }
 
-    strikeInstance(name: string, value: Partial<InstanceControl>): Promise<void> {
+    controlInstance(name: string, value: Partial<InstanceControl>): Promise<void> {
         return control(`${this.host(name).ip}:7200`, value);
     }
 
@@ -149,7 +149,7 @@
         id: string,
         timeLimitMs = 1000,
         extraHeaders: Readonly<Record<string, string>> = {},
-    ): Promise<PlatformTold> {
+    ): Promise<PlatformResponse> {
         const headers = {
             "host": "site.example",
             "attempt-id": id,
@@ -158,7 +158,7 @@
         };
         return new Promise(resolve => {
             const finish = (status: number, text: string, responseHeaders: Record<string, unknown> = {}): void =>
-                resolve({ status, text, headers: responseHeaders as PlatformTold["headers"] });
+                resolve({ status, text, headers: responseHeaders as PlatformResponse["headers"] });
             const req = httpRequest(`http://${this.host(name).ip}:7104${path}`, { method, headers }, res => {
                 let text = "";
                 res.setEncoding("utf8").on("data", chunk => text += chunk);
@@ -172,7 +172,7 @@
     }
 
     /** Sends a request and closes its connection after `afterMs`, as a client that gives up does. */
-    leave(name: string, path: string, id: string, afterMs: number): Promise<void> {
+    sendAndAbort(name: string, path: string, id: string, afterMs: number): Promise<void> {
         const headers = { "host": "site.example", "attempt-id": id, "deadline-ms": "1000" };
         return new Promise(resolve => {
             const req = httpRequest(`http://${this.host(name).ip}:7104${path}`, { headers, agent: false });
@@ -186,7 +186,7 @@
 
     /** Returns how often the instances ran the request with this id. */
     runsOf(id: string): number {
-        return this.runs.filter(line => line === `R ${id}`).length;
+        return this.instanceLines.filter(line => line === `R ${id}`).length;
     }
 
     async stop(): Promise<void> {
--- a/test/revisions.ts
+++ b/test/readrevisions.ts
@@ -5,7 +5,7 @@
 const REVISION_LINE = /^winglock_revision (\d+)$/m;
 
 /** Returns the revision of each daemon by the name of its host. A daemon that does not respond is left out. */
-export async function revisions(mesh: Mesh): Promise<Map<string, number>> {
+export async function readRevisions(mesh: Mesh): Promise<Map<string, number>> {
     const revisionByHost = new Map<string, number>();
     for (const host of mesh.hosts) {
         try {
--- a/test/repeats.test.ts
+++ b/test/repeats.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { control } from "../demo/control.js";
-import { runLoad } from "../demo/load.js";
 import type { Mesh } from "../demo/mesh.js";
 import { readMetric } from "../demo/readmetric.js";
+import { runLoad } from "../demo/runload.js";
 import { chainMesh } from "./chainmesh.js";
 import { withMesh } from "./withmesh.js";
 
@@ -26,7 +26,7 @@
 };
 
 const assertRepeatsWithinBound = (mesh: Mesh, service: string): void => {
-    const { beyond, requests } = mesh.record.worstBeyondFirst(name => name.startsWith(service), WINDOW_MS);
+    const { beyond, requests } = mesh.record.worstRepeats(name => name.startsWith(service), WINDOW_MS);
     const allowed = REPEAT_RATIO * requests + REPEAT_SLACK;
     assert.ok(beyond <= allowed, `${beyond} repeats of ${requests} requests, allowed ${allowed}`);
 };
@@ -45,7 +45,7 @@
             const results = await sendLoad(mesh, 4, 50);
             const serviceLabel = (name: string): string => `service="${name}"`;
             for (const name of ["level1", "level2"]) {
-                const { beyond } = mesh.record.worstBeyondFirst(upstream => upstream.startsWith(name), WINDOW_MS);
+                const { beyond } = mesh.record.worstRepeats(upstream => upstream.startsWith(name), WINDOW_MS);
                 assert.equal(await countArrivals(mesh, `${serviceLabel(name)},arrival="first"`), results.length);
                 assert.equal(await countArrivals(mesh, serviceLabel(name)), results.length + beyond);
                 assert.ok(beyond > 10, `${name}: ${beyond}`);
--- a/test/keeprunning.ts
+++ b/test/restartonexit.ts
@@ -14,7 +14,7 @@
 };
 
 /** Polls the process and restarts it until `isOver` returns true, then resolves. */
-export async function keepRunning({ isRunning, restart, onEnd, isOver }: RestartOptions): Promise<void> {
+export async function restartOnExit({ isRunning, restart, onEnd, isOver }: RestartOptions): Promise<void> {
     while (!isOver()) {
         await pause(POLL_INTERVAL_MS);
         if (!isRunning()) {
--- a/test/loaded.ts
+++ b/test/runloadwithfault.ts
@@ -1,9 +1,9 @@
 /** Runs load while a test injects a fault, and asserts what must hold whatever the fault is. */
 import assert from "node:assert/strict";
 import { audit } from "../demo/audit.js";
-import { runLoad } from "../demo/load.js";
 import type { Mesh } from "../demo/mesh.js";
-import type { Told } from "../demo/told.js";
+import type { RequestResult } from "../demo/requestresult.js";
+import { runLoad } from "../demo/runload.js";
 
 type LoadedOptions = {
     /** Hosts whose daemons the fault ends and does not start again. */
@@ -16,14 +16,18 @@
     readonly ingresses?: () => readonly string[];
 };
 
-type Loaded = { readonly told: Told[]; readonly counts: ReturnType<typeof audit>; };
+type Loaded = { readonly results: RequestResult[]; readonly counts: ReturnType<typeof audit>; };
 
 /**
  * Injects the fault while the load runs. Asserts that no daemon has ended other than those in `killed`, no once-only
  * request ran twice, no request that was reported as not run did run, no response was wrong, and most requests were
  * answered.
  */
-export async function loaded(mesh: Mesh, fault: () => Promise<void>, options: LoadedOptions = {}): Promise<Loaded> {
+export async function runLoadWithFault(
+    mesh: Mesh,
+    fault: () => Promise<void>,
+    options: LoadedOptions = {},
+): Promise<Loaded> {
     const { killed = [], seconds = 5, rate = 150, seed = 11, ingresses = () => mesh.hosts.map(host => host.ingress) } =
         options;
     const [results] = await Promise.all([
@@ -38,5 +42,5 @@
     const { onceRunTwice, falseNotRun, wrongAnswer } = counts;
     assert.deepEqual({ onceRunTwice, falseNotRun, wrongAnswer }, { onceRunTwice: 0, falseNotRun: 0, wrongAnswer: 0 });
     assert.ok(counts.answered > counts.sent / 2, `most requests are answered: ${JSON.stringify(counts)}`);
-    return { told: results, counts };
+    return { results, counts };
 }
--- a/test/rush.test.ts
+++ b/test/rush.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { control } from "../demo/control.js";
-import { runLoad } from "../demo/load.js";
 import type { Mesh } from "../demo/mesh.js";
+import { runLoad } from "../demo/runload.js";
 import { pause } from "./pause.js";
 import { readControlBytes } from "./readcontrolbytes.js";
 import { withMesh } from "./withmesh.js";
@@ -41,11 +41,11 @@
             runLoad(mesh.spec, { seed: 3, seconds: 6, ratePerSecond: 1200, ingresses }),
         ]);
         assert.ok(
-            results.some(item => item.word === "not-run"),
+            results.some(item => item.outcome === "not-run"),
             "some requests are refused, so the load exceeds the capacity",
         );
         assert.ok(maxRate <= BYTES_PER_SECOND, `${maxRate} bytes per second at most`);
-        const notRun = results.filter(item => item.word === "not-run");
-        assert.ok(notRun.every(item => mesh.record.runs(item.id) === 0), "refused requests did not run");
+        const notRun = results.filter(item => item.outcome === "not-run");
+        assert.ok(notRun.every(item => mesh.record.countRuns(item.id) === 0), "refused requests did not run");
     }, { settings });
 });
--- a/test/sendeach.ts
+++ b/test/sendperiodically.ts
@@ -5,7 +5,7 @@
  * Calls `send` every `everyMs` milliseconds for `ms` milliseconds, with the number of earlier calls. Resolves with the
  * results of all calls.
  */
-export async function sendEach<Result>(
+export async function sendPeriodically<Result>(
     ms: number,
     everyMs: number,
     send: (index: number) => Promise<Result>,
--- a/test/session.test.ts
+++ b/test/session.test.ts
@@ -3,14 +3,14 @@
 import { request } from "undici";
 import type { Mesh } from "../demo/mesh.js";
 import { eventually } from "./eventually.js";
-import { revisions } from "./revisions.js";
+import { readRevisions } from "./readrevisions.js";
 import { Session } from "./session.js";
 import { withMesh } from "./withmesh.js";
 
 const waitForRevision = (mesh: Mesh, revision: number): Promise<void> =>
     eventually(
         `all daemons at revision ${revision}`,
-        async () => [...(await revisions(mesh)).values()].every(current => current === revision),
+        async () => [...(await readRevisions(mesh)).values()].every(current => current === revision),
     );
 
 const createUpstream = async (session: Session, mesh: Mesh, name: string): Promise<void> => {
--- a/test/silent.test.ts
+++ b/test/silent.test.ts
@@ -5,10 +5,10 @@
 import { readMetric } from "../demo/readmetric.js";
 import { countRecords } from "./countrecords.js";
 import { eventually } from "./eventually.js";
-import { loaded } from "./loaded.js";
 import { pause } from "./pause.js";
 import { platformConfiguration } from "./platformconfiguration.js";
 import type { PlatformMesh } from "./platformmesh.js";
+import { runLoadWithFault } from "./runloadwithfault.js";
 import { withMesh } from "./withmesh.js";
 import { withPlatform } from "./withplatform.js";
 
@@ -23,13 +23,13 @@
 
 test("silent: few callers are affected when all open connections become unresponsive, twice", async () => {
     await withMesh(async mesh => {
-        const { told: results, counts } = await loaded(mesh, async () => {
+        const { results, counts } = await runLoadWithFault(mesh, async () => {
             await wait(2000);
             await muteOpenConnections(mesh);
             await wait(3000);
             await muteOpenConnections(mesh);
         }, { seconds: 8 });
-        const slow = results.filter(item => item.ms > MAX_LATENCY_MS);
+        const slow = results.filter(item => item.latencyMs > MAX_LATENCY_MS);
         const unserved = results.filter(item => item.status !== 200);
         const unservedPages = unserved.filter(item => !item.once);
         assert.ok(slow.length <= 0.01 * results.length, `${slow.length} of ${results.length} slow`);
@@ -55,7 +55,7 @@
 
 test("silent: watches and leases survive when all open connections to the store become unresponsive", async () => {
     await withPlatform(async mesh => {
-        await mesh.strikeStore({ muteOpen: true });
+        await mesh.controlStore({ muteOpen: true });
         await pause(100);
         await mesh.configure(platformConfiguration(5, [addedRule]));
         await eventually("all daemons serve the added rule", () => allServe(mesh, "/added/1"), 5000);
--- a/test/smallmesh.ts
+++ b/test/smallmesh.ts
@@ -9,7 +9,7 @@
     name: "small",
     region: "here",
     halls: ["a", "b", "c"],
-    betweenMs: 0.5,
+    interHallDelayMs: 0.5,
     slots: 4,
     meanMs: 5,
     services: [{ name: "pages", instances: 3 }, { name: "fees", instances: 3 }],
--- a/test/split.test.ts
+++ b/test/split.test.ts
@@ -2,9 +2,9 @@
 import { test } from "node:test";
 import type { Mesh } from "../demo/mesh.js";
 import { eventually } from "./eventually.js";
-import { loaded } from "./loaded.js";
 import { pause } from "./pause.js";
-import { revisions } from "./revisions.js";
+import { readRevisions } from "./readrevisions.js";
+import { runLoadWithFault } from "./runloadwithfault.js";
 import { withMesh } from "./withmesh.js";
 
 /** Time after which a daemon that can't reach the store no longer considers its rules fresh. */
@@ -22,7 +22,7 @@
 
 test("split: both sides of a network partition serve requests, and the configuration converges after it", async () => {
     await withMesh(async mesh => {
-        const { counts } = await loaded(mesh, async () => {
+        const { counts } = await runLoadWithFault(mesh, async () => {
             await pause(1000);
             await cutHall(mesh, 3);
             const { code } = await mesh.cli("service", "update", "pages", "--max-wait-ms", "400");
@@ -33,7 +33,7 @@
         assert.ok(counts.answered > counts.sent * 0.9, JSON.stringify(counts));
         await eventually(
             "all daemons have revision 2",
-            async () => [...(await revisions(mesh)).values()].every(revision => revision === 2),
+            async () => [...(await readRevisions(mesh)).values()].every(revision => revision === 2),
         );
     });
 });
--- a/test/stale.test.ts
+++ b/test/stale.test.ts
@@ -3,7 +3,7 @@
 import { request } from "undici";
 import { control } from "../demo/control.js";
 import { eventually } from "./eventually.js";
-import { revisions } from "./revisions.js";
+import { readRevisions } from "./readrevisions.js";
 import { withMesh } from "./withmesh.js";
 
 const REPEATABLE = ["--path-prefix", "/pages/again", "--service", "pages", "--kind", "repeatable"];
@@ -14,7 +14,7 @@
         const waitForRevision = (revision: number): Promise<void> =>
             eventually(
                 `all daemons have revision ${revision}`,
-                async () => [...(await revisions(mesh)).values()].every(other => other === revision),
+                async () => [...(await readRevisions(mesh)).values()].every(other => other === revision),
             );
         await waitForRevision(2);
         const staleHosts = mesh.hosts.filter(host => host.place === 3);
@@ -24,7 +24,7 @@
         ]);
         const { code } = await mesh.cli("rule", "update", "again", "--kind", "once");
         assert.equal(code, 0);
-        const revisionAt = async (host: string): Promise<number | undefined> => (await revisions(mesh)).get(host);
+        const revisionAt = async (host: string): Promise<number | undefined> => (await readRevisions(mesh)).get(host);
         const updatedHosts = mesh.hosts.filter(host => host.place !== 3);
         await eventually("the daemons of the other halls have revision 3", async () => {
             const current = await Promise.all(updatedHosts.map(host => revisionAt(host.name)));
@@ -40,6 +40,6 @@
         });
         assert.equal(res.headers["winglock-outcome"], "unknown");
         await res.body.dump();
-        assert.equal(mesh.record.runs("stale-1"), 1, "the request is not repeated");
+        assert.equal(mesh.record.countRuns("stale-1"), 1, "the request is not repeated");
     });
 });
--- a/test/start.test.ts
+++ b/test/start.test.ts
@@ -5,7 +5,7 @@
 import { join } from "node:path";
 import { test } from "node:test";
 import { Child } from "../demo/child.js";
-import { takeRunNumber } from "../demo/runnumber.js";
+import { takeRunNumber } from "../demo/takerunnumber.js";
 
 const BINARY_FOLDER = new URL("../bin", import.meta.url).pathname;
 const ROOT = new URL("../../", import.meta.url).pathname;
--- a/test/stop.test.ts
+++ b/test/stop.test.ts
@@ -2,8 +2,8 @@
 import { test } from "node:test";
 import { request } from "undici";
 import type { Mesh } from "../demo/mesh.js";
-import { loaded } from "./loaded.js";
 import { pause } from "./pause.js";
+import { runLoadWithFault } from "./runloadwithfault.js";
 import { withMesh } from "./withmesh.js";
 
 /** Opens event streams, distributed over all daemons; resolves with their bodies when all have ended. */
@@ -17,7 +17,7 @@
     await withMesh(async mesh => {
         const host = mesh.host("fees-1");
         let streams: Promise<string[]> | undefined;
-        const { counts } = await loaded(mesh, async () => {
+        const { counts } = await runLoadWithFault(mesh, async () => {
             for (let round = 0; round < 2; round++) {
                 await pause(600);
                 streams = openStreams(mesh, 6);
@@ -34,7 +34,7 @@
 
 test("stop: an upstream that stops gracefully under load cuts off no request", async () => {
     await withMesh(async mesh => {
-        const { counts } = await loaded(mesh, async () => {
+        const { counts } = await runLoadWithFault(mesh, async () => {
             await pause(800);
             await mesh.upstreams.get("fees-2")!.end("SIGTERM");
         }, { seconds: 4 });
--- a/test/storecopy.test.ts
+++ b/test/storecopy.test.ts
@@ -20,10 +20,10 @@
 const restoreOlderBackup = async (mesh: PlatformMesh, control: Partial<StoreControl>): Promise<void> => {
     await mesh.configure(platformConfiguration(5, [rule("first")]));
     await waitForRule(mesh, "first");
-    await mesh.strikeStore({ makeCopy: true });
+    await mesh.controlStore({ makeCopy: true });
     await mesh.configure(platformConfiguration(6, [rule("first"), rule("second")]));
     await waitForRule(mesh, "second");
-    await mesh.strikeStore({ comeBack: true, ...control });
+    await mesh.controlStore({ comeBack: true, ...control });
 };
 
 test("store copy: a configuration that the restored store has lost stays in force, and the next one comes into force", async () => {
@@ -40,7 +40,7 @@
 
 test("store copy: a restore that the store does not report is detected by the revisions", async () => {
     await withPlatform(async mesh => {
-        await mesh.strikeStore({ tellsEra: false });
+        await mesh.controlStore({ tellsEra: false });
         await restoreOlderBackup(mesh, {});
         await mesh.configure(platformConfiguration(7, [rule("second"), rule("third")]));
         await waitForRule(mesh, "third");
@@ -51,8 +51,8 @@
     await withPlatform(async mesh => {
         await mesh.configure(platformConfiguration(5, [rule("first")]));
         await waitForRule(mesh, "first");
-        await mesh.strikeStore({ makeCopy: true });
-        await mesh.strikeStore({ muteOpen: true, comeBack: true });
+        await mesh.controlStore({ makeCopy: true });
+        await mesh.controlStore({ muteOpen: true, comeBack: true });
         await pause(50);
         await mesh.configure(platformConfiguration(7, [rule("first"), rule("third")]));
         for (let index = 0; index < 40; index++) {
@@ -78,10 +78,10 @@
          * all.
          */
         const isHallAUsed = async (): Promise<boolean> => (await collectSignatures(3)).includes("of-i-pages-1");
-        await mesh.strikeStore({ makeCopy: true });
+        await mesh.controlStore({ makeCopy: true });
         await mesh.evacuate("a");
         await eventually("no daemon sends requests to the hall", isHallAUnused, 5000);
-        await mesh.strikeStore({ comeBack: true });
+        await mesh.controlStore({ comeBack: true });
         for (const endMs = performance.now() + 3000; performance.now() < endMs;) {
             assert.equal(await isHallAUnused(), true);
             await pause(100);
@@ -96,14 +96,14 @@
 
 test("store copy: records and leases are registered again, also after two restores within a second, and no request fails", async () => {
     await withPlatform(async mesh => {
-        await mesh.strikeStore({ makeCopy: true });
+        await mesh.controlStore({ makeCopy: true });
         await mesh.daemons.get("fees-2")!.end("SIGKILL");
         await mesh.startDaemon("fees-2").ready();
         await eventually("the restarted daemon serves", () => allServe(mesh, "/pages/1", ["fees-2"]), 6000);
         await pause(1000);
-        await mesh.strikeStore({ comeBack: true });
+        await mesh.controlStore({ comeBack: true });
         await pause(700);
-        await mesh.strikeStore({ comeBack: true });
+        await mesh.controlStore({ comeBack: true });
         for (const endMs = performance.now() + 12_000; performance.now() < endMs;) {
             assert.equal(await allServe(mesh, "/pages/1"), true);
             await pause(300);
--- a/test/upstreamcrash.test.ts
+++ b/test/upstreamcrash.test.ts
@@ -3,7 +3,7 @@
 import { eventually } from "./eventually.js";
 import { pause } from "./pause.js";
 import type { PlatformMesh } from "./platformmesh.js";
-import type { PlatformTold } from "./platformtold.js";
+import type { PlatformResponse } from "./platformresponse.js";
 import { withPlatform } from "./withplatform.js";
 
 /** How long a payment takes: long enough that all are running or queued when the upstream crashes. */
@@ -16,15 +16,15 @@
 const crash = (mesh: PlatformMesh, name: string): Promise<unknown> => mesh.instances.get(name)!.end("SIGKILL");
 
 /** Sends payments, distributed over all daemons. */
-const sendPayments = (mesh: PlatformMesh, prefix: string): Promise<PlatformTold>[] =>
+const sendPayments = (mesh: PlatformMesh, prefix: string): Promise<PlatformResponse>[] =>
     Array.from({ length: PAYMENTS }, (_, index) => {
         const host = mesh.hosts[index % mesh.hosts.length]!.name;
         return mesh.send(host, "POST", "/fees/1", `${prefix}-${index}`, 2000);
     });
 
 /** Crashes an upstream while payments are running or queued; resolves with their pending responses. */
-const crashDuringPayments = async (mesh: PlatformMesh, prefix: string): Promise<Promise<PlatformTold>[]> => {
-    await Promise.all(["fees-1", "fees-2"].map(name => mesh.strikeInstance(name, { workMs: WORK_MS })));
+const crashDuringPayments = async (mesh: PlatformMesh, prefix: string): Promise<Promise<PlatformResponse>[]> => {
+    await Promise.all(["fees-1", "fees-2"].map(name => mesh.controlInstance(name, { workMs: WORK_MS })));
     const pending = sendPayments(mesh, prefix);
     await pause(WORK_MS / 2);
     await crash(mesh, "fees-1");
@@ -32,7 +32,7 @@
 };
 
 /** Asserts that each request ran as often as its response states: once for 200, never for 503, else at most once. */
-const checkRuns = (mesh: PlatformMesh, responses: readonly PlatformTold[], prefix: string): void => {
+const checkRuns = (mesh: PlatformMesh, responses: readonly PlatformResponse[], prefix: string): void => {
     responses.forEach(({ status }, index) => {
         const runs = mesh.runsOf(`${prefix}-${index}`);
         if (status === 200) {
@@ -87,13 +87,13 @@
             async () => (await signatures()).includes("of-i-pages-1"),
             3000,
         );
-        await mesh.strikeInstance("pages-1", { state: "draining" });
+        await mesh.controlInstance("pages-1", { state: "draining" });
         assert.deepEqual(
             [...new Set(await signatures())],
             ["of-i-pages-2"],
             "its announcement that it drains is not taken for a late one",
         );
-        await mesh.strikeInstance("pages-1", { state: "ready" });
+        await mesh.controlInstance("pages-1", { state: "ready" });
         const announcement = {
             service: "pages",
             address: `${mesh.host("pages-1").ip}:7200`,
