--- a/demo/requestresult.ts
+++ b/demo/requestresult.ts
@@ -7,7 +7,7 @@
 type Outcome = "answered" | "not-run" | "unknown" | "cut" | "refused";
 
 /**
- * `at` is the due time and `ms` the latency from the due time, both in milliseconds. `kind` is the name of the
+ * `at` is the due time and `latencyMs` the latency from the due time, both in milliseconds. `kind` is the name of the
  * `RequestSpec`, `once` means that the request may run only once, and `status` is 0 without a response.
  */
 export type RequestResult = {
