--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -61,7 +61,7 @@
 /** Can be started and stopped once; `startLeaving` has to be called before `stop`. */
 export class Membership {
     readonly gossip: Gossip;
-    readonly #ownUpstreams: LocalUpstreams;
+    readonly #localUpstreams: LocalUpstreams;
     readonly #memberList: MemberList;
     readonly #publisher: RecordPublisher;
     readonly #registryWatcher: RegistryWatcher;
@@ -73,9 +73,9 @@
 
     constructor(private readonly deps: MembershipDependencies) {
         this.#learnedShares = new LearnedShares(deps);
-        this.#ownUpstreams = new LocalUpstreams({
+        this.#localUpstreams = new LocalUpstreams({
             ...deps,
-            onChange: () => this.#onOwnUpstreamsChanged(),
+            onChange: () => this.#onLocalUpstreamsChanged(),
             onSweep: () => this.#publishChangedShares(),
         });
         this.#memberList = new MemberList(deps.self);
@@ -95,7 +95,7 @@
     get member(): Member {
         const { self: gate, incarnation, settings } = this.deps;
         const { host, hall, region } = settings;
-        const upstreams = this.#isLeaving ? [] : this.#learnedShares.withShares(this.#ownUpstreams.all);
+        const upstreams = this.#isLeaving ? [] : this.#learnedShares.withShares(this.#localUpstreams.all);
         return { gate, host, hall, region, incarnation, version: this.#version, upstreams };
     }
 
@@ -106,7 +106,7 @@
 
     /** All upstreams that are known, including those beside this daemon. */
     get upstreams(): Upstream[] {
-        return [...upstreamsOf({ ...this.member, upstreams: this.#ownUpstreams.all }), ...this.#memberList.upstreams];
+        return [...upstreamsOf({ ...this.member, upstreams: this.#localUpstreams.all }), ...this.#memberList.upstreams];
     }
 
     /** Returns the changes after the position `after`, or the whole list; both include this daemon's own record. */
@@ -123,7 +123,7 @@
 
     /** Records that an upstream beside this daemon states in its responses that it is leaving permanently. */
     recordLeaving(name: UpstreamName): void {
-        this.#ownUpstreams.recordLeaving(name);
+        this.#localUpstreams.recordLeaving(name);
     }
 
     /** Sets the listener that is called after each change of the known upstreams. */
@@ -138,14 +138,14 @@
 
     /** Resolves when the daemon listens for announcements; the record is published in the background. */
     async start(): Promise<void> {
-        await this.#ownUpstreams.listen();
+        await this.#localUpstreams.listen();
         void this.#publishFirstRecord();
         this.gossip.start();
     }
 
     /** Publishes this daemon's record; if it knows no other member, reads again: others may just have started. */
     async #publishFirstRecord(): Promise<void> {
-        await Promise.all([this.#ownUpstreams.discover(), this.#registryWatcher.readStale()]);
+        await Promise.all([this.#localUpstreams.discover(), this.#registryWatcher.readStale()]);
         this.#incrementVersion();
         this.#publisher.start();
         if (this.#memberList.size === 0) {
@@ -156,7 +156,7 @@
     /** Notifies peers that this daemon serves no upstream any more, and withdraws its record; it keeps running. */
     async startLeaving(): Promise<void> {
         this.#isLeaving = true;
-        this.#ownUpstreams.startLeaving();
+        this.#localUpstreams.startLeaving();
         this.#incrementVersion();
         this.gossip.announceRecord();
         await this.#publisher.stop();
@@ -166,7 +166,7 @@
         this.gossip.announceStop();
         this.gossip.stop();
         this.#storeWatch.setScope("nothing");
-        this.#ownUpstreams.stop();
+        this.#localUpstreams.stop();
     }
 
     #createPublisher(): RecordPublisher {
@@ -224,13 +224,13 @@
     }
 
     #publishChangedShares(): void {
-        if (this.#learnedShares.isDue(this.#ownUpstreams.all, this.#memberList.hostedUpstreams, this.deps.clock())) {
+        if (this.#learnedShares.isDue(this.#localUpstreams.all, this.#memberList.hostedUpstreams, this.deps.clock())) {
             this.#publishRecord();
         }
     }
 
     /** Applies the change at this daemon; that comes before the response to the upstream's announcement. */
-    #onOwnUpstreamsChanged(): void {
+    #onLocalUpstreamsChanged(): void {
         this.#listener();
         this.#publishRecord();
     }
@@ -245,6 +245,6 @@
     #incrementVersion(): void {
         this.#version += 1;
         this.#memberList.countOwnChange();
-        this.#learnedShares.setPublished(this.#ownUpstreams.all, this.#memberList.hostedUpstreams);
+        this.#learnedShares.setPublished(this.#localUpstreams.all, this.#memberList.hostedUpstreams);
     }
 }
