--- a/src/daemon/gateset.ts
+++ b/src/daemon/gateset.ts
@@ -31,8 +31,8 @@
      * completes the requests that it has, but takes no new ones.
      */
     apply(upstreams: readonly Upstream[]): void {
-        const ownUpstreams = upstreams.filter(upstream => upstream.gate === this.self);
-        const upstreamByName = new Map(ownUpstreams.map(upstream => [upstream.name, upstream]));
+        const localUpstreams = upstreams.filter(upstream => upstream.gate === this.self);
+        const upstreamByName = new Map(localUpstreams.map(upstream => [upstream.name, upstream]));
         for (const gate of [...this.#gates.values()]) {
             const upstream = upstreamByName.get(gate.upstream.name);
             if (upstream === undefined || !hasSameGateSettings(upstream, gate.upstream)) {
@@ -41,7 +41,7 @@
                 void gate.shutDown();
             }
         }
-        for (const upstream of ownUpstreams) {
+        for (const upstream of localUpstreams) {
             const gate = this.#gates.get(upstream.name) ?? this.#open(upstream);
             this.#updateCloseReason(gate, DRAINING, upstream.draining);
         }
