--- a/src/ingress/requesthandler.ts
+++ b/src/ingress/requesthandler.ts
@@ -58,7 +58,7 @@
             ingress: deps,
             plan: () => this.plan,
             bodyKept: outgoing.body.kept,
-            standing: () => this.#standing(),
+            quarantineStatus: () => this.#quarantineStatus(),
             log: this.#log,
         });
         this.#targets = new TargetSelector(deps, this.#retries.history.attempted);
@@ -124,7 +124,7 @@
         return retryAfterMs === undefined ? undefined : { outcome: "not-run", reason: "quarantined", retryAfterMs };
     }
 
-    #standing(): QuarantineStatus {
+    #quarantineStatus(): QuarantineStatus {
         const { crashGuard } = this.deps;
         return crashGuard.isEmpty ? "free" : crashGuard.statusOf(this.#requestKey());
     }
--- a/src/ingress/requestretries.ts
+++ b/src/ingress/requestretries.ts
@@ -24,7 +24,7 @@
     readonly plan: () => Plan;
     /** True if the body can be sent again. */
     readonly bodyKept: boolean;
-    readonly standing: () => QuarantineStatus;
+    readonly quarantineStatus: () => QuarantineStatus;
     readonly log: RequestLog;
 };
 
@@ -61,7 +61,7 @@
                 remainingMs: deadline - now,
                 bodyKept,
                 needsBudget: this.history.needsBudget,
-                standing: this.deps.standing(),
+                quarantineStatus: this.deps.quarantineStatus(),
             },
             this.#retries(),
             now,
@@ -88,10 +88,10 @@
 
     /** Returns the time after which a response is overdue, or undefined if the request must not be hedged. */
     hedgeAfterMs(): number | undefined {
-        const { ingress: { isHedgingEnabled }, plan, bodyKept, standing } = this.deps;
+        const { ingress: { isHedgingEnabled }, plan, bodyKept, quarantineStatus } = this.deps;
         const { kind, rule } = plan();
         return decideHedge({
-            isEnabled: isHedgingEnabled && standing() === "free",
+            isEnabled: isHedgingEnabled && quarantineStatus() === "free",
             kind,
             answer: rule.answer,
             bodyKept,
--- a/src/policy/retry/decideretry.test.ts
+++ b/src/policy/retry/decideretry.test.ts
@@ -35,7 +35,7 @@
             remainingMs: 100,
             bodyKept: true,
             needsBudget: false,
-            standing: "free",
+            quarantineStatus: "free",
             ...overrides,
         },
         budgetAndAllowance,
@@ -87,11 +87,14 @@
 
 test("retry: a suspected request is sent elsewhere only if it has not run and is not quarantined", () => {
     const repeatable = { kind: "repeatable" } as const;
-    assert.equal(decide({ ...repeatable, result: mayHaveRun, standing: "suspect" }).why, "quarantined");
-    assert.equal(decide({ ...repeatable, result: failed, standing: "suspect" }).why, "quarantined");
-    assert.equal(decide({ ...repeatable, result: notRun("busy"), redirects: 1, standing: "suspect" }).why, "moves");
+    assert.equal(decide({ ...repeatable, result: mayHaveRun, quarantineStatus: "suspect" }).why, "quarantined");
+    assert.equal(decide({ ...repeatable, result: failed, quarantineStatus: "suspect" }).why, "quarantined");
     assert.equal(
-        decide({ ...repeatable, result: notRun("busy"), redirects: 1, standing: "quarantined" }).why,
+        decide({ ...repeatable, result: notRun("busy"), redirects: 1, quarantineStatus: "suspect" }).why,
+        "moves",
+    );
+    assert.equal(
+        decide({ ...repeatable, result: notRun("busy"), redirects: 1, quarantineStatus: "quarantined" }).why,
         "quarantined",
     );
 });
--- a/src/policy/retry/decideretry.ts
+++ b/src/policy/retry/decideretry.ts
@@ -40,7 +40,7 @@
     /** True if the next attempt is a repeat for which no budget has been spent yet. */
     readonly needsBudget: boolean;
     /** Whether the request is suspected of crashing upstreams, or quarantined for it. */
-    readonly standing: QuarantineStatus;
+    readonly quarantineStatus: QuarantineStatus;
 };
 
 /**
@@ -62,14 +62,14 @@
         remainingMs,
         bodyKept,
         needsBudget,
-        standing,
+        quarantineStatus,
     } = input;
     const decideByBudget = (): RetryDecision =>
         budget.spend(allowance, now) ? { again: true, why: "budget" } : { again: false, why: "budget-spent" };
     const facts = result.outcome === "failed" ? undefined : reasons[result.reason];
     if (
-        standing === "quarantined" || facts?.isFinal === true
-        || (standing === "suspect" && result.outcome !== "not-run")
+        quarantineStatus === "quarantined" || facts?.isFinal === true
+        || (quarantineStatus === "suspect" && result.outcome !== "not-run")
     ) {
         return { again: false, why: "quarantined" };
     }
--- a/test/leaving.test.ts
+++ b/test/leaving.test.ts
@@ -53,14 +53,14 @@
     await withMesh(async mesh => {
         const frozen = mesh.host("pages-1");
         let frozenAt = 0;
-        const { results: told } = await runLoadWithFault(mesh, async () => {
+        const { results } = await runLoadWithFault(mesh, async () => {
             await pause(1500);
             mesh.daemons.get(frozen.name)!.signal("SIGSTOP");
             frozenAt = performance.now();
         }, { seconds: 6, ingresses: () => mesh.hosts.filter(host => host !== frozen).map(host => host.ingress) });
-        const lateResponses = told.filter(outcome => !outcome.once && outcome.at > frozenAt + NO_NEW_REQUESTS_AFTER_MS);
+        const lateResponses = results.filter(result => !result.once && result.at > frozenAt + NO_NEW_REQUESTS_AFTER_MS);
         assert.ok(lateResponses.length > 0);
-        assert.ok(lateResponses.every(outcome => outcome.outcome === "answered"));
+        assert.ok(lateResponses.every(result => result.outcome === "answered"));
     });
 });
 
